--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -75,11 +75,11 @@
 	}{
 		{"known", f.VMs},
 		{"unlisted", f.Unlisted},
-		{"unheard", f.Unheard},
-		{"silent", f.Silent},
+		{"unheard", f.Unreported},
+		{"silent", f.Unresponsive},
 		{"leased", f.Leased},
-		{"leased_silent", f.LeasedSilent},
-		{"waited_for", f.Waited},
+		{"leased_silent", f.LeasedUnresponsive},
+		{"waited_for", f.Awaited},
 		{"withheld", f.Withheld},
 	} {
 		gauge(c.vms, float64(v.count), v.state)
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -129,8 +129,8 @@
 	leading := true
 	m := newMetrics(func() (leader.Figures, bool) {
 		return leader.Figures{
-			Figures: scheduler.Figures{
-				Fence: 706, VMs: 48, Unlisted: 16, Unheard: 1, Silent: 3, Leased: 47, LeasedSilent: 2, LongestLease: 7500 * time.Millisecond, Waited: 4, Withheld: 2, Runs: 243,
+			Stats: scheduler.Stats{
+				Fence: 706, VMs: 48, Unlisted: 16, Unreported: 1, Unresponsive: 3, Leased: 47, LeasedUnresponsive: 2, LongestLease: 7500 * time.Millisecond, Awaited: 4, Withheld: 2, Runs: 243,
 			},
 			UnackedEnds: 9, OldestUnacked: 1500 * time.Millisecond,
 		}, leading
--- a/internal/edge/operations.go
+++ b/internal/edge/operations.go
@@ -144,7 +144,7 @@
 }
 
 // end counts an end that a VM told.
-func (m *metrics) end(standing scheduler.EndStanding) {
+func (m *metrics) end(standing scheduler.EndStatus) {
 	m.ends.WithLabelValues(string(standing)).Inc()
 }
 
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -136,18 +136,18 @@
 // from the VMs.
 func (p *player) elect() {
 	p.fence++
-	var model scheduler.Model
+	var model scheduler.InterferenceModel
 	if p.sched != nil {
-		model = p.sched.Model()
+		model = p.sched.InterferenceModel()
 	}
 	policy := p.variant.Policy
-	p.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second, StopWithin: 500 * time.Millisecond, UnavailableFor: 4500 * time.Millisecond, Policy: &policy}, p.fence, nil)
+	p.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second, StopTimeout: 500 * time.Millisecond, UnavailableDuration: 4500 * time.Millisecond, Policy: &policy}, p.fence, nil)
 	p.sched.Led(time.Hour)
 	if p.variant.Informed {
 		model = p.f.w.knowledge(p.s.Serving.Images, p.s.Fillers.Images)
 	}
 	if len(model.Images) > 0 {
-		p.sched.SetModel(model)
+		p.sched.SetInterferenceModel(model)
 	}
 	p.sched.SetConfig(p.config())
 	p.sched.SetInstances(p.now, p.f.instances())
@@ -175,7 +175,7 @@
 
 func (p *player) submit(j *job, existed bool) {
 	p.sched.Submit(p.now, scheduler.Submission{
-		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.at, Existed: existed, Progress: p.store[j.spec.ID],
+		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.at, PredatesLeader: existed, Progress: p.store[j.spec.ID],
 	})
 }
 
@@ -233,7 +233,7 @@
 		if p.now-v.heardAt >= every || len(v.ends) > v.told {
 			hold, ok := p.sched.Hold(p.now, v.inst.ID, every)
 			if ok {
-				p.sched.Heard(p.now, p.now, v.inst.ID, p.f.report(p.now, v, hold.Acked))
+				p.sched.HandleReport(p.now, p.now, v.inst.ID, p.f.report(p.now, v, hold.Acked))
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 		p.starting = p.starting[1:]
 		p.credit--
 		o.given(p.now)
-		if p.sched.Begin(p.now, o.Order) {
+		if p.sched.PrepareStart(p.now, o.Order) {
 			p.give(o.Order)
 		}
 	}
@@ -310,7 +310,7 @@
 
 // flush writes what the leader has to record.
 func (p *player) flush() {
-	f := p.sched.Pending()
+	f := p.sched.PendingWrites()
 	if c := p.sched.PendingStarts(p.now, f != nil); c != nil {
 		if c.Segment != nil {
 			p.starts[c.Segment.ID] = *c.Segment
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -146,13 +146,13 @@
 const knownWeight = 1e6
 
 // knowledge is the interference as an earlier leader would have learned it.
-func (w *world) knowledge(servingImages, fillerImages int) scheduler.Model {
-	m := scheduler.Model{Pairs: map[string]scheduler.Evidence{}}
+func (w *world) knowledge(servingImages, fillerImages int) scheduler.InterferenceModel {
+	m := scheduler.InterferenceModel{Pairs: map[string]scheduler.NormalEquations{}}
 	for f := range fillerImages {
 		m.Images = append(m.Images, image("fill", f))
 	}
 	for n := range servingImages {
-		e := scheduler.Evidence{A: make([][]float32, fillerImages+1), B: make([]float32, fillerImages+1)}
+		e := scheduler.NormalEquations{A: make([][]float32, fillerImages+1), B: make([]float32, fillerImages+1)}
 		for i := range e.A {
 			e.A[i] = make([]float32, fillerImages+1)
 			e.A[i][i] = knownWeight
--- a/internal/leader/cutoff_test.go
+++ b/internal/leader/cutoff_test.go
@@ -132,7 +132,7 @@
 	te := newTerm(t, store, 0)
 	long := steady.Now() - 2*keepEnded
 	te.sched.Submit(long, scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Cancelled: true})
-	te.sched.RecordWritten(te.sched.Pending().Records[0], 1)
+	te.sched.RecordWritten(te.sched.PendingWrites().Records[0], 1)
 	te.forget(context.Background())
 	old := waitingJob
 	old.Created = 5
@@ -167,10 +167,10 @@
 	store := &cutStore{items: map[string]durable.Item{modelKey: {Key: modelKey, Value: model, Revision: 3}}}
 	te := newTerm(t, store, 0)
 	te.loadModel(context.Background())
-	te.sched.SetModel(scheduler.Model{Pairs: map[string]scheduler.Evidence{"other": {}}})
+	te.sched.SetInterferenceModel(scheduler.InterferenceModel{Pairs: map[string]scheduler.NormalEquations{"other": {}}})
 	store.back = true
 	require.NoError(t, te.storeModel(context.Background()))
-	require.Contains(t, te.sched.Model().Pairs, "web")
+	require.Contains(t, te.sched.InterferenceModel().Pairs, "web")
 	for _, txn := range store.commits {
 		require.Contains(t, string(txn.Writes[0].Value), `"web"`)
 	}
@@ -208,7 +208,7 @@
 	inst := batch.Instance{ID: "vm", Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 1000}}
 	now := steady.Now()
 	te.sched.SetInstances(now, []batch.Instance{inst})
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Pool: "p"})
 	start := te.sched.Plan(now)[0]
 	te.sched.Started(now, now, start, 0, "", true)
--- a/internal/leader/holds.go
+++ b/internal/leader/holds.go
@@ -102,12 +102,12 @@
 }
 
 // standingFields are what is believed of a VM, for a line.
-func standingFields(vm string, x scheduler.Standing) eventlog.Fields {
+func standingFields(vm string, x scheduler.VMStatus) eventlog.Fields {
 	f := eventlog.Fields{
-		"vm": vm, "unheard_ms": x.UnheardFor.Milliseconds(), "lease_left_ms": x.LeaseLeft.Milliseconds(), "runs": x.Runs,
+		"vm": vm, "unheard_ms": x.SinceReport.Milliseconds(), "lease_left_ms": x.LeaseLeft.Milliseconds(), "runs": x.Runs,
 	}
 	if !x.Listed {
-		f["unlisted_ms"] = x.UnlistedFor.Milliseconds()
+		f["unlisted_ms"] = x.SinceUnlisted.Milliseconds()
 	}
 	return f
 }
@@ -173,14 +173,14 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, known := t.sched.Standing(now, inst.ID)
+	before, known := t.sched.VMStatus(now, inst.ID)
 	if !known {
 		return false, nil
 	}
 	if err != nil {
 		// A hold that fails before it has waited was not left in silence.
 		t.sched.Unanswered(now, inst.ID, now-sentAt < order.Wait)
-		if silent.failed(now, before.UnheardFor) {
+		if silent.failed(now, before.SinceReport) {
 			t.log.Warn("vm_unanswered", err, standingFields(inst.ID, before))
 		}
 		return true, err
@@ -192,7 +192,7 @@
 		*silent = silence{}
 	}
 	t.noteEnds(now, inst.ID, &report)
-	if !t.sched.Heard(now, sentAt, inst.ID, report) {
+	if !t.sched.HandleReport(now, sentAt, inst.ID, report) {
 		err = errReadLate
 		t.log.Warn("vm_unanswered", err, standingFields(inst.ID, before))
 	}
@@ -208,7 +208,7 @@
 func (t *term) replaced(now time.Duration, inst *batch.Instance) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x, ok := t.sched.Standing(now, inst.ID); ok {
+	if x, ok := t.sched.VMStatus(now, inst.ID); ok {
 		t.log.Event("vm_replaced", standingFields(inst.ID, x))
 	}
 	t.sched.Replaced(now, inst)
@@ -245,7 +245,7 @@
 		if ends[i].Seq < first.Seq {
 			first = &ends[i]
 		}
-		if standing := t.sched.EndStanding(id, report.Born, &ends[i]); standing != scheduler.EndAgain && t.ObserveEnd != nil {
+		if standing := t.sched.EndStatus(id, report.Born, &ends[i]); standing != scheduler.EndDuplicate && t.ObserveEnd != nil {
 			t.ObserveEnd(standing)
 		}
 	}
--- a/internal/leader/inspect.go
+++ b/internal/leader/inspect.go
@@ -29,7 +29,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sched.Waiting(queue), true
+	return t.sched.WaitingJobs(queue), true
 }
 
 // Dump returns the scheduler's state, or nil when this process does not lead.
@@ -46,7 +46,7 @@
 
 // Figures are the state of a leader in counts.
 type Figures struct {
-	scheduler.Figures
+	scheduler.Stats
 	// Confirmed is set while the lease can't have run out: nobody else leads.
 	Confirmed bool
 	// UnackedEnds counts the ends that VMs go on telling; OldestUnacked is since
@@ -74,7 +74,7 @@
 	now := steady.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := Figures{Figures: t.sched.Figures(now), Confirmed: t.tenure.Confirmed()}
+	f := Figures{Stats: t.sched.Stats(now), Confirmed: t.tenure.Confirmed()}
 	for _, told := range t.told {
 		f.UnackedEnds += told.count
 		f.OldestUnacked = max(f.OldestUnacked, now-told.since)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -105,7 +105,7 @@
 	// ObserveDelay is told how long work of this leader waited or took; may be nil.
 	ObserveDelay func(Delay, time.Duration)
 	// ObserveEnd is told of each end that a VM tells for the first time; may be nil.
-	ObserveEnd func(scheduler.EndStanding)
+	ObserveEnd func(scheduler.EndStatus)
 
 	mu   sync.Mutex
 	term *term
@@ -423,7 +423,7 @@
 		return
 	}
 	sub := r.submission(t.age(r))
-	sub.Created = item.Created
+	sub.CreatedRevision = item.Created
 	// A job that this leader does not know and that has ended: what it did is in its
 	// record, and its payload is gone.
 	sub.Unreadable = r.Ended
@@ -473,13 +473,13 @@
 		f["value"] = d.Value
 	}
 	if d.Event == scheduler.EventRunLost {
-		f["lived_ms"], f["lived_at_most_ms"] = d.Lived.Milliseconds(), d.LivedAtMost.Milliseconds()
+		f["lived_ms"], f["lived_at_most_ms"] = d.MinLifetime.Milliseconds(), d.MaxLifetime.Milliseconds()
 	}
-	if d.NewRuns != 0 {
-		f["new_runs"] = d.NewRuns
+	if d.RecentRuns != 0 {
+		f["new_runs"] = d.RecentRuns
 	}
-	if d.Unheard != 0 {
-		f["unheard_ms"] = d.Unheard.Milliseconds()
+	if d.SinceReport != 0 {
+		f["unheard_ms"] = d.SinceReport.Milliseconds()
 	}
 	if d.Born != 0 {
 		f["born"], f["acked"] = d.Born, d.Acked
--- a/internal/leader/model.go
+++ b/internal/leader/model.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	t.mu.Lock()
-	model := t.sched.Model()
+	model := t.sched.InterferenceModel()
 	t.mu.Unlock()
 	if len(model.Pairs) == 0 {
 		return nil
@@ -60,13 +60,13 @@
 	if item == nil {
 		return true
 	}
-	var model scheduler.Model
+	var model scheduler.InterferenceModel
 	if err := json.Unmarshal(item.Value, &model); err != nil {
 		t.log.Warn("model_unreadable", err, nil)
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sched.SetModel(model)
+	t.sched.SetInterferenceModel(model)
 	return true
 }
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -83,9 +83,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if try == 0 {
-		return t.sched.Begin(steady.Now(), o)
+		return t.sched.PrepareStart(steady.Now(), o)
 	}
-	return t.sched.Wanted(steady.Now(), o)
+	return t.sched.ShouldResendStart(steady.Now(), o)
 }
 
 // start gives a start order until its outcome is known, a few times. A refusal
@@ -167,7 +167,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sched.Stopping(o)
+	return t.sched.StopUnconfirmed(o)
 }
 
 // stop repeats a stop until it is confirmed.
--- a/internal/leader/predecessors_test.go
+++ b/internal/leader/predecessors_test.go
@@ -23,7 +23,7 @@
 	te.sched = scheduler.New(te.Settings, 9, nil)
 	now := steady.Now()
 	te.sched.SetInstances(now, []batch.Instance{{ID: "vm", Pool: "p", Address: "a"}})
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	te.sched.Hold(now, "vm", 0)
 	te.tenure = &Tenure{Fence: 9, cancel: func() {}, renewedAt: now}
 	te.setTerm(te)
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -39,7 +39,7 @@
 
 func (t *term) flushPending(ctx context.Context) {
 	t.mu.Lock()
-	f := t.sched.Pending()
+	f := t.sched.PendingWrites()
 	starts := t.sched.PendingStarts(steady.Now(), f != nil && len(f.Records) > 0)
 	t.mu.Unlock()
 	if f == nil && starts == nil {
@@ -217,7 +217,7 @@
 	t.mu.Lock()
 	t.removed.purge(now)
 	maps.DeleteFunc(t.cancelledEarly, func(_ string, at time.Duration) bool { return now-at > removedFor })
-	ended := t.sched.Ended(now, keepEnded, forgetMost)
+	ended := t.sched.RemovableJobs(now, keepEnded, forgetMost)
 	t.mu.Unlock()
 	if len(ended) == 0 {
 		return
@@ -233,7 +233,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sched.Drop(ended)
+	t.sched.DropJobs(ended)
 	for _, id := range ended {
 		t.removed[id] = removal{at: now, revision: revision}
 	}
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -50,7 +50,7 @@
 			te := newTerm(t, nil, 0)
 			te.sched.SetInstances(steady.Now(), []batch.Instance{{ID: "vm", Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 8000, MemoryMB: 8000}}})
 			te.sched.Hold(steady.Now(), "vm", 0)
-			te.sched.Heard(steady.Now(), steady.Now(), "vm", batch.Report{Clock: time.Hour})
+			te.sched.HandleReport(steady.Now(), steady.Now(), "vm", batch.Report{Clock: time.Hour})
 			take(te)
 			require.Empty(t, te.sched.Plan(steady.Now()))
 		})
--- a/internal/leader/rebuild.go
+++ b/internal/leader/rebuild.go
@@ -138,7 +138,7 @@
 			// Its payload is gone: whatever the record says, it is not to be started.
 			sub.Unreadable = true
 		}
-		sub.Existed = true
+		sub.PredatesLeader = true
 		t.sched.Submit(now, sub)
 		count++
 	}
@@ -149,7 +149,7 @@
 // read is not the same as none.
 func (t *term) addProgress(sub *scheduler.Submission, item *durable.Item) {
 	var err error
-	sub.Record = item.Revision
+	sub.RecordRevision = item.Revision
 	if sub.Progress, err = decodeProgress(sub.Job.ID, item.Value); err != nil {
 		sub.Unreadable = true
 		t.log.Warn("progress_unreadable", err, eventlog.Fields{"job": sub.Job.ID})
--- a/internal/leader/rebuild_test.go
+++ b/internal/leader/rebuild_test.go
@@ -170,7 +170,7 @@
 	}
 	te.sched.SetInstances(began, vms)
 	te.sched.Expect([]string{"vm", "silent"}, began+14*time.Second)
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	const wall = 1_000_000_000
 	te.WallMS = func() int64 { return wall }
 	// Handed in 3.9 s ago, by a clock that is 6 s ahead.
@@ -224,9 +224,9 @@
 		for _, id := range []string{"cut", "vm"} {
 			te.sched.Hold(now, id, time.Second)
 		}
-		te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour})
+		te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	}
-	te.sched.Heard(now, now, "cut", batch.Report{Clock: time.Hour})
+	te.sched.HandleReport(now, now, "cut", batch.Report{Clock: time.Hour})
 	te.sched.Hold(now, "cut", time.Second)
 	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "cut", Steps: []batch.Step{{Tasks: 2 * ordersAtOnce, Need: batch.Resources{MilliCPU: 100}}}}, Pool: "cut"})
 	hear()
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -81,7 +81,7 @@
 
 // submission is the record as the scheduler takes it.
 func (r *JobRecord) submission(age time.Duration) scheduler.Submission {
-	return scheduler.Submission{Job: r.Job, Queue: r.Queue, Pool: r.Pool, Terms: r.Terms, Age: age}
+	return scheduler.Submission{Job: r.Job, Queue: r.Queue, Pool: r.Pool, AcceptedQueue: r.Terms, Age: age}
 }
 
 // jobKey splits a key under jobsPrefix.
--- a/internal/leader/restarts_test.go
+++ b/internal/leader/restarts_test.go
@@ -19,7 +19,7 @@
 	old = batch.Instance{ID: sightVM, Pool: "p", Address: "10.0.0.1:1", Born: 1, Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100}}
 	now := steady.Now()
 	x.sched.SetInstances(now, []batch.Instance{old})
-	x.sched.Heard(now, now, sightVM, batch.Report{Born: 1, Clock: time.Hour})
+	x.sched.HandleReport(now, now, sightVM, batch.Report{Born: 1, Clock: time.Hour})
 	agent.err = &batch.RefusalError{Reason: batch.RefusedGone}
 	return x, agent, old
 }
@@ -53,13 +53,13 @@
 	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
 	orders := x.sched.Plan(now)
 	require.Len(t, orders, 1)
-	require.True(t, x.sched.Begin(now, orders[0]))
+	require.True(t, x.sched.PrepareStart(now, orders[0]))
 	x.moveVM(old)
-	x.sched.Heard(now, now, sightVM, batch.Report{Born: 2, Clock: time.Second})
+	x.sched.HandleReport(now, now, sightVM, batch.Report{Born: 2, Clock: time.Second})
 	x.sched.RaiseToken(orders[0].Start.Fence + 1)
 	_, known := x.sched.Hold(now, sightVM, time.Second)
 	require.True(t, known)
-	x.sched.Heard(now, now, sightVM, batch.Report{Born: 2, Clock: time.Second})
+	x.sched.HandleReport(now, now, sightVM, batch.Report{Born: 2, Clock: time.Second})
 	old.Born = 1
 	x.carryOut(t.Context(), scheduler.Order{Kind: orders[0].Kind, Instance: old, Task: orders[0].Task, Run: orders[0].Run, Start: orders[0].Start}, func(time.Duration) {})
 	again := x.sched.Plan(steady.Now() + 200*time.Millisecond)
--- a/internal/leader/sight_test.go
+++ b/internal/leader/sight_test.go
@@ -155,8 +155,8 @@
 // each end is observed once.
 func TestEndsThatStayUnacknowledgedAreTold(t *testing.T) {
 	x, _, out := sightTerm(t)
-	observed := map[scheduler.EndStanding]int{}
-	x.ObserveEnd = func(s scheduler.EndStanding) { observed[s]++ }
+	observed := map[scheduler.EndStatus]int{}
+	x.ObserveEnd = func(s scheduler.EndStatus) { observed[s]++ }
 	ends := []batch.RunEnd{
 		{Seq: 5, Task: batch.TaskID{Job: "j"}, Run: 7<<24 + 1, Kind: batch.EndDone},
 		{Seq: 4, Task: batch.TaskID{Job: "j", Index: 1}, Run: 7<<24 + 2, Kind: batch.EndDone},
@@ -166,9 +166,9 @@
 		x.mu.Lock()
 		x.noteEnds(began+after, sightVM, &batch.Report{Ended: ends})
 		x.mu.Unlock()
-		x.sched.Heard(began+after, began+after, sightVM, batch.Report{Clock: time.Hour, Ended: ends})
+		x.sched.HandleReport(began+after, began+after, sightVM, batch.Report{Clock: time.Hour, Ended: ends})
 	}
-	require.Equal(t, map[scheduler.EndStanding]int{scheduler.EndUnknownJob: 2}, observed)
+	require.Equal(t, map[scheduler.EndStatus]int{scheduler.EndUnknownJob: 2}, observed)
 	require.Equal(t, 2, x.figures().UnackedEnds)
 	line := out.line(t, "ends_unacknowledged")
 	require.Equal(t, "j.0.0.1", line["task"])
--- a/internal/leader/starts_test.go
+++ b/internal/leader/starts_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	now := steady.Now()
 	te.sched.Hold(now, "vm", 0)
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	require.NotEmpty(t, te.sched.Plan(now))
 	te.flushPending(t.Context())
 	return te
@@ -84,7 +84,7 @@
 	te := startOne(t, store)
 	task := batch.TaskID{Job: "j"}
 	now := steady.Now()
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 1, Task: task, Run: 9<<24 | 1, Kind: batch.EndStopped}}})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 1, Task: task, Run: 9<<24 | 1, Kind: batch.EndStopped}}})
 	require.NotEmpty(t, te.sched.Plan(now+2*flushEvery), "started again")
 	store.loses, store.lost = startsKey(scheduler.SegmentID{Fence: 9, Number: 2}), false
 	te.flushPending(t.Context())
--- a/internal/leader/untold.go
+++ b/internal/leader/untold.go
@@ -27,7 +27,7 @@
 func (t *term) untoldLoop(ctx context.Context) {
 	pause.Every(ctx, untoldEvery, func() {
 		t.mu.Lock()
-		ids := t.sched.Untold(steady.Now(), untoldPatience)
+		ids := t.sched.UnknownJobs(steady.Now(), untoldPatience)
 		t.mu.Unlock()
 		for _, id := range ids[:min(len(ids), untoldAtOnce)] {
 			if err := t.readUntold(ctx, id); err != nil {
@@ -68,10 +68,10 @@
 	switch taken := t.takeJobs(now, items, found); {
 	case taken > 0:
 	case len(items) > 0:
-		t.sched.Unreadable(now, id)
+		t.sched.JobUnreadable(now, id)
 	default:
 		t.log.Event("job_absent", eventlog.Fields{"job": id})
-		t.sched.Absent(now, id)
+		t.sched.JobAbsent(now, id)
 	}
 	t.awake()
 	return nil
--- a/internal/leader/untold_test.go
+++ b/internal/leader/untold_test.go
@@ -53,13 +53,13 @@
 	}
 	now := steady.Now()
 	te.sched.SetInstances(now, []batch.Instance{{ID: "vm", Pool: "p", Address: "a"}})
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: now, Ended: ends})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: now, Ended: ends})
 	return te
 }
 
 // acked writes what is pending and returns the highest end that is acknowledged then.
 func (t *term) acked() int64 {
-	if f := t.sched.Pending(); f != nil {
+	if f := t.sched.PendingWrites(); f != nil {
 		for i := range f.Records {
 			t.sched.RecordWritten(f.Records[i], 6)
 		}
@@ -93,7 +93,7 @@
 	require.Zero(t, te.acked())
 	require.NoError(t, te.readUntold(t.Context(), "j"))
 	require.EqualValues(t, 1, te.acked())
-	require.Empty(t, te.sched.Untold(steady.Now(), 0))
+	require.Empty(t, te.sched.UnknownJobs(steady.Now(), 0))
 }
 
 // What happened: a job was run again from nothing.
@@ -105,14 +105,14 @@
 	te.takeJobs(steady.Now(), jobs, map[string]durable.Item{"j": {Key: ProgressKey("j"), Value: []byte(`{"open":[{"n"`), Revision: 4}})
 	te.sched.SetConfig(&batch.Config{Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3}}})
 	now := steady.Now()
-	te.sched.Heard(now, now, "vm", batch.Report{Clock: now, Running: []batch.RunStatus{{Task: batch.TaskID{Job: "j"}, Run: 3}}})
+	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: now, Running: []batch.RunStatus{{Task: batch.TaskID{Job: "j"}, Run: 3}}})
 	require.Empty(t, te.sched.Plan(now), "neither started anew nor stopped")
-	require.Nil(t, te.sched.Pending(), "written over")
+	require.Nil(t, te.sched.PendingWrites(), "written over")
 	state, _ := te.sched.State("j")
 	require.Equal(t, batch.Running, state)
 
 	te.sched.Cancel(now, "j")
-	f := te.sched.Pending()
+	f := te.sched.PendingWrites()
 	require.Len(t, f.Records, 1)
 	require.EqualValues(t, 4, f.Records[0].Revision)
 	value, err := json.Marshal(f.Records[0].Progress)
--- a/internal/scheduler/absence_test.go
+++ b/internal/scheduler/absence_test.go
@@ -23,7 +23,7 @@
 	require.True(t, known)
 	f.advance(time.Second)
 	clock := f.now + time.Hour
-	f.s.Heard(f.now, sentAt, "vm00", batch.Report{Clock: clock})
+	f.s.HandleReport(f.now, sentAt, "vm00", batch.Report{Clock: clock})
 	order, _ := f.s.Hold(f.now, "vm00", time.Second)
 	require.LessOrEqual(t, order.LeaseUntil-clock, f.s.settings.Lease(), "how long the lease lasts on the VM's clock")
 }
@@ -34,21 +34,21 @@
 // leader finds the run in neither list.
 // Cause: a run that is not listed counted as lost although the list of ends was cut
 // off.
-func TestRunBeyondTheListOfEndsIsNotLost(t *testing.T) {
+func TestRunBeyondTruncatedEndsIsNotLost(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
 	f.plan()
 	a, b := f.last("j.0.0.0"), f.last("j.0.0.1")
 	f.confirm(a)
 	f.confirm(b)
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, a, batch.EndDone)}, MoreEnded: true})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndDone)}, MoreEnded: true})
 	f.plan()
 	require.Len(t, f.started["j.0.0.1"], 1, "started again before its end is told")
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(2, b, batch.EndDone)}})
-	require.Equal(t, batch.Completed, f.s.Pending().Records[0].Progress.State)
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(2, b, batch.EndDone)}})
+	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
 // What happened: the tasks of a VM that lives were started again while they ran.
@@ -56,9 +56,9 @@
 // entry of another writer holds the VM's address.
 // Cause: an entry with the same address was taken for the end of the VM's life. The
 // VM's own answer tells whether another instance is there, and comes at once.
-func TestEntryWithTheSameAddressEndsNoLife(t *testing.T) {
+func TestEntryWithSameAddressDoesNotEndVM(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
@@ -74,7 +74,7 @@
 	f.advance(time.Second)
 	for _, inst := range f.list {
 		if inst.ID != o.Instance.ID {
-			f.hear(inst.ID, batch.Report{})
+			f.report(inst.ID, batch.Report{})
 		}
 	}
 	f.s.Tend(f.now)
@@ -88,20 +88,20 @@
 // Cause: failures were counted for a task that was done.
 func TestFailureOfACopyAfterTheTaskIsDone(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(2, 3000)
 	step.Speculative = true
 	f.submit("j", step)
 	var o Order
 	for seq := range int64(3) {
 		f.advance(time.Second)
-		f.hearAll(nil)
+		f.reportAll(nil)
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], int(seq)+1)
 		o = f.last("j.0.0.0")
 		f.confirm(o)
 		if seq < 2 {
-			f.hear(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(seq+1, o, batch.EndFailed)}})
+			f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(seq+1, o, batch.EndFailed)}})
 		}
 	}
 	other := f.list[0].ID
@@ -110,9 +110,9 @@
 	}
 	second := o
 	second.Run++
-	f.hear(other, runs(second))
-	f.hear(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(3, o, batch.EndDone)}})
-	f.hear(other, batch.Report{Ended: []batch.RunEnd{ended(3, second, batch.EndFailed)}})
+	f.report(other, runningReport(second))
+	f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(3, o, batch.EndDone)}})
+	f.report(other, batch.Report{Ended: []batch.RunEnd{endOfOrder(3, second, batch.EndFailed)}})
 	require.Equal(t, batch.Queued, f.s.jobs["j"].state, "its other task is under way")
 }
 
@@ -123,19 +123,19 @@
 // Cause: the failures of members were added up, although a gang fails as one.
 func TestGangRunThatFailsCountsOnce(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(2, 6000)
 	step.Gang = true
 	f.submit("g", step)
 	for round := range int64(2) {
 		f.advance(time.Second)
-		f.hearAll(nil)
+		f.reportAll(nil)
 		f.plan()
 		a, b := f.last("g.0.0.0"), f.last("g.0.0.1")
 		f.confirm(a)
 		f.confirm(b)
-		f.hear(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(round+1, a, batch.EndFailed)}})
-		f.hear(b.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(round+1, b, batch.EndFailed)}})
+		f.report(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(round+1, a, batch.EndFailed)}})
+		f.report(b.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(round+1, b, batch.EndFailed)}})
 	}
 	require.Len(t, f.started["g.0.0.0"], 2)
 	require.False(t, f.s.jobs["g"].state.Final(), "failed after two of three attempts")
@@ -149,7 +149,7 @@
 // task is started again however it ends.
 func TestEndOfALastingTaskIsNotWithheld(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(1, 1000)
 	step.Lasting = true
 	f.submit("j", step)
@@ -161,7 +161,7 @@
 		f.advance(time.Second)
 		for _, inst := range f.list {
 			if inst.ID != first.Instance.ID {
-				f.hear(inst.ID, runs(f.started["j.0.0.0"][1:]...))
+				f.report(inst.ID, runningReport(f.started["j.0.0.0"][1:]...))
 			}
 		}
 		f.s.Tend(f.now)
@@ -170,8 +170,8 @@
 		}
 	}
 	require.Len(t, f.started["j.0.0.0"], 2)
-	f.s.Heard(f.now, f.now, first.Instance.ID, batch.Report{Clock: f.now + time.Hour, Ended: []batch.RunEnd{ended(1, first, batch.EndDone)}})
-	if flush := f.s.Pending(); flush != nil {
+	f.s.HandleReport(f.now, f.now, first.Instance.ID, batch.Report{Clock: f.now + time.Hour, Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndDone)}})
+	if flush := f.s.PendingWrites(); flush != nil {
 		for _, r := range flush.Records {
 			f.s.RecordWritten(r, 1)
 		}
@@ -188,26 +188,26 @@
 // Cause: a checkpoint counted whichever run it came from.
 func TestCheckpointOfAnOlderRunDoesNotCount(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(1, 1000)
 	step.Checkpoints = true
 	f.submit("j", step)
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	newer := runs(o)
+	newer := runningReport(o)
 	newer.Running[0].Checkpoint = "newer"
-	f.hear(o.Instance.ID, newer)
+	f.report(o.Instance.ID, newer)
 	other := f.list[0].ID
 	if other == o.Instance.ID {
 		other = f.list[1].ID
 	}
-	older := ended(1, o, batch.EndLapsed)
+	older := endOfOrder(1, o, batch.EndLapsed)
 	older.Run, older.Checkpoint = o.Run-1, "older"
-	f.hear(other, batch.Report{Ended: []batch.RunEnd{older}})
-	f.hear(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, o, batch.EndStopped)}})
+	f.report(other, batch.Report{Ended: []batch.RunEnd{older}})
+	f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndStopped)}})
 	f.advance(time.Second)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.plan()
 	require.Equal(t, "newer", f.last("j.0.0.0").Start.Checkpoint)
 }
@@ -222,10 +222,10 @@
 	keep := 10 * time.Minute
 	f.advance(2 * keep)
 	f.s.Submit(f.now, Submission{
-		Job: &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true,
-		Progress: &Progress{State: batch.Completed}, Record: 3,
+		Job: &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true,
+		Progress: &Progress{State: batch.Completed}, RecordRevision: 3,
 	})
-	require.Empty(t, f.s.Ended(f.now, keep, 10))
+	require.Empty(t, f.s.RemovableJobs(f.now, keep, 10))
 	f.advance(keep + time.Second)
-	require.Equal(t, []string{"j"}, f.s.Ended(f.now, keep, 10))
+	require.Equal(t, []string{"j"}, f.s.RemovableJobs(f.now, keep, 10))
 }
--- a/internal/scheduler/accounts.go
+++ b/internal/scheduler/accounts.go
@@ -13,12 +13,12 @@
 // the end of a job that this leader has yet to learn would be lost, and the task
 // started again; and an end of a run that does not count would make two of one task.
 
-// takeEnds takes those ends over that are new.
-func (s *Scheduler) takeEnds(now Time, v *vm, ends []batch.RunEnd) {
-	known := v.seen
+// processEnds takes those ends over that are new.
+func (s *Scheduler) processEnds(now Time, v *vm, ends []batch.RunEnd) {
+	known := v.processedSeq
 	for i := range ends {
 		if ends[i].Kind == batch.EndLapsed {
-			v.lapsedSeq = max(v.lapsedSeq, ends[i].Seq)
+			v.expirySeq = max(v.expirySeq, ends[i].Seq)
 		}
 	}
 	for i := range ends {
@@ -26,35 +26,35 @@
 		if e.Seq <= known {
 			continue
 		}
-		v.seen = max(v.seen, e.Seq)
-		if s.untold(e.Task.Job) {
+		v.processedSeq = max(v.processedSeq, e.Seq)
+		if s.jobUnresolved(e.Task.Job) {
 			s.deferEnd(now, v, e)
 			continue
 		}
-		s.account(now, v, e)
+		s.processKnownEnd(now, v, e)
 	}
 }
 
-// account takes one end of a known job over.
-func (s *Scheduler) account(now Time, v *vm, e *batch.RunEnd) {
-	s.openTold(now, e.Task)
-	if e.Kind == batch.EndDone && !v.lapsedAfter(e) && s.superseded(e) {
+// processKnownEnd takes one end of a known job over.
+func (s *Scheduler) processKnownEnd(now Time, v *vm, e *batch.RunEnd) {
+	s.openReported(now, e.Task)
+	if e.Kind == batch.EndDone && !v.expiredAfter(e) && s.isSuperseded(e) {
 		s.withhold(v, e)
 		return
 	}
-	s.ended(now, v, e)
+	s.processEnd(now, v, e)
 }
 
-// lapsedAfter reports whether every lease on the VM was over at some moment after
+// expiredAfter reports whether every lease on the VM was over at some moment after
 // the end: then the run was given up rightly, and its end binds nobody. The VM tells of
 // a lapse only where something was running still.
-func (v *vm) lapsedAfter(e *batch.RunEnd) bool {
-	return e.Seq < v.lapsedSeq || e.Run <= v.lapsedRun
+func (v *vm) expiredAfter(e *batch.RunEnd) bool {
+	return e.Seq < v.expirySeq || e.Run <= v.maxExpiredRun
 }
 
-// superseded reports whether a later run of the task was started although this end
+// isSuperseded reports whether a later run of the task was started although this end
 // says that it was done. Run numbers rise with each start.
-func (s *Scheduler) superseded(e *batch.RunEnd) bool {
+func (s *Scheduler) isSuperseded(e *batch.RunEnd) bool {
 	j := s.jobs[e.Task.Job]
 	if j == nil || e.Task.Step >= len(j.spec.Steps) {
 		return false
@@ -63,13 +63,13 @@
 		return false
 	}
 	if t := s.task(e.Task); t != nil {
-		return t.latest() > e.Run
+		return t.latestStarted() > e.Run
 	}
 	return j.countedRun(e.Task) > e.Run
 }
 
-// latest is the highest number of a run of the task that may have been started.
-func (t *task) latest() int64 {
+// latestStarted is the highest number of a run of the task that may have been started.
+func (t *task) latestStarted() int64 {
 	latest := max(t.latestRun, t.doneRun)
 	for _, r := range t.runs {
 		latest = max(latest, r.number)
@@ -88,66 +88,66 @@
 	s.logf(Decision{Event: EventEndWithheld, Task: e.Task, VM: v.inst.ID, Run: e.Run})
 }
 
-// accounted is the highest end up to which all are accounted for, once what is
+// accountedSeq is the highest end up to which all are accounted for, once what is
 // pending is written.
-func (v *vm) accounted() int64 {
-	mark := v.seen
+func (v *vm) accountedSeq() int64 {
+	mark := v.processedSeq
 	if v.ackLimit > 0 {
 		mark = min(mark, v.ackLimit-1)
 	}
-	for seq := range v.deferred {
+	for seq := range v.deferredEnds {
 		mark = min(mark, seq-1)
 	}
 	return mark
 }
 
-// acked is the highest end that may be acknowledged.
-func (v *vm) acked() int64 { return v.durable }
+// ackableSeq is the highest end that may be acknowledged.
+func (v *vm) ackableSeq() int64 { return v.durableSeq }
 
-// untold reports whether a VM may know more of a job than this leader: its watch is
+// jobUnresolved reports whether a VM may know more of a job than this leader: its watch is
 // late or silent, and an earlier leader took the job on; or the job is held, since what
 // is known of it can't be read.
-func (s *Scheduler) untold(job string) bool {
+func (s *Scheduler) jobUnresolved(job string) bool {
 	if j := s.jobs[job]; j != nil {
 		return j.held && !j.state.Final()
 	}
-	_, absent := s.absent[job]
+	_, absent := s.absentJobs[job]
 	return !absent
 }
 
-func (s *Scheduler) noteUntold(now Time, job string) {
+func (s *Scheduler) recordUnknownJob(now Time, job string) {
 	if s.jobs[job] != nil {
 		return
 	}
-	if _, noted := s.untoldSince[job]; !noted {
-		s.untoldSince[job] = now
+	if _, noted := s.unknownJobsSince[job]; !noted {
+		s.unknownJobsSince[job] = now
 	}
 }
 
 // deferEnd keeps an end until its job is known, or known not to exist.
 func (s *Scheduler) deferEnd(now Time, v *vm, e *batch.RunEnd) {
-	if v.deferred == nil {
-		v.deferred = map[int64]batch.RunEnd{}
+	if v.deferredEnds == nil {
+		v.deferredEnds = map[int64]batch.RunEnd{}
 	}
-	v.deferred[e.Seq] = *e
-	s.noteUntold(now, e.Task.Job)
+	v.deferredEnds[e.Seq] = *e
+	s.recordUnknownJob(now, e.Task.Job)
 	s.logf(Decision{Event: EventEndDeferred, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: string(e.Kind)})
 }
 
-// noteStranger notes a run of a job that is not known, or held: the VM gets nothing
+// recordUnknownRun notes a run of a job that is not known, or held: the VM gets nothing
 // new while nobody knows what the run needs.
-func (v *vm) noteStranger(st *batch.RunStatus) {
-	if v.strangers == nil {
-		v.strangers = map[batch.TaskID]int64{}
+func (v *vm) recordUnknownRun(st *batch.RunStatus) {
+	if v.unknownRuns == nil {
+		v.unknownRuns = map[batch.TaskID]int64{}
 	}
-	v.strangers[st.Task] = st.Run
+	v.unknownRuns[st.Task] = st.Run
 }
 
-// Untold returns the jobs that VMs have told of for so long and that this leader does
+// UnknownJobs returns the jobs that VMs have told of for so long and that this leader does
 // not know, by ID. The store has to be asked: each is then to be given to Submit or Absent.
-func (s *Scheduler) Untold(now Time, since time.Duration) []string {
+func (s *Scheduler) UnknownJobs(now Time, since time.Duration) []string {
 	var ids []string
-	for id, told := range s.untoldSince {
+	for id, told := range s.unknownJobsSince {
 		if now-told >= since {
 			ids = append(ids, id)
 		}
@@ -156,79 +156,79 @@
 	return ids
 }
 
-// unreadablePause is the pause before a job whose record can't be read is asked for
+// unreadableRetryDelay is the pause before a job whose record can't be read is asked for
 // again: somebody has to mend it.
-const unreadablePause = 5 * time.Second
+const unreadableRetryDelay = 5 * time.Second
 
-// Unreadable notes that the store has such a job, whose record can't be read: what VMs
+// JobUnreadable notes that the store has such a job, whose record can't be read: what VMs
 // tell of it is kept.
-func (s *Scheduler) Unreadable(now Time, id string) {
+func (s *Scheduler) JobUnreadable(now Time, id string) {
 	if s.jobs[id] == nil {
-		s.untoldSince[id] = now + unreadablePause
+		s.unknownJobsSince[id] = now + unreadableRetryDelay
 	}
 }
 
-// absentFor is how long it is remembered that a job does not exist, in which its
+// absentJobRetention is how long it is remembered that a job does not exist, in which its
 // VMs' next reports come in. After that the store is asked anew.
-const absentFor = time.Minute
+const absentJobRetention = time.Minute
 
-// Absent notes that the store has no such job: its record was removed long after its
+// JobAbsent notes that the store has no such job: its record was removed long after its
 // end. What VMs tell of it has no effect.
-func (s *Scheduler) Absent(now Time, id string) {
+func (s *Scheduler) JobAbsent(now Time, id string) {
 	if s.jobs[id] != nil {
 		return
 	}
-	s.absent[id] = now
-	s.settle(now, id)
+	s.absentJobs[id] = now
+	s.processDeferred(now, id)
 }
 
-// forgetAbsent drops what is old of the jobs that do not exist.
-func (s *Scheduler) forgetAbsent(now Time) {
-	for id, at := range s.absent {
-		if now-at > absentFor {
-			delete(s.absent, id)
+// expireAbsentJobs drops what is old of the jobs that do not exist.
+func (s *Scheduler) expireAbsentJobs(now Time) {
+	for id, at := range s.absentJobs {
+		if now-at > absentJobRetention {
+			delete(s.absentJobs, id)
 		}
 	}
 }
 
-// settle takes over what VMs have told of a job before it was known, or while it was
+// processDeferred takes over what VMs have told of a job before it was known, or while it was
 // held: ends first, in their order.
-func (s *Scheduler) settle(now Time, id string) {
-	if _, told := s.untoldSince[id]; !told && (s.jobs[id] == nil || !s.jobs[id].held) {
+func (s *Scheduler) processDeferred(now Time, id string) {
+	if _, told := s.unknownJobsSince[id]; !told && (s.jobs[id] == nil || !s.jobs[id].held) {
 		return
 	}
-	delete(s.untoldSince, id)
-	for _, v := range s.order {
-		for _, e := range v.takeDeferred(id) {
-			s.account(now, v, &e)
+	delete(s.unknownJobsSince, id)
+	for _, v := range s.vmList {
+		for _, e := range v.takeDeferredEnds(id) {
+			s.processKnownEnd(now, v, &e)
 		}
-		for _, st := range v.takeStrangers(id) {
+		for _, st := range v.takeUnknownRuns(id) {
 			s.adopt(now, v, &st)
 		}
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
-// takeStrangers removes the runs of a job that was not known and returns them.
-func (v *vm) takeStrangers(job string) []batch.RunStatus {
+// takeUnknownRuns removes the runs of a job that was not known and returns them.
+func (v *vm) takeUnknownRuns(job string) []batch.RunStatus {
 	var found []batch.RunStatus
-	for task, number := range v.strangers {
+	for task, number := range v.unknownRuns {
 		if task.Job == job {
 			found = append(found, batch.RunStatus{Task: task, Run: number})
-			delete(v.strangers, task)
+			delete(v.unknownRuns, task)
 		}
 	}
 	slices.SortFunc(found, func(a, b batch.RunStatus) int { return cmp.Compare(a.Task.String(), b.Task.String()) })
 	return found
 }
 
-// takeDeferred removes the deferred ends of a job and returns them by their number.
-func (v *vm) takeDeferred(job string) []batch.RunEnd {
+// takeDeferredEnds removes the deferred ends of a job and returns them by their number.
+func (v *vm) takeDeferredEnds(job string) []batch.RunEnd {
 	var ends []batch.RunEnd
-	for seq, e := range v.deferred {
+	for seq, e := range v.deferredEnds {
 		if e.Task.Job == job {
 			ends = append(ends, e)
-			delete(v.deferred, seq)
+			delete(v.deferredEnds, seq)
 		}
 	}
 	slices.SortFunc(ends, func(a, b batch.RunEnd) int { return cmp.Compare(a.Seq, b.Seq) })
--- a/internal/scheduler/accounts_test.go
+++ b/internal/scheduler/accounts_test.go
@@ -18,18 +18,18 @@
 // is not done there, and the VM has forgotten its end.
 // Cause: the end of a held job counted as one without effect.
 func TestEndOfAHeldJobIsNotAcknowledged(t *testing.T) {
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	held := oldJob(nil)
-	held.Unreadable, held.Record = true, 4
+	held.Unreadable, held.RecordRevision = true, 4
 	f.s.Submit(f.now, held)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
 	f.write()
 	require.Zero(t, f.acked("vm00"), "acknowledged, and no record has it")
 
 	// Once the job has ended its ends have no effect, and the VM is free.
 	f.s.Cancel(f.now, "old")
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
 	f.write()
 	require.EqualValues(t, 1, f.acked("vm00"))
 }
@@ -40,8 +40,8 @@
 // due.
 // Cause: which run counts was looked up before the occurrence was opened that the VM
 // tells of.
-func TestOlderEndOfAnOccurrenceThatIsNotOpenYet(t *testing.T) {
-	f := successor(t, 1)
+func TestOlderEndOfUnopenedOccurrenceIsNotAcknowledged(t *testing.T) {
+	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "old", Occurrence: 1}
 	job := oldJob(&Progress{DoneLow: 1, Open: []OccurrenceProgress{{
 		Number: 1, Steps: []StepProgress{{Done: []byte{1}, Runs: packRuns([]int64{9})}},
@@ -49,7 +49,7 @@
 	job.Job.Steps = []batch.Step{tasks(2, 100)}
 	job.Job.Schedule = &batch.Schedule{Count: 3, FirstMS: 1 << 40, IntervalMS: 1000}
 	f.s.Submit(f.now, job)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, task, 5, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, task, 5, batch.EndDone)}})
 	f.write()
 	require.Zero(t, f.acked("vm00"), "run 9 counts")
 }
@@ -59,7 +59,7 @@
 // Sequence: a fleet is cut off from its leader for longer than its leases, and is back.
 // Cause: from more VMs than are kept, those left out were drawn by chance among equals,
 // so that the record always differed; each was found by a look at all.
-func TestLapsedRunsOfALargeFleetAreSettled(t *testing.T) {
+func TestExpiredLeasesOfLargeFleetAreStable(t *testing.T) {
 	f := newFixture(t, 0)
 	for i := range 3000 {
 		inst := instance(0)
@@ -67,10 +67,10 @@
 		f.list = append(f.list, inst)
 	}
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.advance(20 * time.Second)
 	f.s.Tend(f.now)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	began := time.Now()
 	first := f.s.LapsedRuns()
 	took := time.Since(began)
@@ -85,15 +85,15 @@
 // starting tasks on the others.
 // Cause: the highest run number by the end of the VM's leases was taken anew with each
 // look at it, though nothing can have begun there since.
-func TestLapsedRunOfAVMThatStaysAwayIsSettled(t *testing.T) {
+func TestExpiredLeaseOfUnreachableVMIsStable(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
-	f.pass(15*time.Second, "vm00", batch.TaskID{}, 1)
+	f.reportAll(nil)
+	f.advanceUntilStarted(15*time.Second, "vm00", batch.TaskID{}, 1)
 	f.s.Tend(f.now)
 	first := f.s.LapsedRuns()
 	require.Contains(t, first, "vm01")
 	f.submit("j", tasks(1, 100))
-	f.pass(time.Second, "vm00", batch.TaskID{Job: "j"}, 1)
+	f.advanceUntilStarted(time.Second, "vm00", batch.TaskID{Job: "j"}, 1)
 	require.NotEmpty(t, f.started)
 	f.s.Tend(f.now)
 	require.Equal(t, first, f.s.LapsedRuns())
@@ -104,13 +104,13 @@
 // way to the store while the VM, off the list for long, is forgotten and listed again.
 // Cause: the flush named ends beyond the withheld one as written, and the VM that is
 // back knew nothing of a limit.
-func TestWithheldEndOutlivesForgetting(t *testing.T) {
-	f := cutOff(t)
+func TestEndStaysWithheldAfterVMIsForgotten(t *testing.T) {
+	f := newCutOffFixture(t)
 	f.relist()
-	f.hear("cut", batch.Report{Running: []batch.RunStatus{{Task: oldTask, Run: 7}}})
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 5, batch.EndDone)}})
+	f.report("cut", batch.Report{Running: []batch.RunStatus{{Task: oldTask, Run: 7}}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 5, batch.EndDone)}})
 	require.Zero(t, f.acked("vm00"))
-	onItsWay := f.s.Pending()
+	onItsWay := f.s.PendingWrites()
 	f.s.Gone(f.now, "vm00", "unlisted")
 	f.s.SetInstances(f.now, f.list)
 	if onItsWay != nil {
@@ -124,16 +124,16 @@
 // for the first time, and takes it that it knows all that ran there; the end of the old
 // task comes with a later report, once the ones before it are acknowledged.
 // Cause: a report that is not whole counted as the VM's word on what it does not name.
-func TestReportThatIsNotWholeDoesNotEndTheWait(t *testing.T) {
-	f := cutOff(t)
+func TestPartialReportDoesNotEndTheWait(t *testing.T) {
+	f := newCutOffFixture(t)
 	f.relist()
 	other := batch.TaskID{Job: "old", Index: 1}
-	f.hear("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, other, 3, batch.EndStopped)}, MoreEnded: true})
+	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, other, 3, batch.EndStopped)}, MoreEnded: true})
 	f.s.Tend(f.now)
 	f.plan()
 	require.Empty(t, f.started, "started while the VM has more to tell")
 	f.write()
-	f.hear("cut", batch.Report{Ended: []batch.RunEnd{endOf(2, oldTask, 4, batch.EndDone)}})
+	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(2, oldTask, 4, batch.EndDone)}})
 	f.plan()
 	require.Empty(t, f.started)
 	f.write()
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -13,11 +13,11 @@
 // VMs are named; what it allows for a step does not change, but its tickets expire.
 
 const (
-	// askMost is how many VMs one question names: what a job's objective allows
+	// maxAdviceVMs is how many VMs one question names: what a job's objective allows
 	// for, and enough to find several good ones where one in five is.
-	askMost = 30
-	// askAgain is the wait after a question that was not answered.
-	askAgain = 150 * time.Millisecond
+	maxAdviceVMs = 30
+	// adviceRetryInterval is the wait after a question that was not answered.
+	adviceRetryInterval = 150 * time.Millisecond
 	// ticketMargin is kept of a ticket's life for the start's way to the VM.
 	ticketMargin = 300 * time.Millisecond
 )
@@ -32,18 +32,18 @@
 
 // advice is what is known of a step's VMs, by instance ID.
 type advice struct {
-	// asking is set while a question is under way; askAt is when the next may be.
-	asking  bool
-	askAt   Time
-	tickets map[string]ticket
+	// pending is set while a question is under way; nextAskAt is when the next may be.
+	pending   bool
+	nextAskAt Time
+	tickets   map[string]ticket
 	// refused are the VMs that the adviser did not allow, with their starts.
 	refused map[string]int64
 	// asked are the starts of the VMs that are asked about.
 	asked map[string]int64
 }
 
-// advised reports whether the VM may run the step now, and its ticket.
-func (st *step) advised(now Time, v *vm) (string, bool) {
+// validTicket reports whether the VM may run the step now, and its ticket.
+func (st *step) validTicket(now Time, v *vm) (string, bool) {
 	if st.advice == nil {
 		return "", false
 	}
@@ -61,27 +61,27 @@
 		a = &advice{tickets: map[string]ticket{}, refused: map[string]int64{}}
 		st.advice = a
 	}
-	if a.asking || now < a.askAt {
+	if a.pending || now < a.nextAskAt {
 		return
 	}
-	ids := s.askAbout(now, st)
+	ids := s.adviceCandidates(now, st)
 	a.asked = make(map[string]int64, len(ids))
 	for _, id := range ids {
 		a.asked[id] = s.vms[id].born
 	}
 	if len(ids) == 0 {
-		a.askAt = now + askAgain
+		a.nextAskAt = now + adviceRetryInterval
 		return
 	}
-	a.asking = true
+	a.pending = true
 	s.orders = append(s.orders, Order{
 		Kind: OrderAdvise, Task: batch.TaskID{Job: st.occ.job.spec.ID, Occurrence: st.occ.number, Step: st.index}, Candidates: ids,
 	})
 }
 
-// askAbout chooses the VMs to name: those known to be good first, then those
+// adviceCandidates chooses the VMs to name: those known to be good first, then those
 // with the most room that were not asked about.
-func (s *Scheduler) askAbout(now Time, st *step) []string {
+func (s *Scheduler) adviceCandidates(now Time, st *step) []string {
 	a := st.advice
 	type candidate struct {
 		id    string
@@ -90,7 +90,7 @@
 	}
 	var list []candidate
 	t := &st.tasks[0]
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		born, refused := a.refused[v.inst.ID]
 		if o := s.fits(now, v, t); (refused && v.mayBe(born)) || (o != obstacleNone && o != obstacleAdvice) {
 			continue
@@ -109,8 +109,8 @@
 		}
 		return cmp.Compare(y.score, x.score)
 	})
-	ids := make([]string, 0, askMost)
-	for i := range min(len(list), askMost) {
+	ids := make([]string, 0, maxAdviceVMs)
+	for i := range min(len(list), maxAdviceVMs) {
 		ids = append(ids, list[i].id)
 	}
 	return ids
@@ -127,10 +127,10 @@
 	if a == nil {
 		return
 	}
-	a.asking = false
-	s.changed = true
+	a.pending = false
+	s.planNeeded = true
 	if !ok {
-		a.askAt = now + askAgain
+		a.nextAskAt = now + adviceRetryInterval
 		return
 	}
 	if len(good) == 0 {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,7 +26,7 @@
 			s.SetInstances(now, list)
 			for _, inst := range list {
 				s.Hold(now, inst.ID, 0)
-				s.Heard(now, now, inst.ID, batch.Report{Clock: time.Hour})
+				s.HandleReport(now, now, inst.ID, batch.Report{Clock: time.Hour})
 			}
 			for i := range vms {
 				s.Submit(now, Submission{Job: &batch.Job{ID: fmt.Sprintf("s%d", i), Steps: []batch.Step{serving(fmt.Sprint("web", i%5), 4000)}}, Queue: "q", Pool: "pool"})
@@ -40,7 +40,7 @@
 			b.ResetTimer()
 			for range b.N {
 				now += time.Microsecond
-				s.changed = true
+				s.planNeeded = true
 				s.Plan(now)
 			}
 		})
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -30,7 +30,7 @@
 	c := &s.candidates
 	c.heap = c.heap[:0]
 	spec := t.step.spec
-	for i, v := range s.order {
+	for i, v := range s.vmList {
 		if !s.hasRoom(now, v, spec) || s.fits(now, v, t) != obstacleNone {
 			continue
 		}
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -29,7 +29,7 @@
 	s.SetInstances(time.Second, list)
 	for _, inst := range list {
 		s.Hold(time.Second, inst.ID, 0)
-		s.Heard(time.Second, time.Second, inst.ID, batch.Report{Clock: time.Hour})
+		s.HandleReport(time.Second, time.Second, inst.ID, batch.Report{Clock: time.Hour})
 	}
 	for i := range 20 {
 		s.Submit(time.Second, Submission{Job: &batch.Job{ID: fmt.Sprint("s", i), Steps: []batch.Step{serving(fmt.Sprint("web", i%3), int64(1000+500*rng.IntN(5)))}}, Queue: "q", Pool: "pool"})
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -20,9 +20,9 @@
 // notePools notes whether there are VMs that do not guard their capacity: mostly there are
 // none, and no VM need be looked at.
 func (s *Scheduler) notePools() {
-	s.unguarded = false
+	s.hasUnguardedPools = false
 	for _, pool := range s.config.Pools {
-		s.unguarded = s.unguarded || !pool.GuardsCapacity
+		s.hasUnguardedPools = s.hasUnguardedPools || !pool.GuardsCapacity
 	}
 }
 
@@ -36,7 +36,7 @@
 // over it: more is in use already, by runs that are being stopped as well, or what it has
 // is not known any more.
 func (s *Scheduler) mayOverfill(now Time, v *vm) bool {
-	return s.unguarded && !s.guarded(v) && (v.inst.Stale || now-s.listedAt > listFresh || exceeds(v.used, v.inst.Capacity))
+	return s.hasUnguardedPools && !s.guarded(v) && (v.inst.Stale || now-s.listReadAt > listFresh || exceeds(v.used, v.inst.Capacity))
 }
 
 func exceeds(used, capacity batch.Resources) bool {
@@ -48,7 +48,7 @@
 	if v.inst.Capacity == before {
 		return
 	}
-	s.changed = true
+	s.planNeeded = true
 	v.tailsStale = true
 	s.logf(Decision{Event: EventVMResized, VM: v.inst.ID, Reason: "was " + before.String(), Value: float64(v.inst.Capacity.MilliCPU)})
 }
@@ -59,7 +59,7 @@
 	t := r.task
 	s.logf(Decision{Event: EventRunNotBegun, Task: t.id(), VM: r.vm.inst.ID, Run: r.number, Reason: reason, Age: now - r.orderedAt})
 	s.clearCrash(t, r.number)
-	s.withdraw(now, r)
+	s.detachRun(now, r)
 	if !t.step.spec.Gang {
 		return
 	}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -31,47 +31,47 @@
 func TestStartIsNotGivenWhereCapacityShrank(t *testing.T) {
 	f := newFixture(t, 1)
 	f.unguarded()
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 4000))
 	f.plan()
 	first, second := f.last("j.0.0.0"), f.last("j.0.0.1")
-	require.True(t, f.s.Begin(f.now, first))
+	require.True(t, f.s.PrepareStart(f.now, first))
 	f.confirm(first)
 	f.resize(6000)
-	require.False(t, f.s.Begin(f.now, second), "8 processors are taken of 6")
+	require.False(t, f.s.PrepareStart(f.now, second), "8 processors are taken of 6")
 	require.Empty(t, f.plan(), "nor is it ordered again")
 	f.resize(8000)
 	f.plan()
 	require.Len(t, f.started["j.0.0.1"], 2, "once there is room it is")
-	require.True(t, f.s.Begin(f.now, f.last("j.0.0.1")))
+	require.True(t, f.s.PrepareStart(f.now, f.last("j.0.0.1")))
 }
 
 // A VM that guards its capacity refuses by itself, and knows best.
 func TestGuardedVMDecidesItself(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 4000))
 	f.plan()
 	f.resize(6000)
-	require.True(t, f.s.Begin(f.now, f.last("j.0.0.1")))
+	require.True(t, f.s.PrepareStart(f.now, f.last("j.0.0.1")))
 }
 
 // What is being stopped takes its room until its end is told.
 func TestStoppingRunsCountAgainstAShrunkCapacity(t *testing.T) {
 	f := newFixture(t, 1)
 	f.unguarded()
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 6000))
 	f.plan()
 	run := f.last("j.0.0.0")
-	require.True(t, f.s.Begin(f.now, run))
+	require.True(t, f.s.PrepareStart(f.now, run))
 	f.confirm(run)
 	f.s.Cancel(f.now, "j")
 	f.resize(6000)
 	f.submit("k", tasks(1, 1000))
 	f.plan()
 	require.Empty(t, f.started["k.0.0.0"])
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, run, batch.EndStopped)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, run, batch.EndStopped)}})
 	f.plan()
 	require.Len(t, f.started["k.0.0.0"], 1)
 }
@@ -80,10 +80,10 @@
 func TestNothingStartsOnAVMOverItsCapacity(t *testing.T) {
 	f := newFixture(t, 1)
 	f.unguarded()
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 6000))
 	f.plan()
-	require.True(t, f.s.Begin(f.now, f.last("j.0.0.0")))
+	require.True(t, f.s.PrepareStart(f.now, f.last("j.0.0.0")))
 	f.confirm(f.last("j.0.0.0"))
 	f.resize(4000)
 	filler := tasks(1, 0)
@@ -99,11 +99,11 @@
 		if unguarded {
 			f.unguarded()
 		}
-		f.hearAll(nil)
+		f.reportAll(nil)
 		f.submit("early", tasks(1, 1000))
 		f.plan()
 		f.advance(listFresh + time.Millisecond)
-		f.hearAll(map[string]batch.Report{})
+		f.reportAll(map[string]batch.Report{})
 		f.submit("j", tasks(1, 1000))
 		f.plan()
 		if !unguarded {
@@ -111,7 +111,7 @@
 			continue
 		}
 		require.Empty(t, f.started["j.0.0.0"])
-		require.False(t, f.s.Begin(f.now, f.last("early.0.0.0")), "a start that has waited since")
+		require.False(t, f.s.PrepareStart(f.now, f.last("early.0.0.0")), "a start that has waited since")
 		f.s.SetInstances(f.now, f.list)
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], 1)
@@ -122,16 +122,16 @@
 func TestGangOfWhichAMemberIsNotGivenIsStopped(t *testing.T) {
 	f := newFixture(t, 2)
 	f.unguarded()
-	f.hearAll(nil)
+	f.reportAll(nil)
 	gang := tasks(2, 6000)
 	gang.Gang = true
 	f.submit("j", gang)
 	f.plan()
 	first, second := f.last("j.0.0.0"), f.last("j.0.0.1")
-	require.True(t, f.s.Begin(f.now, first))
+	require.True(t, f.s.PrepareStart(f.now, first))
 	f.confirm(first)
 	f.resize(5000)
-	require.False(t, f.s.Begin(f.now, second))
+	require.False(t, f.s.PrepareStart(f.now, second))
 	f.plan()
 	require.Len(t, f.stops, 1)
 	require.Equal(t, first.Run, f.stops[0].Run)
@@ -143,7 +143,7 @@
 	f.unguarded()
 	f.list[0].Stale = true
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	require.Empty(t, f.started["j.0.0.0"])
--- a/internal/scheduler/contracts_test.go
+++ b/internal/scheduler/contracts_test.go
@@ -14,16 +14,16 @@
 // tasks before it are done.
 func TestStepsWaitForThoseBefore(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	second := tasks(1, 100)
 	second.After = []int{0}
 	f.submit("j", tasks(2, 100), second)
 	f.plan()
 	a, b := f.last("j.0.0.0"), f.last("j.0.0.1")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, a, batch.EndDone)}, Running: runs(b).Running})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndDone)}, Running: runningReport(b).Running})
 	f.plan()
 	require.NotContains(t, f.started, "j.0.1.0")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(2, b, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(2, b, batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "j.0.1.0")
 }
@@ -31,7 +31,7 @@
 // A VM never holds more than it has; what is being stopped still counts.
 func TestCapacityCountsStoppingRuns(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("a", tasks(1, 8000))
 	f.plan()
 	f.confirm(f.last("a.0.0.0"))
@@ -40,7 +40,7 @@
 	f.plan()
 	require.Len(t, f.stops, 1)
 	require.NotContains(t, f.started, "b.0.0.0")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, f.last("a.0.0.0"), batch.EndStopped)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, f.last("a.0.0.0"), batch.EndStopped)}})
 	f.plan()
 	require.Contains(t, f.started, "b.0.0.0")
 }
@@ -49,7 +49,7 @@
 	f := newFixture(t, 3)
 	f.list[1].Labels[0] = "gpu"
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	labelled := tasks(2, 100)
 	labelled.Label = "gpu"
 	f.submit("l", labelled)
@@ -71,7 +71,7 @@
 
 func TestDrainingVMsGetNothing(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.list[0].Draining = true
 	f.s.SetInstances(f.now, f.list)
 	f.submit("j", tasks(4, 100))
@@ -83,7 +83,7 @@
 
 func TestDataRackIsPreferred(t *testing.T) {
 	f := newFixture(t, 6)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	s := tasks(4, 100)
 	s.DataRack = "r2"
 	f.submit("j", s)
@@ -96,7 +96,7 @@
 // A gang starts whole or not at all, with one run number, and one end counts for all.
 func TestGang(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	gang := tasks(3, 8000)
 	gang.Gang = true
 	f.submit("big", gang)
@@ -106,26 +106,26 @@
 	require.NotContains(t, f.started, "big.0.0.0")
 	a, b := f.last("fits.0.0.0"), f.last("fits.0.0.1")
 	require.Equal(t, a.Run, b.Run)
-	f.hear(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, a, batch.EndDone)}})
-	require.Equal(t, batch.Completed, f.s.Pending().Records[0].Progress.State)
+	f.report(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndDone)}})
+	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
 // Symptom: a gang whose member ended is started again member by member.
 func TestBrokenGangStartsAgainWhole(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	gang := tasks(2, 8000)
 	gang.Gang = true
 	f.submit("g", gang)
 	f.plan()
 	a, b := f.last("g.0.0.0"), f.last("g.0.0.1")
-	f.hear(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, a, batch.EndFailed)}})
+	f.report(a.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndFailed)}})
 	f.advance(time.Second)
-	f.hear(a.Instance.ID, batch.Report{})
-	f.hear(b.Instance.ID, runs(b))
+	f.report(a.Instance.ID, batch.Report{})
+	f.report(b.Instance.ID, runningReport(b))
 	f.plan()
 	require.Len(t, f.started["g.0.0.0"], 1, "started alone")
-	f.hear(b.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, b, batch.EndBroken)}})
+	f.report(b.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, b, batch.EndBroken)}})
 	f.plan()
 	require.Len(t, f.started["g.0.0.0"], 2)
 	require.Equal(t, f.last("g.0.0.0").Run, f.last("g.0.0.1").Run)
@@ -134,7 +134,7 @@
 
 func TestAttemptsAreBounded(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	seq := map[string]int64{}
 	for n := 1; n <= 3; n++ {
@@ -142,25 +142,25 @@
 		require.Len(t, f.started["j.0.0.0"], n)
 		o := f.last("j.0.0.0")
 		seq[o.Instance.ID]++
-		f.hear(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(seq[o.Instance.ID], o, batch.EndFailed)}})
+		f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(seq[o.Instance.ID], o, batch.EndFailed)}})
 		f.advance(time.Second)
-		f.hearAll(nil)
+		f.reportAll(nil)
 	}
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 3)
-	require.Equal(t, batch.Failed, f.s.Pending().Records[0].Progress.State)
+	require.Equal(t, batch.Failed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
 // Ends that are not the task's fault count no attempt, however many.
-func TestStoppedAndLapsedRunsAreFree(t *testing.T) {
+func TestStoppedAndLapsedRunsCountNoAttempt(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	for n := range 10 {
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], n+1)
 		kind := []batch.EndKind{batch.EndLapsed, batch.EndStopped, batch.EndBroken, batch.EndAlone}[n%4]
-		f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(int64(n+1), f.last("j.0.0.0"), kind)}})
+		f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(int64(n+1), f.last("j.0.0.0"), kind)}})
 	}
 }
 
@@ -168,7 +168,7 @@
 // jumps back, and after a change of leader.
 func TestTimedJob(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	spec := &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 100)}, Schedule: &batch.Schedule{FirstMS: 1000, IntervalMS: 1000, Count: 3}}
 	f.s.Submit(f.now, Submission{Job: spec, Queue: testQueue, Pool: "pool"})
 	f.s.OpenDue(f.now, 999)
@@ -178,13 +178,13 @@
 	f.s.OpenDue(f.now, 500)
 	f.plan()
 	require.Len(t, f.started, 2)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, f.last("j.1.0.0"), batch.EndDone)}, Running: runs(f.last("j.0.0.0")).Running})
-	record := f.s.Pending().Records[0].Progress
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, f.last("j.1.0.0"), batch.EndDone)}, Running: runningReport(f.last("j.0.0.0")).Running})
+	record := f.s.PendingWrites().Records[0].Progress
 
 	next := newFixture(t, 1)
-	next.s.Submit(next.now, Submission{Job: spec, Queue: testQueue, Pool: "pool", Existed: true, Progress: record})
+	next.s.Submit(next.now, Submission{Job: spec, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: record})
 	next.s.OpenDue(next.now, 3000)
-	next.hear("vm00", runs(f.last("j.0.0.0")))
+	next.report("vm00", runningReport(f.last("j.0.0.0")))
 	next.plan()
 	require.NotContains(t, next.started, "j.0.0.0", "runs already")
 	require.NotContains(t, next.started, "j.1.0.0", "is done")
@@ -194,16 +194,16 @@
 // A lasting task is started again however it ends.
 func TestLastingTaskIsRestarted(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	s := tasks(1, 100)
 	s.Lasting = true
 	f.submit("j", s)
 	for n, kind := range []batch.EndKind{batch.EndFailed, batch.EndDone, batch.EndFailed, batch.EndFailed, batch.EndFailed} {
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], n+1)
-		f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(int64(n+1), f.last("j.0.0.0"), kind)}})
+		f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(int64(n+1), f.last("j.0.0.0"), kind)}})
 		f.advance(time.Second)
-		f.hearAll(nil)
+		f.reportAll(nil)
 	}
 }
 
@@ -213,7 +213,7 @@
 	f.s.SetConfig(&batch.Config{Version: 2, Queues: []batch.Queue{
 		{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Advice: &batch.Advice{ValidFor: 2 * time.Second}},
 	}})
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 6000))
 	orders := f.plan()
 	require.Len(t, orders, 1)
@@ -228,8 +228,8 @@
 	require.NotContains(t, f.started, "j.0.0.1", "vm00 is not allowed, vm01 is full")
 	// The ticket expires; the VM is asked about again once it has room.
 	f.advance(3 * time.Second)
-	f.hear("vm00", batch.Report{})
-	f.hear("vm01", batch.Report{Ended: []batch.RunEnd{ended(1, o, batch.EndDone)}})
+	f.report("vm00", batch.Report{})
+	f.report("vm01", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndDone)}})
 	orders = f.plan()
 	require.Len(t, orders, 1)
 	require.Equal(t, []string{"vm01"}, orders[0].Candidates)
@@ -263,7 +263,7 @@
 // completed before all have begun.
 func TestWaveKeepsItsBound(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	machines := withWave(f, 3, 1)
 	begun := map[string]bool{}
 	for range 3 {
@@ -301,8 +301,8 @@
 // it goes down.
 func TestWaveMovesLastingTasks(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
-	f.s.settings.UnavailableFor = 4 * time.Second
+	f.reportAll(nil)
+	f.s.settings.UnavailableDuration = 4 * time.Second
 	s := serving("web", 1000)
 	s.Tasks, s.MaxUnavailable = 2, 1
 	f.submit("j", s)
@@ -311,7 +311,7 @@
 	require.Equal(t, a.Instance.ID, b.Instance.ID, "packed")
 	f.confirm(a)
 	f.confirm(b)
-	f.hear(a.Instance.ID, progressing(100, a, b))
+	f.report(a.Instance.ID, progressing(100, a, b))
 	index := 0
 	if a.Instance.ID == "vm01" {
 		index = 1
@@ -330,12 +330,12 @@
 // waits its lease out.
 func TestLastingTasksLeaveDrainingVM(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", serving("web", 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	f.hear(o.Instance.ID, progressing(100, o))
+	f.report(o.Instance.ID, progressing(100, o))
 	for i := range f.list {
 		f.list[i].Draining = f.list[i].ID == o.Instance.ID
 	}
@@ -343,7 +343,7 @@
 	f.s.Tend(f.now)
 	f.plan()
 	require.Len(t, f.stops, 1)
-	f.hear(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, o, batch.EndStopped)}})
+	f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndStopped)}})
 	f.plan()
 	require.NotEqual(t, o.Instance.ID, f.last("j.0.0.0").Instance.ID)
 }
@@ -355,7 +355,7 @@
 // them is over, and not before, since one that is cut off looks the same.
 func TestDrainedVMThatLeftHasAShortLease(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
@@ -369,13 +369,13 @@
 	}
 	f.s.SetInstances(f.now, f.list)
 	for range 12 {
-		f.hear(o.Instance.ID, runs(o))
-		f.hear(rest[0].ID, batch.Report{})
+		f.report(o.Instance.ID, runningReport(o))
+		f.report(rest[0].ID, batch.Report{})
 		f.advance(500 * time.Millisecond)
 	}
 	last := f.now - 500*time.Millisecond
 	f.s.SetInstances(f.now, rest)
-	f.pass(10*time.Second, rest[0].ID, o.Task, 2)
+	f.advanceUntilStarted(10*time.Second, rest[0].ID, o.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 2)
 	require.Greater(t, f.now, last+drainingLease)
 	require.Less(t, f.now, last+leaseOver(drainingLease)+200*time.Millisecond)
--- a/internal/scheduler/counted.go
+++ b/internal/scheduler/counted.go
@@ -45,9 +45,9 @@
 	for i := range o.steps {
 		steps[i].Runs = packRuns(o.steps[i].countedRuns())
 	}
-	j.ended = append(j.ended, OccurrenceProgress{Number: o.number, Steps: steps})
-	if extra := len(j.ended) - keptOccurrences; extra > 0 {
-		j.ended = j.ended[extra:]
+	j.recentOccurrences = append(j.recentOccurrences, OccurrenceProgress{Number: o.number, Steps: steps})
+	if extra := len(j.recentOccurrences) - keptOccurrences; extra > 0 {
+		j.recentOccurrences = j.recentOccurrences[extra:]
 	}
 }
 
@@ -65,8 +65,8 @@
 // countedRun is the run that counts of a task of an ended occurrence, 0 when it is
 // not known.
 func (j *job) countedRun(id batch.TaskID) int64 {
-	for i := range j.ended {
-		o := &j.ended[i]
+	for i := range j.recentOccurrences {
+		o := &j.recentOccurrences[i]
 		if o.Number != id.Occurrence || id.Step >= len(o.Steps) {
 			continue
 		}
--- a/internal/scheduler/counted_test.go
+++ b/internal/scheduler/counted_test.go
@@ -10,7 +10,7 @@
 
 func TestPackRuns(t *testing.T) {
 	for name, numbers := range map[string][]int64{
-		"none": nil, "one": {4246<<runBits + 140}, "falling": {1 << 50, 7, 1 << 40, 0, 3},
+		"none": nil, "one": {4246<<runNumberBits + 140}, "falling": {1 << 50, 7, 1 << 40, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) { require.Equal(t, numbers, unpackRuns(packRuns(numbers))) })
 	}
@@ -20,7 +20,7 @@
 func TestPackedRunsAreSmall(t *testing.T) {
 	var numbers []int64
 	for i := range int64(40) {
-		numbers = append(numbers, 4246<<runBits+i)
+		numbers = append(numbers, 4246<<runNumberBits+i)
 	}
 	require.LessOrEqual(t, len(packRuns(numbers)), 46)
 }
@@ -39,7 +39,7 @@
 		o.steps[0].tasks = []task{{done: true, doneRun: int64(100 + n)}}
 		j.noteCounted(o)
 	}
-	require.Len(t, j.ended, keptOccurrences)
+	require.Len(t, j.recentOccurrences, keptOccurrences)
 	last := 3*keptOccurrences - 1
 	require.EqualValues(t, 100+last, j.countedRun(batch.TaskID{Occurrence: last}))
 	require.Zero(t, j.countedRun(batch.TaskID{Occurrence: 0}))
--- a/internal/scheduler/crashes.go
+++ b/internal/scheduler/crashes.go
@@ -17,7 +17,7 @@
 //
 // A VM that ends while a run on it is new makes the run's task suspect. A suspect is
 // started again in a trial: on a VM where nothing else is new, and where nothing else is
-// started before the trial's run has lived for newFor. A VM that ends in a trial, and no
+// started before the trial's run has lived for recentRunDuration. A VM that ends in a trial, and no
 // other VM with it but such as had just begun something, was ended by that task as far as
 // one can tell. What is known to have lived is cleared.
 
@@ -94,8 +94,8 @@
 	if v == nil {
 		return
 	}
-	if v.unansweredAt == 0 {
-		v.unansweredAt, v.closedAtOnce = now, closed
+	if v.firstUnansweredAt == 0 {
+		v.firstUnansweredAt, v.connectionClosed = now, closed
 	}
 	v.unansweredHolds++
 	if v.unansweredHolds == doubtAfter {
@@ -106,7 +106,7 @@
 // doubtNewRuns records that what is new on a VM may have ended it. The record is written
 // long before the VM's end can be concluded, so that the count outlives this leader.
 func (s *Scheduler) doubtNewRuns(now Time, v *vm) {
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if r.mayHaveCrashed() {
 			s.noteCrash(now, r, crashDoubted)
 		}
@@ -115,7 +115,7 @@
 
 // mayHaveCrashed reports whether the run may have ended its VM: it may have begun, and is
 // new.
-func (r *run) mayHaveCrashed() bool { return r.begun && r.isNew() }
+func (r *run) mayHaveCrashed() bool { return r.startSent && r.isRecent() }
 
 // noteCrash records what the end of a run's VM says of its task.
 func (s *Scheduler) noteCrash(now Time, r *run, kind crashKind) {
@@ -141,7 +141,7 @@
 
 // asCrash is what is noted of the run, where a start of a VM may have ended under it.
 func (r *run) asCrash(kind crashKind, start vmStart) crash {
-	return crash{run: r.number, kind: kind, vm: start, lived: r.lived() >= begunJustBefore}
+	return crash{run: r.number, kind: kind, vm: start, lived: r.minLifetime() >= begunJustBefore}
 }
 
 // crash returns what was noted of a run, or nil.
@@ -164,7 +164,7 @@
 
 func (s *Scheduler) touchCrashes(t *task) {
 	j := t.step.occ.job
-	s.touch(j)
+	s.markDirty(j)
 	t.crashVersion = j.version
 }
 
@@ -182,7 +182,7 @@
 	if len(t.crashes) == 0 {
 		return
 	}
-	t.crashes, t.intended = nil, 0
+	t.crashes, t.intendedRun = nil, 0
 	s.touchCrashes(t)
 	for _, r := range t.runs {
 		s.endTrial(r)
@@ -213,20 +213,20 @@
 		// that goes with it a second time, at a moment that has to do with neither.
 		return
 	}
-	if !v.heard {
+	if !v.hasReported {
 		// Another leader used it. When it ended, and which start it was, is not known.
-		if !v.staleAtFirst {
-			s.endedUnheard = s.endedUnheard || awaited
+		if !v.initiallyStale {
+			s.endedUnreported = s.endedUnreported || awaited
 			end := v.end(now)
-			end.byTask = len(s.doubts[start]) > 0
+			end.byTask = len(s.unconfirmedCrashes[start]) > 0
 			end.bySuspect = end.byTask
-			s.ends[start] = end
+			s.recentVMEnds[start] = end
 		}
 		s.concludeEarlierDoubts(now, v)
 		return
 	}
 	e := s.noteEnd(now, v)
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		s.doubtEarlier(now, r, e)
 	}
 	s.judgeEnds(now)
@@ -255,7 +255,7 @@
 	case crashShared:
 		return weightWhole
 	case crashDoubted:
-		if c.run != t.intended && !t.hasRun(c.run) {
+		if c.run != t.intendedRun && !t.hasRun(c.run) {
 			return weightDoubt
 		}
 	case crashStorm, crashUnseen:
@@ -326,17 +326,17 @@
 
 // doubt notes that a run's VM may have ended under it.
 func (s *Scheduler) doubt(start vmStart, t *task, number int64) {
-	if s.doubts[start] == nil {
-		s.doubts[start] = map[*task]int64{}
+	if s.unconfirmedCrashes[start] == nil {
+		s.unconfirmedCrashes[start] = map[*task]int64{}
 	}
-	s.doubts[start][t] = number
+	s.unconfirmedCrashes[start][t] = number
 }
 
 // undoubt takes the doubt about a task on a VM back.
 func (s *Scheduler) undoubt(start vmStart, t *task) {
-	delete(s.doubts[start], t)
-	if len(s.doubts[start]) == 0 {
-		delete(s.doubts, start)
+	delete(s.unconfirmedCrashes[start], t)
+	if len(s.unconfirmedCrashes[start]) == 0 {
+		delete(s.unconfirmedCrashes, start)
 	}
 }
 
@@ -367,7 +367,7 @@
 // clearDoubts takes the doubts about a VM back that lives: what it has not listed, nor
 // told the end of, has never begun there. Runs that are under way stay in doubt.
 func (s *Scheduler) clearDoubts(start vmStart) {
-	doubts := s.doubts[start]
+	doubts := s.unconfirmedCrashes[start]
 	for _, t := range inOrder(doubts) {
 		number := doubts[t]
 		if !t.hasRun(number) {
@@ -379,8 +379,8 @@
 
 // concludeDoubts takes in that a VM has ended that runs were doubted on.
 func (s *Scheduler) concludeDoubts(now Time, start vmStart, verdictOn func(c *crash) crashKind) {
-	doubts := s.doubts[start]
-	delete(s.doubts, start)
+	doubts := s.unconfirmedCrashes[start]
+	delete(s.unconfirmedCrashes, start)
 	for _, t := range inOrder(doubts) {
 		number := doubts[t]
 		if c := t.crash(number); c != nil && c.kind == crashDoubted && !t.step.occ.job.state.Final() {
@@ -407,8 +407,8 @@
 // crashesDurable reports whether the store has the task's crashes, as far as it must.
 func (t *task) crashesDurable() bool {
 	crashes := len(t.crashes)
-	if t.intended != 0 {
+	if t.intendedRun != 0 {
 		crashes--
 	}
-	return crashes < crashesRecorded || t.step.occ.job.written >= t.crashVersion
+	return crashes < crashesRecorded || t.step.occ.job.writtenVersion >= t.crashVersion
 }
--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -285,7 +285,7 @@
 	c := *f.s.config
 	c.Queues = []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second, Advice: &batch.Advice{ValidFor: time.Minute}}}
 	f.s.SetConfig(&c)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	advised := func() Order {
 		for _, o := range f.plan() {
@@ -307,13 +307,13 @@
 	f.list = f.list[1:]
 	f.s.SetInstances(f.now, f.list)
 	f.advance(time.Second)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	// The other two were refused; a new life of the first VM may be allowed.
 	fresh := instance(0)
 	fresh.ID = "vm00-again"
 	f.list = append(f.list, fresh)
 	f.s.SetInstances(f.now, f.list)
-	f.hear(fresh.ID, batch.Report{})
+	f.report(fresh.ID, batch.Report{})
 	asked = advised()
 	require.Equal(t, []string{fresh.ID}, asked.Candidates)
 	f.s.Advised(f.now, f.now, asked, map[string]string{fresh.ID: "ticket"}, time.Minute, true)
@@ -325,19 +325,19 @@
 // task, and that counts.
 func TestEndOfAVMThatCameBackCounts(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
 	f.s.Unanswered(f.now, "vm00", false)
 	f.advance(9 * time.Second)
 	f.s.Tend(f.now)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.write()
 	f.plan()
 	second := f.last("j.0.0.0")
 	require.Len(t, f.started["j.0.0.0"], 2)
-	require.True(t, f.s.Begin(f.now, second))
+	require.True(t, f.s.PrepareStart(f.now, second))
 	f.confirm(second)
 	f.s.Unanswered(f.now, "vm00", true)
 	f.s.Gone(f.now, "vm00", "machine ended it")
@@ -352,7 +352,7 @@
 // for ever (found by the explorer, seed 180 of VMs off the list with capacities that shrink).
 func TestVMKeptForASuspectMayEnd(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 9000))
 	f.plan()
 	first := f.last("j.0.0.0")
@@ -370,7 +370,7 @@
 	f.s.Gone(f.now, first.Instance.ID, "machine ended it")
 	f.write()
 	f.plan()
-	require.NotNil(t, f.s.vms[other].keptFor)
+	require.NotNil(t, f.s.vms[other].reservedTask)
 	f.s.Gone(f.now, other, "another instance answers")
 	f.write()
 	f.advance(2 * planEvery)
@@ -382,7 +382,7 @@
 // judged were started all the same: nobody stopped them.
 func TestNothingOfAJobThatIsGivenUpIsStarted(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(3, 100))
 	first := &f.s.jobs["j"].occs[0].steps[0].tasks[0]
 	for n := range int64(crashesInAll) {
@@ -397,7 +397,7 @@
 // start beside what serves after a while.
 func TestSuspectFillerDoesNotStarve(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	serving := batch.Step{Tasks: 1, Need: batch.Resources{MilliCPU: 10_000, MemoryMB: 10}, Lasting: true, Image: "s", TailTarget: 20 * time.Millisecond}
 	f.submit("serving", serving)
 	f.plan()
@@ -409,9 +409,9 @@
 	f.s.jobs["j"].occs[0].steps[0].tasks[0].setCrash(crash{run: 1, kind: crashShared, vm: vmStart{id: "gone"}})
 	for f.now < time.Minute && len(f.started["j.0.0.0"]) == 0 {
 		f.advance(200 * time.Millisecond)
-		rep := runs(at)
+		rep := runningReport(at)
 		rep.Running[0].Progress, rep.Running[0].Usage, rep.Running[0].HasUsage = fullPace, 15, true
-		f.hear("vm00", rep)
+		f.report("vm00", rep)
 		f.plan()
 	}
 	require.Len(t, f.started["j.0.0.0"], 1)
--- a/internal/scheduler/crashfleet_test.go
+++ b/internal/scheduler/crashfleet_test.go
@@ -318,7 +318,7 @@
 		r := v.runs[task]
 		rep.Running = append(rep.Running, batch.RunStatus{Task: task, Run: r.number, Progress: r.progress(c.now)})
 	}
-	c.s.Heard(c.now, c.now, id, rep)
+	c.s.HandleReport(c.now, c.now, id, rep)
 }
 
 func (v *fleetVM) clock(now Time) time.Duration {
@@ -360,7 +360,7 @@
 	v := c.living[o.Instance.ID]
 	switch o.Kind {
 	case OrderStart:
-		if !c.s.Begin(c.now, o) {
+		if !c.s.PrepareStart(c.now, o) {
 			return
 		}
 		if v == nil {
@@ -400,7 +400,7 @@
 		c.fence++
 		c.s.RaiseToken(c.fence)
 	}
-	f := c.s.Pending()
+	f := c.s.PendingWrites()
 	if f == nil || c.down {
 		return
 	}
@@ -433,9 +433,9 @@
 	}
 	c.s.Expect(expected, c.now+14*time.Second)
 	for _, job := range c.jobs {
-		sub := Submission{Job: job, Queue: testQueue, Pool: "pool", Existed: true}
+		sub := Submission{Job: job, Queue: testQueue, Pool: "pool", PredatesLeader: true}
 		if value := c.records[job.ID]; value != nil {
-			sub.Progress, sub.Record = &Progress{}, 1
+			sub.Progress, sub.RecordRevision = &Progress{}, 1
 			require.NoError(c.t, json.Unmarshal(value, sub.Progress))
 		}
 		c.s.Submit(c.now, sub)
--- a/internal/scheduler/dump.go
+++ b/internal/scheduler/dump.go
@@ -12,7 +12,7 @@
 	// OpenJobs have no final state; WaitingTasks could run and have no place.
 	OpenJobs     int      `json:"open_jobs"`
 	WaitingTasks int      `json:"waiting_tasks"`
-	Silent       []string `json:"silent,omitempty"`
+	Awaited      []string `json:"silent,omitempty"`
 	VMs          []VMDump `json:"vms"`
 	Interference string   `json:"interference"`
 	// ReserveShare is the part of each VM kept from lasting tasks.
@@ -23,36 +23,36 @@
 type VMDump struct {
 	ID string `json:"id"`
 	// Born tells the starts of the VM apart; 0 where it is not told.
-	Born        int64           `json:"born,omitempty"`
-	Zone        string          `json:"zone"`
-	Listed      bool            `json:"listed"`
-	Draining    bool            `json:"draining"`
-	Closed      bool            `json:"closed"`
-	HeardAgoMS  int64           `json:"heard_ago_ms"`
-	Runs        int             `json:"runs"`
-	Capacity    batch.Resources `json:"capacity"`
-	Used        batch.Resources `json:"used"`
-	FillerCPU   int64           `json:"filler_milli_cpu"`
-	WorstTail   float64         `json:"worst_tail_ratio"`
-	AvoidForMS  int64           `json:"avoid_for_ms"`
-	LeaseLeftMS int64           `json:"lease_left_ms"`
+	Born          int64           `json:"born,omitempty"`
+	Zone          string          `json:"zone"`
+	Listed        bool            `json:"listed"`
+	Draining      bool            `json:"draining"`
+	Closed        bool            `json:"closed"`
+	SinceReportMS int64           `json:"heard_ago_ms"`
+	Runs          int             `json:"runs"`
+	Capacity      batch.Resources `json:"capacity"`
+	Used          batch.Resources `json:"used"`
+	FillerCPU     int64           `json:"filler_milli_cpu"`
+	WorstTail     float64         `json:"worst_tail_ratio"`
+	AvoidForMS    int64           `json:"avoid_for_ms"`
+	LeaseLeftMS   int64           `json:"lease_left_ms"`
 }
 
 // Dump returns the state in figures.
 func (s *Scheduler) Dump(now Time) Dump {
-	d := Dump{Fence: s.fence, Silent: s.Silent(), Interference: s.images.describe(), ReserveShare: s.reserve.share(s.policy.ReserveMost)}
+	d := Dump{Fence: s.fence, Awaited: s.Silent(), Interference: s.images.describe(), ReserveShare: s.reserve.share(s.policy.ReserveMost)}
 	for _, j := range s.jobs {
 		if !j.state.Final() {
 			d.OpenJobs++
 		}
 	}
 	d.WaitingTasks = s.waitingTasks()
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		x := VMDump{
 			ID: v.inst.ID, Born: v.born, Zone: v.inst.Zone, Listed: v.listed, Draining: v.inst.Draining, Closed: v.closed,
-			HeardAgoMS: (now - v.heardAt).Milliseconds(), Runs: len(v.runs), Capacity: v.inst.Capacity, Used: v.used,
+			SinceReportMS: (now - v.lastReportAt).Milliseconds(), Runs: len(v.runs), Capacity: v.inst.Capacity, Used: v.used,
 			FillerCPU: v.fillerCPU, AvoidForMS: max(0, v.health.avoidUntil-now).Milliseconds(),
-			LeaseLeftMS: max(0, v.leaseOver-now).Milliseconds(),
+			LeaseLeftMS: max(0, v.leaseExpiry-now).Milliseconds(),
 		}
 		if worst := v.worst(); worst != nil {
 			x.WorstTail = worst.ratio()
@@ -122,7 +122,7 @@
 		}
 		for _, r := range t.runs {
 			x.Runs = append(x.Runs, RunDump{
-				Task: t.id().String(), VM: r.vm.inst.ID, Run: r.number, Progress: r.progress, Pace: r.paced, AgeMS: (now - r.orderedAt).Milliseconds(),
+				Task: t.id().String(), VM: r.vm.inst.ID, Run: r.number, Progress: r.progress, Pace: r.orderedPace, AgeMS: (now - r.orderedAt).Milliseconds(),
 			})
 		}
 	}
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -8,13 +8,13 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// retryPause is the wait before a task that failed is started again; it grows
+// retryDelay is the wait before a task that failed is started again; it grows
 // with each failure, so that a task that always fails leaves room to others.
-const retryPause = 50 * time.Millisecond
+const retryDelay = 50 * time.Millisecond
 
-// ended takes the end of a run over. Ends are told again until they are
+// processEnd takes the end of a run over. Ends are told again until they are
 // acknowledged, to this leader and to the next: all of it is idempotent.
-func (s *Scheduler) ended(now Time, v *vm, e *batch.RunEnd) {
+func (s *Scheduler) processEnd(now Time, v *vm, e *batch.RunEnd) {
 	r := v.runs[e.Task]
 	if r != nil && r.number != e.Run {
 		r = nil
@@ -24,23 +24,23 @@
 		lasted = now - r.orderedAt
 	}
 	s.logf(Decision{Event: EventRunEnded, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: string(e.Kind), Age: lasted})
-	s.openTold(now, e.Task)
+	s.openReported(now, e.Task)
 	t := s.task(e.Task)
-	if t != nil && e.Checkpoint != "" && !t.done && e.Run >= t.latest() {
+	if t != nil && e.Checkpoint != "" && !t.done && e.Run >= t.latestStarted() {
 		// An older run's is behind that of the one that was started after it.
 		t.checkpoint = e.Checkpoint
 	}
 	if r != nil {
 		r.task.step.occ.job.started = true
-		s.learn(now, r, e.Kind)
+		s.updateHealth(now, r, e.Kind)
 	}
-	s.logUncounted(v, e, t)
+	s.logUncountedEnd(v, e, t)
 	if t != nil {
-		s.noteToldEnd(now, t, e)
+		s.clearCrashesOnEnd(now, t, e)
 	}
 	if t == nil || t.step.occ.job.state.Final() {
 		if r != nil {
-			s.release(now, r)
+			s.releaseRun(now, r)
 		}
 		return
 	}
@@ -48,7 +48,7 @@
 	case batch.EndDone:
 		if r != nil {
 			r.noteDone(now)
-			s.release(now, r)
+			s.releaseRun(now, r)
 		}
 		s.taskDone(now, t, e.Run)
 		return
@@ -58,13 +58,13 @@
 		// Not the task's fault: no attempt is counted.
 	}
 	if r != nil {
-		s.release(now, r)
+		s.releaseRun(now, r)
 	}
 }
 
-// noteToldEnd clears a task of what its VM has told of a run: the VM has not ended under
+// clearCrashesOnEnd clears a task of what its VM has told of a run: the VM has not ended under
 // it. One that ended by itself has done its work, or failed, without ending its VM.
-func (s *Scheduler) noteToldEnd(now Time, t *task, e *batch.RunEnd) {
+func (s *Scheduler) clearCrashesOnEnd(now Time, t *task, e *batch.RunEnd) {
 	if e.Kind == batch.EndDone || e.Kind == batch.EndFailed {
 		s.clearCrashes(now, t)
 		return
@@ -72,19 +72,19 @@
 	s.clearCrash(t, e.Run)
 }
 
-// logUncounted logs an end that does not count: without the line nobody could tell
+// logUncountedEnd logs an end that does not count: without the line nobody could tell
 // afterwards that a task had ended well twice, and which run was taken.
-func (s *Scheduler) logUncounted(v *vm, e *batch.RunEnd, t *task) {
+func (s *Scheduler) logUncountedEnd(v *vm, e *batch.RunEnd, t *task) {
 	switch {
 	case t == nil:
-		s.logf(Decision{Event: EventEndUntracked, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: s.untracked(e.Task)})
+		s.logf(Decision{Event: EventEndUntracked, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: s.untrackedReason(e.Task)})
 	case t.done && e.Kind == batch.EndDone && e.Run != t.doneRun:
 		s.logf(Decision{Event: EventEndSuperseded, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: "run " + strconv.FormatInt(t.doneRun, 10) + " counts"})
 	}
 }
 
-// untracked says why a task is not kept.
-func (s *Scheduler) untracked(id batch.TaskID) string {
+// untrackedReason says why a task is not kept.
+func (s *Scheduler) untrackedReason(id batch.TaskID) string {
 	j := s.jobs[id.Job]
 	switch {
 	case j == nil:
@@ -111,11 +111,11 @@
 	} else {
 		s.markDone(now, t, number)
 	}
-	s.touch(t.step.occ.job)
-	if t.step.left == 0 {
+	s.markDirty(t.step.occ.job)
+	if t.step.tasksLeft == 0 {
 		s.stepDone(now, t.step)
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
 func (s *Scheduler) markDone(now Time, t *task, number int64) {
@@ -124,7 +124,7 @@
 	}
 	t.done = true
 	t.doneRun = number
-	t.step.left--
+	t.step.tasksLeft--
 	if len(t.runs) == 0 {
 		t.step.waiting--
 	}
@@ -141,24 +141,24 @@
 	t.failedRuns = append(t.failedRuns, number)
 	t.lastFailedOn = v.inst.ID
 	if t.step.spec.Lasting {
-		t.notBefore = now + retryPause
+		t.notBefore = now + retryDelay
 		return
 	}
 	failures := len(t.failedRuns)
 	if t.step.spec.Gang {
-		failures = t.step.failedGangs()
+		failures = t.step.failedGangRuns()
 	}
-	t.notBefore = now + time.Duration(failures)*retryPause
+	t.notBefore = now + time.Duration(failures)*retryDelay
 	j := t.step.occ.job
-	s.touch(j)
-	if failures >= j.attempts {
+	s.markDirty(j)
+	if failures >= j.maxAttempts {
 		s.finish(now, j, batch.Failed, "a task failed "+t.id().String())
 	}
 }
 
-// failedGangs counts the runs of a gang that failed: its members share a run's number,
+// failedGangRuns counts the runs of a gang that failed: its members share a run's number,
 // and several may fail before the others are ended.
-func (st *step) failedGangs() int {
+func (st *step) failedGangRuns() int {
 	failed := map[int64]bool{}
 	for k := range st.tasks {
 		for _, number := range st.tasks[k].failedRuns {
@@ -168,19 +168,19 @@
 	return len(failed)
 }
 
-// hold counts a run on its VM and task.
-func (s *Scheduler) hold(r *run) {
+// attachRun counts a run on its VM and task.
+func (s *Scheduler) attachRun(r *run) {
 	v, spec := r.vm, r.task.step.spec
 	v.runs[r.task.id()] = r
-	v.ordered = append(v.ordered, r)
-	v.health.started(r)
+	v.runList = append(v.runList, r)
+	v.health.recordStart(r)
 	v.tailsStale = true
 	v.occupy(spec)
 	if spec.Serves() {
-		if v.serving == 0 {
-			s.emptyVMs--
+		if v.servingRuns == 0 {
+			s.nonServingVMs--
 		}
-		v.serving++
+		v.servingRuns++
 		v.servingCPU += spec.Need.MilliCPU
 	}
 	st := r.task.step
@@ -192,30 +192,30 @@
 	st.addPerVM(v)
 }
 
-// release takes a run that has ended off its VM and its task.
-func (s *Scheduler) release(now Time, r *run) {
+// releaseRun takes a run that has ended off its VM and its task.
+func (s *Scheduler) releaseRun(now Time, r *run) {
 	r.task.latestRun = max(r.task.latestRun, r.number)
-	s.withdraw(now, r)
+	s.detachRun(now, r)
 }
 
-// withdraw takes a run off its VM and its task that has never been started.
-func (s *Scheduler) withdraw(now Time, r *run) {
-	if r.dead {
+// detachRun takes a run off its VM and its task that has never been started.
+func (s *Scheduler) detachRun(now Time, r *run) {
+	if r.released {
 		return
 	}
-	r.dead = true
+	r.released = true
 	s.endTrial(r)
 	v, t := r.vm, r.task
 	spec := t.step.spec
 	delete(v.runs, t.id())
-	v.ordered = slices.DeleteFunc(slices.Clone(v.ordered), func(o *run) bool { return o == r })
+	v.runList = slices.DeleteFunc(slices.Clone(v.runList), func(o *run) bool { return o == r })
 	v.tailsStale = true
 	if spec.Filler {
-		s.noteEndedFiller(now, r)
+		s.recordEndedFiller(now, r)
 	}
 	v.vacate(spec)
 	if spec.Serves() {
-		v.serving--
+		v.servingRuns--
 		v.servingCPU -= spec.Need.MilliCPU
 	}
 	t.step.removePerVM(v)
@@ -228,7 +228,7 @@
 		t.step.waiting++
 		s.enqueue(t.step)
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
 // stopRuns orders all runs of a task to stop.
@@ -251,12 +251,12 @@
 	s.orders = append(s.orders, Order{Kind: OrderStop, Instance: v.inst, Task: id, Run: number})
 }
 
-// Begin reports whether a start that was ordered a while ago is still to be given.
+// PrepareStart reports whether a start that was ordered a while ago is still to be given.
 // Orders wait for their turn where there are many of them; meanwhile a copy may
 // have ended, or the job been cancelled, and a start that is carried out after
 // that runs what is done already. A run that is not begun has certainly never
 // started.
-func (s *Scheduler) Begin(now Time, o Order) bool {
+func (s *Scheduler) PrepareStart(now Time, o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
 		return false
@@ -274,7 +274,7 @@
 	case !v.entryIsOfThisStart():
 		s.dropStart(now, r, reasonRestarted)
 	default:
-		r.begun, r.begunAt = true, now
+		r.startSent, r.startSentAt = true, now
 		return true
 	}
 	return false
@@ -291,9 +291,9 @@
 		return
 	}
 	clockWentBack := clockValue > 0 && v.clock.gotAt <= sentAt && clockValue < v.clock.value
-	if clockWentBack || (refusal == batch.RefusedRestarted && v.heardAt <= sentAt) {
+	if clockWentBack || (refusal == batch.RefusedRestarted && v.lastReportAt <= sentAt) {
 		// Another start has answered: nothing more is given to it before it has reported.
-		v.otherStart = true
+		v.otherIncarnation = true
 	}
 	r := v.runs[o.Task]
 	if r == nil || r.number != o.Run {
@@ -302,32 +302,32 @@
 	switch {
 	case unknown:
 		s.logf(Decision{Event: EventStartUnknown, Task: o.Task, VM: v.inst.ID, Run: o.Run, Age: now - r.orderedAt})
-		v.health.unanswered(now)
+		v.health.recordUnanswered(now)
 		s.stop(now, r, "start unknown")
 	case refusal != "":
 		s.logf(Decision{Event: EventStartRefused, Task: o.Task, VM: v.inst.ID, Run: o.Run, Reason: string(refusal), Age: now - r.orderedAt})
-		v.health.refused(now, refusal)
+		v.health.recordRefusal(now, refusal)
 		if refusal == batch.RefusedTicket {
 			r.task.step.dropTicket(v.inst.ID)
 		}
-		r.task.notBefore = now + retryPause
+		r.task.notBefore = now + retryDelay
 		s.clearCrash(r.task, r.number)
-		s.withdraw(now, r)
+		s.detachRun(now, r)
 	case r.state == starting:
-		r.confirm(now)
+		r.confirmStart(now)
 		if s.policy.PaceAtStart && r.task.step.spec.Filler {
 			s.pace(now, v)
 		}
 	}
 }
 
-// confirm notes that the VM has the run. Only then has its job begun: an order may
+// confirmStart notes that the VM has the run. Only then has its job begun: an order may
 // wait for its turn.
-func (r *run) confirm(now Time) {
-	r.state, r.begun = running, true
+func (r *run) confirmStart(now Time) {
+	r.state, r.startSent = running, true
 	r.confirmedAt = now
-	if r.begunAt == 0 {
-		r.begunAt = now
+	if r.startSentAt == 0 {
+		r.startSentAt = now
 	}
 	r.task.step.occ.job.started = true
 }
--- a/internal/scheduler/explore_leader_test.go
+++ b/internal/scheduler/explore_leader_test.go
@@ -146,9 +146,9 @@
 	}
 	for _, j := range w.store.jobs {
 		sub := j.submission(w.now)
-		sub.Existed, sub.Cancelled = true, j.cancelled
+		sub.PredatesLeader, sub.Cancelled = true, j.cancelled
 		if value := w.store.records[j.spec.ID]; value != nil {
-			sub.Progress, sub.Record = &Progress{}, 1
+			sub.Progress, sub.RecordRevision = &Progress{}, 1
 			if err := json.Unmarshal(value, sub.Progress); err != nil {
 				panic(err)
 			}
@@ -255,7 +255,7 @@
 	if l.flushing || !w.chance(50) {
 		return
 	}
-	f := l.s.Pending()
+	f := l.s.PendingWrites()
 	if f == nil {
 		return
 	}
@@ -386,10 +386,10 @@
 		return
 	}
 	if w.breaks.ackEarly {
-		order.Acked = l.s.vms[v.id].seen
+		order.Acked = l.s.vms[v.id].processedSeq
 	}
 	if w.breaks.blindAcks {
-		order.Acked = l.s.vms[v.id].acked()
+		order.Acked = l.s.vms[v.id].ackableSeq()
 	}
 	l.holding[v.id] = true
 	sentAt := w.now
@@ -406,7 +406,7 @@
 		if w.breaks.sameStart {
 			report.Born = 0
 		}
-		l.s.Heard(w.now, sentAt, v.id, report)
+		l.s.HandleReport(w.now, sentAt, v.id, report)
 	}, func() {
 		l.holding[v.id] = false
 		l.s.Unanswered(w.now, v.id, v.dead && !v.dark)
@@ -429,7 +429,7 @@
 }
 
 func (w *world) start(l *modelLeader, v *modelVM, o Order) {
-	if !l.s.Begin(w.now, o) {
+	if !l.s.PrepareStart(w.now, o) {
 		return
 	}
 	sentAt := w.now
--- a/internal/scheduler/explore_store_test.go
+++ b/internal/scheduler/explore_store_test.go
@@ -41,7 +41,7 @@
 }
 
 func (j *modelJob) submission(now Time) Submission {
-	return Submission{Job: j.spec, Queue: j.queue, Pool: "pool", Age: now - j.at, Created: int64(j.at)}
+	return Submission{Job: j.spec, Queue: j.queue, Pool: "pool", Age: now - j.at, CreatedRevision: int64(j.at)}
 }
 
 // list is the store's list of VMs.
--- a/internal/scheduler/explore_vm_test.go
+++ b/internal/scheduler/explore_vm_test.go
@@ -185,7 +185,7 @@
 func (w *world) addVM(address string, zone int) {
 	rate := 1.0
 	if w.rng.IntN(2) == 0 {
-		rate = slowClock
+		rate = minClockRate
 	}
 	v := &modelVM{
 		id: fmt.Sprintf("vm%d", len(w.vms)), address: address, zone: zone, rate: rate, bornAt: w.now,
@@ -473,4 +473,6 @@
 // runName is a run's number as its leader's and its place there.
 type runName int64
 
-func (r runName) String() string { return fmt.Sprintf("%d/%d", r>>runBits, r&(1<<runBits-1)) }
+func (r runName) String() string {
+	return fmt.Sprintf("%d/%d", r>>runNumberBits, r&(1<<runNumberBits-1))
+}
--- a/internal/scheduler/fleet_bench_test.go
+++ b/internal/scheduler/fleet_bench_test.go
@@ -23,7 +23,7 @@
 	s.SetInstances(0, list)
 	b.Logf("first SetInstances %v", time.Since(began))
 	for i := range list {
-		s.Heard(time.Second, time.Second, list[i].ID, batch.Report{Clock: time.Hour})
+		s.HandleReport(time.Second, time.Second, list[i].ID, batch.Report{Clock: time.Hour})
 	}
 	for _, c := range []struct {
 		name string
@@ -33,7 +33,7 @@
 		{"Instances", func() { s.Instances() }},
 		{"LapsedRuns", func() { s.LapsedRuns() }},
 		{"Tend", func() { s.Tend(time.Second) }},
-		{"Pending", func() { s.Pending() }},
+		{"Pending", func() { s.PendingWrites() }},
 		{"LeasesOver", func() { s.LeasesOver() }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/scheduler/forget.go
+++ b/internal/scheduler/forget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Ended returns jobs whose end the store has for longer than keep, at most so many.
+// RemovableJobs returns jobs whose end the store has for longer than keep, at most so many.
 // They stay known until they are dropped.
-func (s *Scheduler) Ended(now Time, keep time.Duration, most int) []string {
+func (s *Scheduler) RemovableJobs(now Time, keep time.Duration, most int) []string {
 	var ended []string
 	for id, j := range s.jobs {
 		if j.state.Final() && j.durableState == j.state && now-j.endedAt > keep {
@@ -18,8 +18,8 @@
 	return ended[:min(len(ended), most)]
 }
 
-// Drop forgets jobs that are no longer in the store.
-func (s *Scheduler) Drop(ids []string) {
+// DropJobs forgets jobs that are no longer in the store.
+func (s *Scheduler) DropJobs(ids []string) {
 	for _, id := range ids {
 		delete(s.jobs, id)
 	}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -58,12 +58,12 @@
 	}
 	var news []CrashNews
 	for _, c := range t.crashes {
-		if c.vm.id != "" && j.written < t.crashVersion {
+		if c.vm.id != "" && j.writtenVersion < t.crashVersion {
 			news = append(news, t.news(c))
 		}
 	}
 	for _, r := range t.runs {
-		if r.vm.unansweredAt > 0 && r.mayHaveCrashed() && t.crash(r.number) == nil {
+		if r.vm.firstUnansweredAt > 0 && r.mayHaveCrashed() && t.crash(r.number) == nil {
 			news = append(news, t.news(r.asCrash(crashDoubted, r.vm.thisStart())))
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	var news []CrashNews
 	for _, r := range t.runs {
-		if r.vm.unansweredAt == 0 && r.mayHaveCrashed() && !r.logged && t.crash(r.number) == nil {
+		if r.vm.firstUnansweredAt == 0 && r.mayHaveCrashed() && !r.inStartLog && t.crash(r.number) == nil {
 			news = append(news, t.news(r.asCrash(crashStarted, r.vm.thisStart())))
 		}
 	}
--- a/internal/scheduler/handover_test.go
+++ b/internal/scheduler/handover_test.go
@@ -11,7 +11,7 @@
 // as the VM ended took the count along.
 func TestSuccessorLearnsOfCrashesThatWereNotWritten(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.submit("other", tasks(1, 1000))
 	f.write()
@@ -23,7 +23,7 @@
 	require.EqualValues(t, crashDoubted, news[0].Kind)
 
 	next := newFixture(t, 3)
-	next.hearAll(nil)
+	next.reportAll(nil)
 	next.submit("j", tasks(1, 1000))
 	next.s.LearnCrashes(next.now, news)
 	require.True(t, next.taskOf("j").suspect())
@@ -65,7 +65,7 @@
 // it had started, and was deposed before a hold failed.
 func TestSuccessorLearnsOfStartsThatAreNotLogged(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	vm := f.startFirst()
 	news := f.s.UnrecordedCrashes()
@@ -73,8 +73,8 @@
 	require.EqualValues(t, crashStarted, news[0].Kind)
 
 	t.Run("its VM has ended", func(t *testing.T) {
-		next := successor(t, 3)
-		next.s.Expect([]string{vm}, next.now+expectFor)
+		next := newSuccessorFixture(t, 3)
+		next.s.Expect([]string{vm}, next.now+awaitDuration)
 		next.submit("j", tasks(1, 1000))
 		next.s.LearnCrashes(next.now, news)
 		require.False(t, next.taskOf("j").suspect())
@@ -82,17 +82,17 @@
 		require.True(t, next.taskOf("j").suspect())
 	})
 	t.Run("its VM had ended", func(t *testing.T) {
-		next := successor(t, 3)
-		next.s.Expect([]string{vm}, next.now+expectFor)
+		next := newSuccessorFixture(t, 3)
+		next.s.Expect([]string{vm}, next.now+awaitDuration)
 		next.submit("j", tasks(1, 1000))
 		next.s.Gone(next.now, vm, "machine ended it")
 		next.s.LearnCrashes(next.now, news)
 		require.Equal(t, crashUnseen, next.taskOf("j").crashes[0].kind)
 	})
 	t.Run("its VM lives", func(t *testing.T) {
-		next := successor(t, 3)
+		next := newSuccessorFixture(t, 3)
 		next.submit("j", tasks(1, 1000))
-		next.hearAll(nil)
+		next.reportAll(nil)
 		next.s.LearnCrashes(next.now, news)
 		require.Empty(t, next.taskOf("j").crashes)
 	})
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -30,14 +30,14 @@
 	testAttempts = 3
 )
 
-// farAhead is a moment after the end of every test: the fixture's leader leads for
+// distantFuture is a moment after the end of every test: the fixture's leader leads for
 // certain.
-const farAhead = Time(1 << 62)
+const distantFuture = Time(1 << 62)
 
 func newFixture(t *testing.T, vms int) *fixture {
 	f := &fixture{t: t, fence: 1, now: time.Second, started: map[string][]Order{}}
 	f.s = New(Settings{MaxLease: 10 * time.Second}, f.fence, func(d Decision) { f.log = append(f.log, d) })
-	f.s.Led(farAhead)
+	f.s.Led(distantFuture)
 	f.s.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{
 		{Name: testQueue, Pool: "pool", Attempts: testAttempts, Stretch: 2, Slack: time.Second},
 	}})
@@ -55,18 +55,18 @@
 	}
 }
 
-// hear delivers a report of a VM that was asked for just now.
-func (f *fixture) hear(vm string, rep batch.Report) {
+// report delivers a report of a VM that was asked for just now.
+func (f *fixture) report(vm string, rep batch.Report) {
 	rep.Clock = f.now + time.Hour
 	_, ok := f.s.Hold(f.now, vm, 0)
 	require.True(f.t, ok, "unknown VM %s", vm)
-	f.s.Heard(f.now, f.now, vm, rep)
+	f.s.HandleReport(f.now, f.now, vm, rep)
 }
 
-// hearAll delivers empty reports of all VMs, or those given.
-func (f *fixture) hearAll(reports map[string]batch.Report) {
+// reportAll delivers empty reports of all VMs, or those given.
+func (f *fixture) reportAll(reports map[string]batch.Report) {
 	for _, inst := range f.list {
-		f.hear(inst.ID, reports[inst.ID])
+		f.report(inst.ID, reports[inst.ID])
 	}
 }
 
@@ -105,7 +105,7 @@
 	return orders[len(orders)-1]
 }
 
-func runs(orders ...Order) batch.Report {
+func runningReport(orders ...Order) batch.Report {
 	var rep batch.Report
 	for _, o := range orders {
 		rep.Running = append(rep.Running, batch.RunStatus{Task: o.Task, Run: o.Run})
@@ -113,6 +113,6 @@
 	return rep
 }
 
-func ended(seq int64, o Order, kind batch.EndKind) batch.RunEnd {
+func endOfOrder(seq int64, o Order, kind batch.EndKind) batch.RunEnd {
 	return batch.RunEnd{Seq: seq, Task: o.Task, Run: o.Run, Kind: kind}
 }
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -9,12 +9,12 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// failOn makes two jobs in a row fail on the fixture's only VM.
-func failOn(f *fixture) {
+// failTwoJobs makes two jobs in a row fail on the fixture's only VM.
+func failTwoJobs(f *fixture) {
 	for i, id := range []string{"x", "y"} {
 		f.submit(id, tasks(1, 100))
 		f.plan()
-		f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(int64(i+1), f.last(id+".0.0.0"), batch.EndFailed)}})
+		f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(int64(i+1), f.last(id+".0.0.0"), batch.EndFailed)}})
 		f.s.Cancel(f.now, id)
 	}
 }
@@ -24,17 +24,17 @@
 // one run at a time tries it, until one is done.
 func TestFailingVMIsSuspectedAndProbed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
-	failOn(f)
+	f.reportAll(nil)
+	failTwoJobs(f)
 	f.submit("j", tasks(3, 100))
 	f.plan()
 	require.NotContains(t, f.started, "j.0.0.0")
-	f.advance(quarantine + time.Millisecond)
-	f.hearAll(nil)
+	f.advance(initialQuarantine + time.Millisecond)
+	f.reportAll(nil)
 	f.plan()
 	require.Contains(t, f.started, "j.0.0.0")
 	require.NotContains(t, f.started, "j.0.0.1", "more than one probe")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(3, f.last("j.0.0.0"), batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(3, f.last("j.0.0.0"), batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "j.0.0.1")
 	require.Contains(t, f.started, "j.0.0.2")
@@ -44,13 +44,13 @@
 // Cause: a lasting task that ran there counted as a probe that does not end.
 func TestSuspectedVMWithLastingTaskIsProbed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("s", serving("web", 1000))
 	f.plan()
 	f.confirm(f.last("s.0.0.0"))
-	failOn(f)
-	f.advance(quarantine + time.Millisecond)
-	f.hear("vm00", progressing(100, f.last("s.0.0.0")))
+	failTwoJobs(f)
+	f.advance(initialQuarantine + time.Millisecond)
+	f.report("vm00", progressing(100, f.last("s.0.0.0")))
 	f.submit("l", serving("web", 1000))
 	f.submit("j", tasks(1, 100))
 	f.plan()
@@ -59,9 +59,9 @@
 }
 
 // A job that fails wherever it runs says nothing of the VMs.
-func TestHopelessJobBlamesNoVM(t *testing.T) {
+func TestAlwaysFailingJobSuspectsNoVM(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("bad", tasks(3, 100))
 	f.plan()
 	for i, inst := range f.list {
@@ -69,11 +69,11 @@
 		for k := range 3 {
 			o := f.last(batch.TaskID{Job: "bad", Index: k}.String())
 			if o.Instance.ID == inst.ID {
-				f.hear(inst.ID, batch.Report{Ended: []batch.RunEnd{ended(1, o, batch.EndFailed)}})
+				f.report(inst.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndFailed)}})
 			}
 		}
 	}
-	for _, v := range f.s.order {
+	for _, v := range f.s.vmList {
 		require.False(t, v.health.probing, v.inst.ID)
 	}
 }
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -31,7 +31,7 @@
 		return i.live.accounted()
 	case i.noted != nil:
 		j := i.noted.step.occ.job
-		return j.state.Final() || j.written >= i.noted.crashVersion
+		return j.state.Final() || j.writtenVersion >= i.noted.crashVersion
 	}
 	return true
 }
@@ -50,7 +50,7 @@
 	count := 0
 	for i := range log {
 		g := &segment{id: log[i].ID, inherited: log[i].inheritedStarts()}
-		s.starts.segments = append(s.starts.segments, g)
+		s.startLog.segments = append(s.startLog.segments, g)
 		count += len(g.inherited)
 		for _, start := range g.inherited {
 			s.inherit(now, start)
@@ -67,8 +67,8 @@
 		s.noteInherited(now, i, crashUnseen)
 	case v == nil:
 		s.noteInherited(now, i, crashDoubted)
-	case !v.heard || s.awaited(i.vm.id):
-		s.starts.inherited[i.vm] = append(s.starts.inherited[i.vm], i)
+	case !v.hasReported || s.awaited(i.vm.id):
+		s.startLog.inherited[i.vm] = append(s.startLog.inherited[i.vm], i)
 	case v.mayBe(i.vm.born):
 		// It has seen this leader's fencing token, and begins nothing of an earlier one any more.
 		i.settleAlive(v)
@@ -88,7 +88,7 @@
 			}
 			out = append(out, &inheritedStart{
 				task: batch.TaskID{Job: st.Job, Occurrence: st.Occurrence, Step: st.Step, Index: int(index)},
-				run:  g.ID.Fence<<runBits | number, vm: vmStart{g.VMs[vm].ID, g.VMs[vm].Born},
+				run:  g.ID.Fence<<runNumberBits | number, vm: vmStart{g.VMs[vm].ID, g.VMs[vm].Born},
 			})
 		}
 	}
@@ -98,7 +98,7 @@
 // inheritedOn returns the starts of a VM to which earlier leaders gave something, by birth.
 func (s *Scheduler) inheritedOn(id string) []vmStart {
 	var on []vmStart
-	for start := range s.starts.inherited {
+	for start := range s.startLog.inherited {
 		if start.id == id {
 			on = append(on, start)
 		}
@@ -110,7 +110,7 @@
 // settleHeard takes in a VM's first whole report: what it tells of is known from now on, and
 // what it does not tell of has never begun there. Its earlier starts have ended.
 func (s *Scheduler) settleHeard(now Time, v *vm, rep *batch.Report) {
-	if rep.MoreEnded || len(s.starts.inherited) == 0 {
+	if rep.MoreEnded || len(s.startLog.inherited) == 0 {
 		return
 	}
 	told := toldRuns(rep)
@@ -148,15 +148,15 @@
 }
 
 func (s *Scheduler) takeInherited(start vmStart) []*inheritedStart {
-	taken := s.starts.inherited[start]
-	delete(s.starts.inherited, start)
+	taken := s.startLog.inherited[start]
+	delete(s.startLog.inherited, start)
 	return taken
 }
 
 // noteInherited records what the end of a VM says of a start by an earlier leader.
 func (s *Scheduler) noteInherited(now Time, i *inheritedStart, kind crashKind) {
 	i.settled = true
-	s.openTold(now, i.task)
+	s.openReported(now, i.task)
 	t := s.task(i.task)
 	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(i.run) || slices.Contains(t.failedRuns, i.run) {
 		return
@@ -183,7 +183,7 @@
 // more starts than there are trials at one time, a rack or power was lost with that leader: as where a
 // leader lives to see it, the first such end is no ground for suspicion.
 func (s *Scheduler) noteUnseen(i *inheritedStart) {
-	l := &s.starts
+	l := &s.startLog
 	l.unseen = append(l.unseen, i)
 	l.lostVMs[i.vm.id] = true
 	if len(l.lostVMs) <= massVMs || len(l.unseen) <= suspectsAtOnce {
--- a/internal/scheduler/interference_test.go
+++ b/internal/scheduler/interference_test.go
@@ -54,7 +54,7 @@
 	first := New(Settings{}, 1, nil)
 	learnPairs(&first.images, map[string][]float64{"minds": {0, 6}}, []string{"light", "heavy"}, 300, 1)
 	next := New(Settings{}, 2, nil)
-	next.SetModel(first.Model())
+	next.SetInterferenceModel(first.InterferenceModel())
 	for _, filler := range []string{"light", "heavy"} {
 		want := first.images.slope("minds", first.images.number(filler))
 		require.InDelta(t, want, next.images.slope("minds", next.images.number(filler)), 0.1)
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -14,39 +14,39 @@
 	// Queue and Pool are those that the job was submitted to.
 	Queue string
 	Pool  string
-	// Terms is the queue as it was when the job was accepted; it counts where the
+	// AcceptedQueue is the queue as it was when the job was accepted; it counts where the
 	// configuration does not have the queue, or is not known yet. May be nil.
-	Terms *batch.Queue
+	AcceptedQueue *batch.Queue
 	// Age is how long ago the caller asked.
 	Age time.Duration
-	// Existed is set when the submission is older than this leader.
-	Existed bool
-	// Created is the store's revision of the submission, 0 when it is not known.
-	Created int64
+	// PredatesLeader is set when the submission is older than this leader.
+	PredatesLeader bool
+	// CreatedRevision is the store's revision of the submission, 0 when it is not known.
+	CreatedRevision int64
 	// Cancelled is set when the job is cancelled already.
 	Cancelled bool
 	// Progress is what an earlier leader recorded; nil for none.
 	Progress *Progress
 	// Unreadable is set when there is such a record that can't be read.
 	Unreadable bool
-	// Record is the store revision of Progress.
-	Record int64
+	// RecordRevision is the store revision of Progress.
+	RecordRevision int64
 }
 
 // Submit takes a job on. A job that is known is left as it is.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	if j := s.jobs[sub.Job.ID]; j != nil {
-		j.existed = j.existed && (sub.Existed || s.mayBeOlder(sub.Created))
+		j.predatesLeader = j.predatesLeader && (sub.PredatesLeader || s.mayBeOlder(sub.CreatedRevision))
 		return
 	}
 	j := &job{
 		spec: sub.Job, queue: sub.Queue, pool: sub.Pool, submittedAt: now - sub.Age, state: batch.Queued,
-		existed: sub.Existed || s.mayBeOlder(sub.Created), occs: map[int]*occurrence{}, doneOccs: map[int]bool{}, record: sub.Record,
-		chain: sub.Job.Chain(), work: sub.Job.Work(), attempts: 1,
+		predatesLeader: sub.PredatesLeader || s.mayBeOlder(sub.CreatedRevision), occs: map[int]*occurrence{}, doneOccs: map[int]bool{}, recordRevision: sub.RecordRevision,
+		criticalPath: sub.Job.Chain(), work: sub.Job.Work(), maxAttempts: 1,
 	}
-	j.objective = j.chain
-	if sub.Terms != nil {
-		j.applyTerms(sub.Terms)
+	j.objective = j.criticalPath
+	if sub.AcceptedQueue != nil {
+		j.applyQueue(sub.AcceptedQueue)
 	}
 	s.jobs[sub.Job.ID] = j
 	s.noteWork(j)
@@ -67,10 +67,10 @@
 		j.held, j.started = true, true
 		s.logf(Decision{Event: EventJobHeld, Job: sub.Job.ID, Reason: "progress unreadable"})
 	default:
-		s.open(now, j)
+		s.openJob(now, j)
 	}
-	s.settle(now, sub.Job.ID)
-	s.changed = true
+	s.processDeferred(now, sub.Job.ID)
+	s.planNeeded = true
 }
 
 // applyConfig takes the queue's figures over. A queue that is gone leaves those
@@ -84,15 +84,15 @@
 		return
 	}
 	j.pool = q.Pool
-	j.applyTerms(q)
+	j.applyQueue(q)
 }
 
-// applyTerms takes a queue's figures over.
-func (j *job) applyTerms(q *batch.Queue) {
-	j.attempts = max(q.Attempts, 1)
+// applyQueue takes a queue's figures over.
+func (j *job) applyQueue(q *batch.Queue) {
+	j.maxAttempts = max(q.Attempts, 1)
 	j.priority = q.Priority
 	j.advice = q.Advice
-	j.objective = time.Duration(q.Stretch*float64(j.chain)) + q.Slack
+	j.objective = time.Duration(q.Stretch*float64(j.criticalPath)) + q.Slack
 }
 
 // SetConfig installs a configuration; the caller makes sure that it is newer.
@@ -102,14 +102,14 @@
 	for _, j := range s.jobs {
 		s.applyConfig(j)
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
-// open creates the occurrences that are to be executed now.
-func (s *Scheduler) open(now Time, j *job) {
+// openJob creates the occurrences that are to be executed now.
+func (s *Scheduler) openJob(now Time, j *job) {
 	if j.spec.Schedule != nil {
 		j.nextOcc = j.doneLow
-		s.timed[j.spec.ID] = j
+		s.timedJobs[j.spec.ID] = j
 		return
 	}
 	s.openOccurrence(now, j, 0)
@@ -118,14 +118,14 @@
 // OpenDue creates the occurrences of timed jobs that are due by the time of day.
 func (s *Scheduler) OpenDue(now Time, wallMS int64) {
 	var due []string
-	for id, j := range s.timed {
+	for id, j := range s.timedJobs {
 		if j.nextOcc >= j.spec.Occurrences() || j.spec.DueMS(j.nextOcc) <= wallMS {
 			due = append(due, id)
 		}
 	}
 	slices.Sort(due)
 	for _, id := range due {
-		j := s.timed[id]
+		j := s.timedJobs[id]
 		for j.nextOcc < j.spec.Occurrences() && j.spec.DueMS(j.nextOcc) <= wallMS {
 			if j.unopened(j.nextOcc) {
 				s.openOccurrence(now, j, j.nextOcc)
@@ -133,17 +133,17 @@
 			j.nextOcc++
 		}
 		if j.nextOcc >= j.spec.Occurrences() {
-			delete(s.timed, id)
+			delete(s.timedJobs, id)
 		}
 	}
 }
 
-// openTold opens the occurrence of a task that a VM tells of. An earlier leader
+// openReported opens the occurrence of a task that a VM tells of. An earlier leader
 // found it due; this one may not have looked at the time of day yet, or by a clock
 // that is behind. What is told of a task that is not open would be forgotten, and
 // the task started again.
-func (s *Scheduler) openTold(now Time, id batch.TaskID) {
-	j := s.timed[id.Job]
+func (s *Scheduler) openReported(now Time, id batch.TaskID) {
+	j := s.timedJobs[id.Job]
 	if j != nil && id.Occurrence < j.spec.Occurrences() && j.unopened(id.Occurrence) {
 		s.openOccurrence(now, j, id.Occurrence)
 	}
@@ -155,25 +155,25 @@
 }
 
 func (s *Scheduler) openOccurrence(now Time, j *job, number int) {
-	o := &occurrence{job: j, number: number, steps: make([]step, len(j.spec.Steps)), left: len(j.spec.Steps), dueAt: now}
+	o := &occurrence{job: j, number: number, steps: make([]step, len(j.spec.Steps)), stepsLeft: len(j.spec.Steps), dueAt: now}
 	if j.spec.Schedule == nil {
 		o.dueAt = j.submittedAt
 	}
 	j.occs[number] = o
 	for i := range o.steps {
 		spec := &j.spec.Steps[i]
-		o.steps[i] = step{occ: o, index: i, spec: spec, tasks: make([]task, spec.Tasks), left: spec.Tasks, waiting: spec.Tasks, blockers: len(spec.After), runnableAt: now}
+		o.steps[i] = step{occ: o, index: i, spec: spec, tasks: make([]task, spec.Tasks), tasksLeft: spec.Tasks, waiting: spec.Tasks, blockers: len(spec.After), runnableAt: now}
 		st := &o.steps[i]
 		for k := range st.tasks {
 			st.tasks[k] = task{step: st, index: k}
 		}
 	}
-	if j.pending != nil {
-		j.pending.apply(o)
+	if j.restoredProgress != nil {
+		j.restoredProgress.apply(o)
 		s.restoreDoubts(o)
 	}
 	for i := range o.steps {
-		if o.steps[i].left == 0 {
+		if o.steps[i].tasksLeft == 0 {
 			s.stepDone(now, &o.steps[i])
 		}
 	}
@@ -188,14 +188,14 @@
 		return
 	}
 	st.queued = true
-	s.ready = append(s.ready, st)
-	s.changed = true
+	s.readySteps = append(s.readySteps, st)
+	s.planNeeded = true
 }
 
 // stepDone releases the steps that waited for st.
 func (s *Scheduler) stepDone(now Time, st *step) {
 	o := st.occ
-	o.left--
+	o.stepsLeft--
 	for i := st.index + 1; i < len(o.steps); i++ {
 		next := &o.steps[i]
 		for _, d := range next.spec.After {
@@ -206,7 +206,7 @@
 		next.runnableAt = now
 		s.enqueue(next)
 	}
-	if o.left == 0 {
+	if o.stepsLeft == 0 {
 		s.occurrenceDone(now, o)
 	}
 }
@@ -233,10 +233,10 @@
 	j.state = state
 	j.endedAt = now
 	if j.held {
-		defer s.settle(now, j.spec.ID)
+		defer s.processDeferred(now, j.spec.ID)
 	}
-	delete(s.timed, j.spec.ID)
-	s.touch(j)
+	delete(s.timedJobs, j.spec.ID)
+	s.markDirty(j)
 	s.logf(Decision{Event: EventJobEnded, Job: j.spec.ID, Reason: string(state) + ": " + reason, Age: now - j.submittedAt, Value: j.objective.Seconds()})
 	for _, number := range slices.Sorted(maps.Keys(j.occs)) {
 		o := j.occs[number]
@@ -277,8 +277,8 @@
 	return batch.Queued, true
 }
 
-// Waiting counts the jobs of a queue of which nothing has started.
-func (s *Scheduler) Waiting(queue string) int {
+// WaitingJobs counts the jobs of a queue of which nothing has started.
+func (s *Scheduler) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range s.jobs {
 		if j.queue == queue && !j.started && !j.state.Final() {
@@ -288,8 +288,8 @@
 	return n
 }
 
-// touch marks a job whose record has to be written.
-func (s *Scheduler) touch(j *job) {
+// markDirty marks a job whose record has to be written.
+func (s *Scheduler) markDirty(j *job) {
 	j.version++
-	s.dirty[j.spec.ID] = j
+	s.dirtyJobs[j.spec.ID] = j
 }
--- a/internal/scheduler/judgedends.go
+++ b/internal/scheduler/judgedends.go
@@ -69,13 +69,13 @@
 		return nil
 	}
 	end := v.end(now)
-	s.ends[start] = end
+	s.recentVMEnds[start] = end
 	if v.inst.Draining || v.closed {
 		s.clearDoubts(start)
 		return nil
 	}
 	e := &judgedEnd{start: start, end: end, judgeAt: end.noticedAt + judgedAfter, trials: map[int64]endInTrial{}}
-	s.judgedEnds = append(s.judgedEnds, e)
+	s.classifiedVMEnds = append(s.classifiedVMEnds, e)
 	return e
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	justBegun := e.end.closed && e.end.noticedAt-r.confirmedAt < begunJustBefore
-	if r.confirmedAt > 0 && (r.trial || (r.last && justBegun && !r.vm.mayBegin(r))) {
+	if r.confirmedAt > 0 && (r.isTrial || (r.exclusive && justBegun && !r.vm.mayBegin(r))) {
 		e.trials[r.number] = endInTrial{justBegun: justBegun, beside: e.end.freshBeside(r.task)}
 	}
 	if e.judged {
@@ -98,7 +98,7 @@
 // mayBegin reports whether a run other than r may have begun on the VM at any moment: its
 // start has no answer.
 func (v *vm) mayBegin(r *run) bool {
-	return slices.ContainsFunc(v.ordered, func(o *run) bool { return o != r && o.begun && o.confirmedAt == 0 })
+	return slices.ContainsFunc(v.runList, func(o *run) bool { return o != r && o.startSent && o.confirmedAt == 0 })
 }
 
 // concludeEarlierDoubts takes in that starts of a VM have ended on which runs were doubted,
@@ -106,8 +106,8 @@
 // all where none does.
 func (s *Scheduler) concludeEarlierDoubts(now Time, v *vm) {
 	var ended []vmStart
-	for start := range s.doubts {
-		if start.id == v.inst.ID && (!v.heard || !v.mayBe(start.born)) && !s.toBeJudged(start) {
+	for start := range s.unconfirmedCrashes {
+		if start.id == v.inst.ID && (!v.hasReported || !v.mayBe(start.born)) && !s.toBeJudged(start) {
 			ended = append(ended, start)
 		}
 	}
@@ -128,24 +128,24 @@
 }
 
 func (s *Scheduler) toBeJudged(start vmStart) bool {
-	return slices.ContainsFunc(s.judgedEnds, func(e *judgedEnd) bool { return e.start == start && !e.judged })
+	return slices.ContainsFunc(s.classifiedVMEnds, func(e *judgedEnd) bool { return e.start == start && !e.judged })
 }
 
 // awaitsJudgement reports whether the task's next start has to wait until it is known what
 // the ends of its VMs say of it. After a first one it is started again at once.
 func (s *Scheduler) awaitsJudgement(t *task) bool {
 	return len(t.crashes) > 1 && slices.ContainsFunc(t.crashes, func(c crash) bool {
-		return c.kind == crashDoubted && c.run != t.intended && s.toBeJudged(c.vm)
+		return c.kind == crashDoubted && c.run != t.intendedRun && s.toBeJudged(c.vm)
 	})
 }
 
 // judgeEnds judges the ends whose time has come, and those of which it is known already
 // whether many VMs ended together: what was new there need not wait.
 func (s *Scheduler) judgeEnds(now Time) {
-	if len(s.judgedEnds) == 0 {
+	if len(s.classifiedVMEnds) == 0 {
 		return
 	}
-	for _, e := range s.judgedEnds {
+	for _, e := range s.classifiedVMEnds {
 		if e.judged {
 			continue
 		}
@@ -154,13 +154,13 @@
 			s.judgeEnd(now, e)
 		}
 	}
-	s.judgedEnds = slices.DeleteFunc(s.judgedEnds, func(e *judgedEnd) bool { return now-e.judgeAt > endsKept })
+	s.classifiedVMEnds = slices.DeleteFunc(s.classifiedVMEnds, func(e *judgedEnd) bool { return now-e.judgeAt > endsKept })
 }
 
 // outlived reports whether all other VMs have been heard since the end.
 func (s *Scheduler) outlived(e *judgedEnd) bool {
-	for _, v := range s.order {
-		if v.inst.ID != e.start.id && v.heardAt <= e.end.noticedAt && !s.hasEnded(v.thisStart()) {
+	for _, v := range s.vmList {
+		if v.inst.ID != e.start.id && v.lastReportAt <= e.end.noticedAt && !s.hasEnded(v.thisStart()) {
 			return false
 		}
 	}
@@ -175,7 +175,7 @@
 	case s.storm(now, e.start):
 		e.kind = crashStorm
 	}
-	e.runs = maps.Clone(s.doubts[e.start])
+	e.runs = maps.Clone(s.unconfirmedCrashes[e.start])
 	s.concludeDoubts(now, e.start, func(c *crash) crashKind { return e.verdictOn(c.run) })
 }
 
@@ -184,16 +184,16 @@
 // were judged by these are judged again.
 func (s *Scheduler) accuse(now Time, t *task) {
 	found := false
-	for start, e := range s.ends {
+	for start, e := range s.recentVMEnds {
 		if !e.bySuspect && slices.Contains(e.fresh, t) {
 			e.bySuspect, found = true, true
-			s.ends[start] = e
+			s.recentVMEnds[start] = e
 		}
 	}
 	if !found {
 		return
 	}
-	for _, e := range slices.Clone(s.judgedEnds) {
+	for _, e := range slices.Clone(s.classifiedVMEnds) {
 		if !e.judged || e.busy == 0 {
 			continue
 		}
@@ -207,7 +207,7 @@
 // acquit takes in that a task has run on a VM without ending it: where it had just begun beside
 // another one's trial, it did not end that VM either.
 func (s *Scheduler) acquit(now Time, t *task) {
-	for _, e := range slices.Clone(s.judgedEnds) {
+	for _, e := range slices.Clone(s.classifiedVMEnds) {
 		if e.acquit(t) && e.judged {
 			s.judgeAgain(now, e)
 		}
@@ -227,7 +227,7 @@
 // answersAgain takes in that a start of a VM lives that had left holds unanswered: it did not end
 // with those that did meanwhile.
 func (s *Scheduler) answersAgain(now Time, start vmStart) {
-	for _, e := range slices.Clone(s.judgedEnds) {
+	for _, e := range slices.Clone(s.classifiedVMEnds) {
 		if i := slices.Index(e.unsure, start); e.judged && i >= 0 {
 			e.unsure = slices.Delete(e.unsure, i, i+1)
 			e.others--
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -30,7 +30,7 @@
 		f.plan()
 	}
 	o := f.last(task)
-	require.True(f.t, f.s.Begin(f.now, o))
+	require.True(f.t, f.s.PrepareStart(f.now, o))
 	f.confirm(o)
 	return o.Instance.ID
 }
@@ -68,7 +68,7 @@
 // to have ended before holds to the others had failed.
 func TestEndIsComparedWithThoseThatAreSeenLater(t *testing.T) {
 	f := newFixture(t, 5)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.suspect("j")
 	vm := f.startFirst()
@@ -87,7 +87,7 @@
 // Guards against waits that serve nothing: an end is judged as soon as all others are heard.
 func TestEndIsJudgedOnceAllOthersAreHeard(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.suspect("j")
 	vm := f.startFirst()
@@ -96,7 +96,7 @@
 	f.s.Gone(f.now, vm, "another instance answers")
 	f.advance(50 * time.Millisecond)
 	for _, other := range f.othersOf(vm) {
-		f.hear(other, batch.Report{})
+		f.report(other, batch.Report{})
 	}
 	f.s.Tend(f.now)
 	require.Equal(t, []crashKind{crashAlone}, f.kinds())
@@ -107,14 +107,14 @@
 func TestUnheardVMsThatEndAreAStorm(t *testing.T) {
 	f := newFixture(t, 6)
 	for _, inst := range f.list[:3] {
-		f.hear(inst.ID, batch.Report{})
+		f.report(inst.ID, batch.Report{})
 	}
 	f.s.Gone(f.now, "vm03", "machine ended it")
 	f.s.Gone(f.now, "vm04", "machine ended it")
 	f.s.Gone(f.now, "vm05", "machine ended it")
 	f.advance(5 * time.Second)
 	for _, inst := range f.list[:3] {
-		f.hear(inst.ID, batch.Report{})
+		f.report(inst.ID, batch.Report{})
 	}
 	f.submit("j", tasks(1, 1000))
 	vm := f.startFirst()
@@ -128,7 +128,7 @@
 // Guards against both: four ends in storms do not give a job up, twice as many do.
 func TestEndsInStormsCountHalf(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
 	for n := range int64(stormWeight * crashesInAll) {
@@ -143,12 +143,12 @@
 // VM of its own in time learned nothing by its start, though its VM ended as it began.
 func TestLastToBeginIsTriedBesideOthers(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.suspect("j")
 	vm := f.startFirst()
 	// As where its patience was over: something else is new there.
-	f.s.vms[vm].runs[f.last("j.0.0.0").Task].trial = false
+	f.s.vms[vm].runs[f.last("j.0.0.0").Task].isTrial = false
 	f.advance(50 * time.Millisecond)
 	f.endsNow(vm)
 	f.s.Gone(f.now, vm, "machine ended it")
@@ -162,11 +162,11 @@
 func TestOneOfTwoThatBeginInAStormIsNotTried(t *testing.T) {
 	for beside, want := range map[string]crashKind{"": crashAlone, "k": crashPaired} {
 		f := newFixture(t, 3)
-		f.hear("vm00", batch.Report{})
+		f.report("vm00", batch.Report{})
 		f.s.Gone(f.now, "vm01", "machine ended it")
 		f.s.Gone(f.now, "vm02", "machine ended it")
 		f.advance(5 * time.Second)
-		f.hear("vm00", batch.Report{})
+		f.report("vm00", batch.Report{})
 		f.submit("j", tasks(1, 1000))
 		if beside != "" {
 			f.submit(beside, tasks(1, 1000))
@@ -174,11 +174,11 @@
 		vm := f.startFirst()
 		if beside != "" {
 			o := f.last(beside + ".0.0.0")
-			require.True(t, f.s.Begin(f.now, o))
+			require.True(t, f.s.PrepareStart(f.now, o))
 			f.confirm(o)
 		}
 		// As where it is a suspect whose patience was over.
-		f.s.vms[vm].runs[f.last("j.0.0.0").Task].last = true
+		f.s.vms[vm].runs[f.last("j.0.0.0").Task].exclusive = true
 		f.advance(50 * time.Millisecond)
 		f.endsNow(vm)
 		f.s.Gone(f.now, vm, "machine ended it")
@@ -187,7 +187,7 @@
 		require.Equal(t, []crashKind{want}, f.kinds(), "beside %q", beside)
 		if beside != "" {
 			// The other one runs well elsewhere: then it was this one.
-			f.s.noteToldEnd(f.now, f.taskOf(beside), &batch.RunEnd{Kind: batch.EndDone})
+			f.s.clearCrashesOnEnd(f.now, f.taskOf(beside), &batch.RunEnd{Kind: batch.EndDone})
 			require.Equal(t, []crashKind{crashAlone}, f.kinds())
 		}
 	}
@@ -197,7 +197,7 @@
 // up, with one more in doubt of the moment it does.
 func TestEndBesideAnotherCountsOnceAndAHalf(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
 	for n, kind := range []crashKind{crashShared, crashPaired, crashAlone} {
@@ -240,7 +240,7 @@
 // as its VM ended live.
 func TestVMsThatAnswerAgainDidNotEndWithAnother(t *testing.T) {
 	f := newFixture(t, 4)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	vm := f.startFirst()
@@ -253,7 +253,7 @@
 	f.s.Gone(f.now, vm, "another instance answers")
 	require.Equal(t, []crashKind{crashMass}, f.kinds())
 	f.advance(300 * time.Millisecond)
-	f.hear(silent[0], batch.Report{})
+	f.report(silent[0], batch.Report{})
 	require.Equal(t, []crashKind{crashShared}, f.kinds())
 }
 
@@ -262,21 +262,21 @@
 func TestDoubtAboutARunThatHadLivedCountsHalf(t *testing.T) {
 	for lived, kind := range map[time.Duration]crashKind{0: crashShared, begunJustBefore: crashUnseen} {
 		f := newFixture(t, 2)
-		f.hearAll(nil)
+		f.reportAll(nil)
 		f.submit("j", tasks(1, 1000))
 		f.plan()
 		vm := f.startFirst()
 		f.advance(lived)
-		f.hear(vm, runs(f.last("j.0.0.0")))
+		f.report(vm, runningReport(f.last("j.0.0.0")))
 		for range doubtAfter {
 			f.s.Unanswered(f.now, vm, false)
 		}
 		news := f.s.UnrecordedCrashes()
 		records := f.write()
 
-		next := successor(t, 2)
+		next := newSuccessorFixture(t, 2)
 		next.s.Submit(next.now, Submission{
-			Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{tasks(1, 1000)}}, Queue: testQueue, Pool: "pool", Existed: true, Progress: records["j"], Record: 1,
+			Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{tasks(1, 1000)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: records["j"], RecordRevision: 1,
 		})
 		require.Equal(t, []crashKind{crashDoubted}, next.kinds())
 		next.s.Gone(next.now, vm, "machine ended it")
@@ -294,7 +294,7 @@
 // started its task there, one after the other, and neither saw what became of it.
 func TestOneEndOfAVMCountsOnce(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
 	for n := range int64(crashesInAll - 1) {
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -18,10 +18,10 @@
 // taken to be over.
 const leaseMargin = 300 * time.Millisecond
 
-// leaseOver is how long after its start a lease of the given length is certainly
+// leaseExpiry is how long after its start a lease of the given length is certainly
 // over: a VM's clock may be slow.
 func leaseOver(length time.Duration) time.Duration {
-	return time.Duration(float64(length)/slowClock) + leaseMargin
+	return time.Duration(float64(length)/minClockRate) + leaseMargin
 }
 
 // SilentFor is how long after its election a leader has to wait for an instance that
@@ -32,7 +32,7 @@
 }
 
 // drainingLease is the lease of an instance that leaves: what it held can be started
-// again so soon after it has left, instead of longestLease. Three holds fit in.
+// again so soon after it has left, instead of maxLeaseDuration. Three holds fit in.
 const drainingLease = 3 * time.Second
 
 // leaseFor is how long a lease is taken for on v. The first one is a whole one: it
@@ -51,7 +51,7 @@
 func (v *vm) renew(now Time, length time.Duration) time.Duration {
 	v.leaseUntil = max(v.leaseUntil, v.clock.value+(now-v.clock.gotAt)+length)
 	over := v.clock.gotAt + leaseOver(v.leaseUntil-v.clock.value)
-	v.leaseOver = max(v.leaseOver, over)
+	v.leaseExpiry = max(v.leaseExpiry, over)
 	return v.leaseUntil
 }
 
@@ -67,11 +67,11 @@
 // certainly learned that it is one. Jobs that come later than that need not wait.
 func (s *Scheduler) Expect(ids []string, until Time) {
 	for _, id := range ids {
-		if v := s.vms[id]; v == nil || !v.heard {
-			s.silent[id] = until
+		if v := s.vms[id]; v == nil || !v.hasReported {
+			s.awaitedVMs[id] = until
 		}
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
 // Led notes that no other leader can have been elected before a moment: a renewal of
@@ -80,34 +80,34 @@
 // VM's lease is over: a successor may have heard the VM and renewed it, or have
 // acknowledged what ended there.
 func (s *Scheduler) Led(at Time) {
-	if at > s.ledAt {
-		s.ledAt = at
-		s.changed = true
+	if at > s.leadConfirmedAt {
+		s.leadConfirmedAt = at
+		s.planNeeded = true
 	}
 }
 
 // startable reports whether the task may be started as far as its earlier runs go.
 func (s *Scheduler) startable(now Time, t *task) bool {
-	return now >= t.notBefore && t.lostAt <= s.ledAt && t.crashesDurable() && !s.awaitsJudgement(t)
+	return now >= t.notBefore && t.lostAt <= s.leadConfirmedAt && t.crashesDurable() && !s.awaitsJudgement(t)
 }
 
 // NewSince notes a revision of the store that was read DeposedWithin after the election
 // or later: an earlier leader takes up no job that was created after it.
-func (s *Scheduler) NewSince(revision int64) { s.newSince = revision }
+func (s *Scheduler) NewSince(revision int64) { s.newJobsRevision = revision }
 
 // mayBeOlder reports whether an earlier leader may have taken a job up that was created
 // at a revision of the store. The time of day does not tell: clocks differ by seconds.
 func (s *Scheduler) mayBeOlder(created int64) bool {
-	return s.newSince == 0 || created == 0 || created <= s.newSince
+	return s.newJobsRevision == 0 || created == 0 || created <= s.newJobsRevision
 }
 
 // ExpectUntil shortens the wait for silent instances: all earlier leaders have told
 // until when leases of theirs may last. What they do not name has none.
 func (s *Scheduler) ExpectUntil(until map[string]Time) {
-	for id, latest := range s.silent {
-		s.silent[id] = min(latest, until[id])
+	for id, latest := range s.awaitedVMs {
+		s.awaitedVMs[id] = min(latest, until[id])
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
 // LeasesOver returns when the leases on each instance are certainly over, be they this
@@ -117,7 +117,7 @@
 	for id, v := range s.vms {
 		over[id] = s.leasesOver(v)
 	}
-	for id, until := range s.silent {
+	for id, until := range s.awaitedVMs {
 		over[id] = max(over[id], until)
 	}
 	return over
@@ -149,10 +149,10 @@
 // successor needs it to tell the ends that such a VM tells later from those of runs that
 // count.
 func (s *Scheduler) LapsedRuns() map[string]Lapsed {
-	all := maps.Clone(s.lapsed)
+	all := maps.Clone(s.expiredLeases)
 	for id, v := range s.vms {
-		if v.lapsedRun > 0 {
-			all[id] = Lapsed{Run: v.lapsedRun, Born: v.born}
+		if v.maxExpiredRun > 0 {
+			all[id] = Lapsed{Run: v.maxExpiredRun, Born: v.born}
 		}
 	}
 	return all
@@ -162,7 +162,7 @@
 func (s *Scheduler) RestoreLapsed(lapsed map[string]Lapsed) {
 	for id, l := range lapsed {
 		s.keepLapsed(id, l)
-		if v := s.vms[id]; v != nil && v.heard {
+		if v := s.vms[id]; v != nil && v.hasReported {
 			s.recallLapsed(v)
 		}
 	}
@@ -171,41 +171,41 @@
 // recallLapsed takes what was kept of a VM that is heard. What was known of another start
 // of it does not hold.
 func (s *Scheduler) recallLapsed(v *vm) {
-	l, kept := s.lapsed[v.inst.ID]
+	l, kept := s.expiredLeases[v.inst.ID]
 	if !kept {
 		return
 	}
-	delete(s.lapsed, v.inst.ID)
+	delete(s.expiredLeases, v.inst.ID)
 	if v.mayBe(l.Born) {
-		v.lapsedRun = max(v.lapsedRun, l.Run)
+		v.maxExpiredRun = max(v.maxExpiredRun, l.Run)
 	}
 }
 
-// keepLapsed keeps the lapsedRun of an instance that is not known, or not heard, instead of
+// keepLapsed keeps the maxExpiredRun of an instance that is not known, or not heard, instead of
 // the oldest one where there are too many.
 func (s *Scheduler) keepLapsed(id string, l Lapsed) {
-	s.lapsed[id] = l
-	if len(s.lapsed) <= mostLapsed {
+	s.expiredLeases[id] = l
+	if len(s.expiredLeases) <= mostLapsed {
 		return
 	}
 	oldest := id
-	for other, n := range s.lapsed {
-		if n.Run < s.lapsed[oldest].Run || (n.Run == s.lapsed[oldest].Run && other < oldest) {
+	for other, n := range s.expiredLeases {
+		if n.Run < s.expiredLeases[oldest].Run || (n.Run == s.expiredLeases[oldest].Run && other < oldest) {
 			oldest = other
 		}
 	}
-	delete(s.lapsed, oldest)
+	delete(s.expiredLeases, oldest)
 }
 
 // lapse counts what runs on v as ended: every lease there is over.
 func (s *Scheduler) lapse(now Time, v *vm) {
-	if v.lapsedLease != v.leaseOver {
+	if v.expiredLeaseEnd != v.leaseExpiry {
 		// Nothing can have begun there since.
-		v.lapsedLease, v.lapsedRun = v.leaseOver, s.nextRun
+		v.expiredLeaseEnd, v.maxExpiredRun = v.leaseExpiry, s.nextRun
 		s.doubtNewRuns(now, v)
 		s.clearUnwanted(v)
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if now > s.overAt(r) {
 			s.dropRun(now, r, "lease over")
 		}
@@ -216,18 +216,18 @@
 // certainly ended what they ran.
 func (s *Scheduler) waitOutSilent(now Time) {
 	var over []string
-	for id, until := range s.silent {
-		if min(now, s.ledAt) > until {
+	for id, until := range s.awaitedVMs {
+		if min(now, s.leadConfirmedAt) > until {
 			over = append(over, id)
 		}
 	}
 	slices.Sort(over)
 	for _, id := range over {
-		delete(s.silent, id)
-		s.changed, s.endedUnheard = true, true
+		delete(s.awaitedVMs, id)
+		s.planNeeded, s.endedUnreported = true, true
 		d := Decision{Event: EventVMWaitedOut, VM: id}
 		if v := s.vms[id]; v != nil {
-			v.lapsedRun = s.nextRun
+			v.maxExpiredRun = s.nextRun
 			d = v.lifeDecision(now, EventVMWaitedOut, "")
 		}
 		s.logf(d)
@@ -237,7 +237,7 @@
 
 // awaited reports whether an instance may still run what an earlier leader started.
 func (s *Scheduler) awaited(id string) bool {
-	_, ok := s.silent[id]
+	_, ok := s.awaitedVMs[id]
 	return ok
 }
 
--- a/internal/scheduler/lifetimes.go
+++ b/internal/scheduler/lifetimes.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// newFor is how long after its start was confirmed a run counts as new: what ends its VM
+// recentRunDuration is how long after its start was confirmed a run counts as new: what ends its VM
 // as it begins has done so by then.
-const newFor = time.Second
+const recentRunDuration = time.Second
 
-// lived is how long the run is known to have run.
-func (r *run) lived() time.Duration {
+// minLifetime is how long the run is known to have run.
+func (r *run) minLifetime() time.Duration {
 	if r.confirmedAt == 0 {
 		return 0
 	}
 	return max(0, r.listedAt-r.confirmedAt)
 }
 
-// livedAtMost is the longest that the run can have run, if its VM has ended.
-func (r *run) livedAtMost(now Time) time.Duration {
+// maxLifetime is the longest that the run can have run, if its VM has ended.
+func (r *run) maxLifetime(now Time) time.Duration {
 	until := now
-	if r.vm.unansweredAt > 0 {
-		until = r.vm.unansweredAt
+	if r.vm.firstUnansweredAt > 0 {
+		until = r.vm.firstUnansweredAt
 	}
 	return max(0, until-r.orderedAt)
 }
 
-// isNew reports whether the run is not known to have lived for newFor.
-func (r *run) isNew() bool { return r.lived() < newFor }
+// isRecent reports whether the run is not known to have lived for recentRunDuration.
+func (r *run) isRecent() bool { return r.minLifetime() < recentRunDuration }
 
-func (v *vm) newRuns() int {
+func (v *vm) recentRuns() int {
 	n := 0
-	for _, r := range v.ordered {
-		if r.isNew() {
+	for _, r := range v.runList {
+		if r.isRecent() {
 			n++
 		}
 	}
 	return n
 }
 
-// noteAlive notes that a VM has the run still. One that has lived for newFor has not ended
+// recordAlive notes that a VM has the run still. One that has lived for recentRunDuration has not ended
 // its VM.
-func (s *Scheduler) noteAlive(now Time, r *run) {
+func (s *Scheduler) recordAlive(now Time, r *run) {
 	r.listedAt = now
 	s.clearCrash(r.task, r.number)
-	if !r.isNew() {
+	if !r.isRecent() {
 		s.clearCrashes(now, r.task)
 		s.endTrial(r)
 	}
--- a/internal/scheduler/lifetimes_test.go
+++ b/internal/scheduler/lifetimes_test.go
@@ -10,14 +10,14 @@
 // Tasks were lost with VM after VM, and the log could not tell whether they had ended
 // the VMs or were there by chance: it had the time from the order to the conclusion,
 // two seconds each, not how long the runs had run.
-func TestLostRunTellsHowLongItLived(t *testing.T) {
+func TestLostRunReportsLifetime(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("old", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("old.0.0.0"))
 	f.advance(3 * time.Second)
-	f.hear("vm00", runs(f.last("old.0.0.0")))
+	f.report("vm00", runningReport(f.last("old.0.0.0")))
 	f.submit("new", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("new.0.0.0"))
@@ -33,29 +33,29 @@
 		case EventRunLost:
 			lost[d.Task.Job] = d
 		case EventVMGone:
-			require.Equal(t, 1, d.NewRuns)
+			require.Equal(t, 1, d.RecentRuns)
 		}
 	}
-	require.Equal(t, 3*time.Second, lost["old"].Lived)
-	require.Equal(t, 3013*time.Millisecond, lost["old"].LivedAtMost)
-	require.Zero(t, lost["new"].Lived)
-	require.Equal(t, 13*time.Millisecond, lost["new"].LivedAtMost)
+	require.Equal(t, 3*time.Second, lost["old"].MinLifetime)
+	require.Equal(t, 3013*time.Millisecond, lost["old"].MaxLifetime)
+	require.Zero(t, lost["new"].MinLifetime)
+	require.Equal(t, 13*time.Millisecond, lost["new"].MaxLifetime)
 }
 
 // A hold that failed by chance is no sign once the VM has answered again.
-func TestAnswerEndsSilence(t *testing.T) {
+func TestReportClearsUnansweredHolds(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
 	f.s.Unanswered(f.now, "vm00", true)
 	f.advance(time.Second)
-	f.hear("vm00", runs(f.last("j.0.0.0")))
+	f.report("vm00", runningReport(f.last("j.0.0.0")))
 	f.advance(time.Second)
 	f.s.Gone(f.now, "vm00", "machine ended it")
 	last := f.log[len(f.log)-1]
 	require.Equal(t, EventRunLost, last.Event)
-	require.Equal(t, 2*time.Second, last.LivedAtMost)
-	require.Equal(t, time.Second, last.Lived)
+	require.Equal(t, 2*time.Second, last.MaxLifetime)
+	require.Equal(t, time.Second, last.MinLifetime)
 }
--- a/internal/scheduler/lives.go
+++ b/internal/scheduler/lives.go
@@ -30,7 +30,7 @@
 	return false
 }
 
-func (v *vm) doubtful(now Time) bool { return now-v.heardAt > livesAfter }
+func (v *vm) doubtful(now Time) bool { return now-v.lastReportAt > livesAfter }
 
 // SetLives takes over which instances live by the machine service's list, which was
 // asked for at askedAt. It runs the machines: an instance that it does not name as the
@@ -46,14 +46,14 @@
 	if !s.believable(now, up) {
 		return
 	}
-	for _, v := range slices.Clone(s.order) {
+	for _, v := range slices.Clone(s.vmList) {
 		id := v.inst.ID
 		switch {
-		case up[id] || v.heardAt >= askedAt || !v.doubtful(now):
-			v.missedAt = 0
-		case v.missedAt == 0:
-			v.missedAt = askedAt
-		case askedAt-v.missedAt >= missedFor && !v.startsUnderWay(now):
+		case up[id] || v.lastReportAt >= askedAt || !v.doubtful(now):
+			v.missingSince = 0
+		case v.missingSince == 0:
+			v.missingSince = askedAt
+		case askedAt-v.missingSince >= missedFor && !v.startsUnderWay(now):
 			s.Gone(now, id, "machine ended it")
 		}
 	}
@@ -62,8 +62,8 @@
 // startsUnderWay reports whether a start may arrive that was ordered from the VM: if its
 // machine has just begun another under the same ID, that one takes it.
 func (v *vm) startsUnderWay(now Time) bool {
-	return v.mayRestart() && slices.ContainsFunc(v.ordered, func(r *run) bool {
-		return r.begun && r.confirmedAt == 0 && now-r.begunAt < orderTravel
+	return v.mayRestart() && slices.ContainsFunc(v.runList, func(r *run) bool {
+		return r.startSent && r.confirmedAt == 0 && now-r.startSentAt < orderTravel
 	})
 }
 
@@ -71,7 +71,7 @@
 func (s *Scheduler) believable(now Time, up map[string]bool) bool {
 	living, named := 0, 0
 	for id, v := range s.vms {
-		if !v.heard || v.doubtful(now) {
+		if !v.hasReported || v.doubtful(now) {
 			continue
 		}
 		living++
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -25,7 +25,7 @@
 // for a while.
 func unheardVM(t *testing.T) (f *fixture, first Order, others []string) {
 	f = newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	first = f.last("j.0.0.0")
@@ -37,7 +37,7 @@
 	}
 	f.advance(livesAfter + time.Millisecond)
 	for _, id := range others {
-		f.hear(id, batch.Report{})
+		f.report(id, batch.Report{})
 	}
 	return f, first, others
 }
@@ -67,7 +67,7 @@
 		f.lives(append(others, first.Instance.ID)...)
 		f.advance(missedFor)
 		for _, id := range others {
-			f.hear(id, batch.Report{})
+			f.report(id, batch.Report{})
 		}
 		f.s.Tend(f.now)
 		f.plan()
@@ -87,7 +87,7 @@
 		},
 		"old": func(f *fixture, first Order, others []string) {
 			v := f.s.vms[first.Instance.ID]
-			f.s.SetLives(f.now, v.heardAt-time.Millisecond, machinesOf(others...))
+			f.s.SetLives(f.now, v.lastReportAt-time.Millisecond, machinesOf(others...))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,9 +105,9 @@
 // A machine that is down, or that another life runs on, has ended the one before; so
 // have VMs of earlier leaders that a new one has yet to hear.
 func TestEarlierLifeOfAMachineIsNotWaitedFor(t *testing.T) {
-	f := cutOff(t)
+	f := newCutOffFixture(t)
 	f.advance(livesAfter + time.Millisecond)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	list := append(machinesOf("vm00", "new life"), batch.Machine{Name: "m-cut", State: batch.MachineDown, Instance: "cut"})
 	f.s.SetLives(f.now, f.now, list)
 	f.advance(missedFor)
@@ -121,12 +121,12 @@
 // wait for it, and hold all older jobs back, for as long as for one that is cut off.
 func TestVMThatLeftIsNotRecorded(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
-	f.hearAll(nil)
+	f.reportAll(nil)
+	f.reportAll(nil)
 	f.s.SetInstances(f.now, f.list[:1])
 	require.Contains(t, f.s.Recorded(f.now), "vm01", "its lease may live")
 	f.advance(leaseOver(f.s.settings.Lease()) + time.Second)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	require.NotContains(t, f.s.Recorded(f.now), "vm01")
 	require.Contains(t, f.s.Recorded(f.now), "vm00")
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -14,7 +14,7 @@
 	capacity int64
 	// lasting and short are the declared processors of the tasks that hold some.
 	lasting, short int64
-	// fillersAsk is what the running fillers would use at their pace, fillersUse
+	// fillersAsk is what the running fillers would use at their pace, fillerFullUse
 	// what they were last seen to use.
 	fillersAsk, fillersUse float64
 	// saturated counts the VMs whose fillers use less than they ask for, filled
@@ -31,8 +31,8 @@
 // measureLoad sums the VMs' last reports up.
 func (s *Scheduler) measureLoad() load {
 	var l load
-	for _, v := range s.order {
-		if v.heard {
+	for _, v := range s.vmList {
+		if v.hasReported {
 			l.add(v)
 		}
 	}
@@ -52,7 +52,7 @@
 			l.saturated++
 		}
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if !r.task.step.spec.Serves() || !r.hasUsage {
 			continue
 		}
@@ -66,12 +66,12 @@
 // measuredFillers sums what the VM's fillers would use at their pace and what they were
 // seen to use, over those that have told a figure.
 func (v *vm) measuredFillers() (ask, use float64) {
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if !spec.Filler || !r.hasUsage || r.state != running {
 			continue
 		}
-		ask += float64(spec.Need.MilliCPU) * float64(r.paced) / 100
+		ask += float64(spec.Need.MilliCPU) * float64(r.orderedPace) / 100
 		use += r.usage
 	}
 	return ask, use
--- a/internal/scheduler/model.go
+++ b/internal/scheduler/model.go
@@ -1,32 +1,32 @@
 package scheduler
 
-// Model is what a leader has learned of interference, for its successor: without
+// InterferenceModel is what a leader has learned of interference, for its successor: without
 // it every change of leader would begin with some ten seconds of fillers placed
 // beside tasks that mind them.
-type Model struct {
+type InterferenceModel struct {
 	// Images are the filler images, in the order of the vectors below, where the
 	// constant term comes before them.
 	Images []string `json:"images"`
 	// Pairs holds the evidence on each serving image.
-	Pairs map[string]Evidence `json:"pairs"`
+	Pairs map[string]NormalEquations `json:"pairs"`
 }
 
-// Evidence is the normal equations of one serving image's regression. Single
+// NormalEquations is the normal equations of one serving image's regression. Single
 // precision is enough: the figures are rough and a quarter as long.
-type Evidence struct {
+type NormalEquations struct {
 	A [][]float32 `json:"a"`
 	B []float32   `json:"b"`
 }
 
-// Model returns what was learned so far.
-func (s *Scheduler) Model() Model {
+// InterferenceModel returns what was learned so far.
+func (s *Scheduler) InterferenceModel() InterferenceModel {
 	n := s.images.places()
-	m := Model{Images: make([]string, n-1), Pairs: map[string]Evidence{}}
+	m := InterferenceModel{Images: make([]string, n-1), Pairs: map[string]NormalEquations{}}
 	for image, i := range s.images.index {
 		m.Images[i-1] = image
 	}
 	for serving, p := range s.images.pairs {
-		e := Evidence{A: make([][]float32, n), B: make([]float32, n)}
+		e := NormalEquations{A: make([][]float32, n), B: make([]float32, n)}
 		for i := range n {
 			e.A[i] = make([]float32, n)
 			for k := range n {
@@ -39,8 +39,8 @@
 	return m
 }
 
-// SetModel takes over what an earlier leader learned.
-func (s *Scheduler) SetModel(m Model) {
+// SetInterferenceModel takes over what an earlier leader learned.
+func (s *Scheduler) SetInterferenceModel(m InterferenceModel) {
 	n := min(len(m.Images)+1, terms)
 	s.images = newImages()
 	for i := range n - 1 {
--- a/internal/scheduler/nextstart_test.go
+++ b/internal/scheduler/nextstart_test.go
@@ -15,7 +15,7 @@
 	f := newFixture(t, vms)
 	f.reborn(1)
 	for _, inst := range f.list {
-		f.hear(inst.ID, batch.Report{Born: 1})
+		f.report(inst.ID, batch.Report{Born: 1})
 	}
 	return f
 }
@@ -23,16 +23,16 @@
 // answer delivers a report of a VM that may have started again, and the next one, of a hold with
 // a higher fencing token, where it has.
 func (f *fixture) answer(vm string, rep batch.Report) {
-	f.s.Heard(f.now, f.now, vm, rep)
-	if f.s.vms[vm].guarded {
+	f.s.HandleReport(f.now, f.now, vm, rep)
+	if f.s.vms[vm].fenced {
 		return
 	}
 	if f.s.WantsToken() {
-		f.s.RaiseToken(f.s.token + 1)
+		f.s.RaiseToken(f.s.maxToken + 1)
 	}
 	_, ok := f.s.Hold(f.now, vm, time.Second)
 	require.True(f.t, ok)
-	f.s.Heard(f.now, f.now, vm, rep)
+	f.s.HandleReport(f.now, f.now, vm, rep)
 }
 
 // reborn lists all VMs with another birth.
@@ -50,7 +50,7 @@
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
-	require.True(t, f.s.Begin(f.now, o))
+	require.True(t, f.s.PrepareStart(f.now, o))
 	f.advance(100 * time.Millisecond)
 	f.answer("vm00", batch.Report{Born: 2, Clock: 10 * time.Millisecond})
 	f.reborn(2)
@@ -81,12 +81,12 @@
 		other = f.list[1].ID
 	}
 	f.advance(200 * time.Millisecond)
-	require.True(t, f.s.Begin(f.now, o))
+	require.True(t, f.s.PrepareStart(f.now, o))
 	given := f.now
 	f.s.Started(f.now, f.now, o, 0, "", true)
 	for f.now < given+f.s.settings.MaxLease {
 		f.advance(100 * time.Millisecond)
-		f.hear(other, batch.Report{Born: 1})
+		f.report(other, batch.Report{Born: 1})
 		f.s.Tend(f.now)
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], 1, "started again %v after the order", f.now-given)
@@ -126,7 +126,7 @@
 // start has not seen it, and takes orders of the leader before.
 func TestNewStartGetsNoWorkBeforeTheLeadIsConfirmed(t *testing.T) {
 	f := bornFixture(t, 1)
-	f.s.ledAt = f.now
+	f.s.leadConfirmedAt = f.now
 	f.advance(time.Second)
 	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.reborn(2)
@@ -142,15 +142,15 @@
 // start of it has runs and leases of its own.
 func TestLapsedRunsAreThoseOfOneStart(t *testing.T) {
 	f := bornFixture(t, 1)
-	f.s.vms["vm00"].lapsedRun = 9
+	f.s.vms["vm00"].maxExpiredRun = 9
 	next := newFixture(t, 1)
 	next.s.RestoreLapsed(f.s.LapsedRuns())
-	next.hear("vm00", batch.Report{Born: 2})
-	require.Zero(t, next.s.vms["vm00"].lapsedRun)
+	next.report("vm00", batch.Report{Born: 2})
+	require.Zero(t, next.s.vms["vm00"].maxExpiredRun)
 	same := newFixture(t, 1)
 	same.s.RestoreLapsed(f.s.LapsedRuns())
-	same.hear("vm00", batch.Report{Born: 1})
-	require.EqualValues(t, 9, same.s.vms["vm00"].lapsedRun)
+	same.report("vm00", batch.Report{Born: 1})
+	require.EqualValues(t, 9, same.s.vms["vm00"].maxExpiredRun)
 }
 
 // What earlier versions kept of lapsed leases is a bare number.
@@ -168,7 +168,7 @@
 	f.plan()
 	before := f.last("j.0.0.0").Start.Fence
 	f.advance(time.Second)
-	f.s.Heard(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.reborn(2)
 	require.True(t, f.s.WantsToken())
 	f.submit("second", tasks(1, 100))
@@ -180,7 +180,7 @@
 	require.Greater(t, order.Fence, before)
 	f.plan()
 	require.Empty(t, f.started["second.0.0.0"], "the start has not seen the token yet")
-	f.s.Heard(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.plan()
 	require.Equal(t, before+7, f.last("second.0.0.0").Start.Fence)
 }
@@ -189,19 +189,19 @@
 // now, and gives orders to the VM's next start.
 func TestReportReadAfterASuspensionTellsNothing(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hear("vm00", batch.Report{Born: 1})
+	f.report("vm00", batch.Report{Born: 1})
 	f.submit("j", tasks(1, 1000))
 	_, ok := f.s.Hold(f.now, "vm00", 0)
 	require.True(t, ok)
 	sentAt := f.now
 	f.advance(4 * time.Second)
-	require.False(t, f.s.Heard(f.now, sentAt, "vm00", batch.Report{Born: 1, Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 7, Task: batch.TaskID{Job: "other"}, Run: 1, Kind: batch.EndDone}}}))
+	require.False(t, f.s.HandleReport(f.now, sentAt, "vm00", batch.Report{Born: 1, Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 7, Task: batch.TaskID{Job: "other"}, Run: 1, Kind: batch.EndDone}}}))
 	require.Empty(t, f.plan(), "whether that start lives is not known")
 	o, ok := f.s.Hold(f.now, "vm00", 0)
 	require.True(t, ok)
 	require.Zero(t, o.LeaseUntil, "it may run out")
 	require.Zero(t, o.Acked)
-	f.s.Heard(f.now, f.now, "vm00", batch.Report{Born: 1, Clock: time.Hour})
+	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 1, Clock: time.Hour})
 	require.Len(t, f.plan(), 1)
 }
 
@@ -209,12 +209,12 @@
 // had spoken to the one before: no leader's fencing token has been seen there.
 func TestStartThatIsFirstHeardWithoutTheLeadGetsNothing(t *testing.T) {
 	f := newFixture(t, 0)
-	f.s.ledAt = f.now
+	f.s.leadConfirmedAt = f.now
 	f.list = append(f.list, instance(0), instance(1))
 	f.s.SetInstances(f.now, f.list)
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Born: 1})
-	f.hear("vm01", batch.Report{})
+	f.report("vm00", batch.Report{Born: 1})
+	f.report("vm01", batch.Report{})
 	f.submit("j", tasks(2, 9000))
 	orders := f.plan()
 	require.Len(t, orders, 1)
@@ -230,15 +230,15 @@
 // connection to the next one, and is refused.
 func TestVMThatRefusesForAnotherStartIsHeardFirst(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hear("vm00", batch.Report{Born: 1})
+	f.report("vm00", batch.Report{Born: 1})
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
-	require.True(t, f.s.Begin(f.now, o))
+	require.True(t, f.s.PrepareStart(f.now, o))
 	f.s.Started(f.now, f.now, o, 0, batch.RefusedRestarted, false)
-	f.advance(2 * retryPause)
+	f.advance(2 * retryDelay)
 	require.Empty(t, f.plan())
-	f.hear("vm00", batch.Report{Born: 1})
+	f.report("vm00", batch.Report{Born: 1})
 	f.advance(planEvery)
 	require.Len(t, f.plan(), 1)
 }
--- a/internal/scheduler/occupancy.go
+++ b/internal/scheduler/occupancy.go
@@ -37,15 +37,15 @@
 	if st.spec.MaxPerVM == 0 {
 		return
 	}
-	if st.perVM == nil {
-		st.perVM = map[*vm]int{}
+	if st.runsPerVM == nil {
+		st.runsPerVM = map[*vm]int{}
 	}
-	st.perVM[v]++
+	st.runsPerVM[v]++
 }
 
 func (st *step) removePerVM(v *vm) {
-	if st.perVM != nil {
-		st.perVM[v]--
+	if st.runsPerVM != nil {
+		st.runsPerVM[v]--
 	}
 }
 
@@ -66,7 +66,7 @@
 	s.orderStop(v, st.Task, st.Run)
 	j := s.jobs[st.Task.Job]
 	if j == nil || st.Task.Step >= len(j.spec.Steps) {
-		v.noteStranger(st)
+		v.recordUnknownRun(st)
 		return
 	}
 	u := unwanted{number: st.Run, spec: &j.spec.Steps[st.Task.Step]}
@@ -75,18 +75,18 @@
 		u.step.addPerVM(v)
 	}
 	v.occupy(u.spec)
-	v.unwanted = append(v.unwanted, u)
+	v.unwantedRuns = append(v.unwantedRuns, u)
 }
 
 // clearUnwanted takes the unwanted runs off the account; a report that lists them
 // counts them again.
 func (s *Scheduler) clearUnwanted(v *vm) {
-	for _, u := range v.unwanted {
+	for _, u := range v.unwantedRuns {
 		v.vacate(u.spec)
 		if u.step != nil {
 			u.step.removePerVM(v)
 		}
-		s.changed = true
+		s.planNeeded = true
 	}
-	v.unwanted = v.unwanted[:0]
+	v.unwantedRuns = v.unwantedRuns[:0]
 }
--- a/internal/scheduler/occupancy_test.go
+++ b/internal/scheduler/occupancy_test.go
@@ -15,7 +15,7 @@
 // Cause: a run that was not wanted was not counted while it stopped.
 func TestUnwantedRunsTakeRoomUntilTheyAreGone(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hear("vm01", batch.Report{})
+	f.report("vm01", batch.Report{})
 	step := tasks(2, 6000)
 	step.MaxPerVM = 1
 	f.submit("j", step)
@@ -24,17 +24,17 @@
 	require.Equal(t, "vm01", second.Instance.ID)
 	first := second
 	first.Run--
-	f.hear("vm00", runs(first))
+	f.report("vm00", runningReport(first))
 	f.plan()
 	require.Len(t, f.stops, 1)
 	require.NotContains(t, f.started, "j.0.0.1", "beside another of its step")
 	f.submit("other", tasks(1, 6000))
 	f.plan()
 	require.NotContains(t, f.started, "other.0.0.0", "there is no room yet")
-	f.hear("vm00", runs(first))
+	f.report("vm00", runningReport(first))
 	f.plan()
 	require.NotContains(t, f.started, "j.0.0.1")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndStopped)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndStopped)}})
 	f.plan()
 	require.Len(t, f.started, 2, "one of the two that wait")
 	require.Equal(t, int64(6000), f.s.vms["vm00"].used.MilliCPU)
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -35,9 +35,9 @@
 // what the tails allow.
 func (s *Scheduler) pace(now Time, v *vm) {
 	fillers := s.pacedFillers(v)
-	if v.serving == 0 {
-		v.overSince = 0
-		v.blindCap = fullPace
+	if v.servingRuns == 0 {
+		v.overTargetSince = 0
+		v.fillerPaceCap = fullPace
 	} else {
 		v.noteOver(now, v.worst())
 		v.capBlindly(now, milliseconds(s.policy.BlindAfterMS))
@@ -46,16 +46,16 @@
 		return
 	}
 	s.solvePaces(now, v, fillers)
-	mayRise := now-v.pacedAt >= paceEvery
+	mayRise := now-v.paceChangedAt >= paceEvery
 	for i := range fillers {
-		s.applyPace(now, &fillers[i], v.blindCap, mayRise)
+		s.applyPace(now, &fillers[i], v.fillerPaceCap, mayRise)
 	}
 }
 
 // blind reports whether a tail has been over its target for so long that nobody
 // in particular can be blamed.
 func (v *vm) blind(now, after Time) bool {
-	return after > 0 && v.overSince > 0 && now-v.overSince > after
+	return after > 0 && v.overTargetSince > 0 && now-v.overTargetSince > after
 }
 
 // capBlindly stops all fillers while the VM is blind, and gives them back step by
@@ -63,16 +63,16 @@
 func (v *vm) capBlindly(now, after Time) {
 	switch {
 	case v.blind(now, after):
-		v.blindCap, v.blindCapAt = 0, now
-	case v.blindCap < fullPace && now-v.blindCapAt >= paceEvery:
-		v.blindCap, v.blindCapAt = min(v.blindCap+paceUp, fullPace), now
+		v.fillerPaceCap, v.fillerPaceCapAt = 0, now
+	case v.fillerPaceCap < fullPace && now-v.fillerPaceCapAt >= paceEvery:
+		v.fillerPaceCap, v.fillerPaceCapAt = min(v.fillerPaceCap+paceUp, fullPace), now
 	}
 }
 
 // worst is the serving run nearest to its target, or nil.
 func (v *vm) worst() *run {
 	var worst *run
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if r.task.step.spec.Serves() && r.hasUsage && r.state == running && (worst == nil || r.ratio() > worst.ratio()) {
 			worst = r
 		}
@@ -83,9 +83,9 @@
 func (v *vm) noteOver(now Time, worst *run) {
 	switch {
 	case worst == nil || worst.ratio() <= overAt:
-		v.overSince = 0
-	case v.overSince == 0:
-		v.overSince = now
+		v.overTargetSince = 0
+	case v.overTargetSince == 0:
+		v.overTargetSince = now
 	}
 }
 
@@ -102,11 +102,11 @@
 // pacedFillers are the VM's running fillers, in a fixed order.
 func (s *Scheduler) pacedFillers(v *vm) []pacedFiller {
 	var list []pacedFiller
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if spec.Filler && r.state == running {
 			// What it would use at full pace: the figure lags behind the pace.
-			use := r.fullUse() / v.processors()
+			use := r.fullUse() / v.capacityMilliCPU()
 			list = append(list, pacedFiller{run: r, image: s.images.number(spec.Image), use: use, trigger: 1, aim: 1})
 		}
 	}
@@ -126,8 +126,8 @@
 		limit(fillers, t.soon, math.Log(s.policy.PressedAt), triggerOf)
 		limit(fillers, t.soon, math.Log(s.policy.AimAt), aimOf)
 	}
-	if v.serving > 0 {
-		room := v.roomFor(now, paceLead, s.policy.RoomLimit) / v.processors()
+	if v.servingRuns > 0 {
+		room := v.roomFor(now, paceLead, s.policy.RoomLimit) / v.capacityMilliCPU()
 		limitRoom(fillers, room+roomSlack, triggerOf)
 		limitRoom(fillers, room, aimOf)
 	}
@@ -143,16 +143,16 @@
 // fullUse is what a filler uses at full pace, in thousandths of a processor: as
 // seen, else as declared.
 func (r *run) fullUse() float64 {
-	if r.full > 0 {
-		return r.full
+	if r.fullPaceUsage > 0 {
+		return r.fullPaceUsage
 	}
 	return float64(r.task.step.spec.Need.MilliCPU)
 }
 
 // noteFullUse takes a report in that shows what the run uses at full pace.
 func (r *run) noteFullUse(now Time) {
-	if r.paced == fullPace && r.hasUsage && r.usage > 0 && now-max(r.orderedAt, r.pacedAt) > paceEvery {
-		r.full = r.usage
+	if r.orderedPace == fullPace && r.hasUsage && r.usage > 0 && now-max(r.orderedAt, r.paceOrderedAt) > paceEvery {
+		r.fullPaceUsage = r.usage
 	}
 }
 
@@ -200,21 +200,21 @@
 	}
 	trigger := min(int(math.Ceil(fullPace*f.trigger)), most)
 	switch {
-	case r.paced > trigger || r.paced == unknownPace:
+	case r.orderedPace > trigger || r.orderedPace == unknownPace:
 		s.setPace(now, r, aim)
-	case aim > r.paced && mayRise && (aim >= r.paced+leastRise || aim == fullPace):
+	case aim > r.orderedPace && mayRise && (aim >= r.orderedPace+leastRise || aim == fullPace):
 		s.setPace(now, r, aim)
 	}
 	s.moveAway(now, r)
 }
 
 func (s *Scheduler) setPace(now Time, r *run, percent int) {
-	if percent == r.paced {
+	if percent == r.orderedPace {
 		return
 	}
 	s.logf(Decision{Event: EventRunPaced, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Value: float64(percent)})
-	r.paced, r.pacedAt = percent, now
-	r.vm.pacedAt = now
+	r.orderedPace, r.paceOrderedAt = percent, now
+	r.vm.paceChangedAt = now
 	s.orders = append(s.orders, Order{Kind: OrderPace, Instance: r.vm.inst, Task: r.task.id(), Run: r.number, Percent: percent})
 }
 
@@ -225,8 +225,8 @@
 	if v == nil || ok {
 		return
 	}
-	if r := v.runs[o.Task]; r != nil && r.number == o.Run && r.paced == o.Percent {
-		r.paced = unknownPace
+	if r := v.runs[o.Task]; r != nil && r.number == o.Run && r.orderedPace == o.Percent {
+		r.orderedPace = unknownPace
 	}
 }
 
@@ -238,7 +238,7 @@
 // again there from its checkpoint.
 func (s *Scheduler) moveAway(now Time, r *run) {
 	t := r.task
-	if r.paced >= s.policy.MoveBelow || now-r.orderedAt < moveAfter || t.step.spec.Gang || t.step.occ.job.state.Final() {
+	if r.orderedPace >= s.policy.MoveBelow || now-r.orderedAt < moveAfter || t.step.spec.Gang || t.step.occ.job.state.Final() {
 		return
 	}
 	if !t.step.spec.Checkpoints && r.progress > moveProgress {
--- a/internal/scheduler/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -24,7 +24,7 @@
 // beside starts a serving task and a filler on the only VM and returns their orders.
 func beside(t *testing.T) (f *fixture, serves, fills Order) {
 	f = newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("s", serving("web", 4000))
 	f.submit("f", filling("crunch", 3000))
 	f.plan()
@@ -53,7 +53,7 @@
 	began := f.now
 	for f.now-began < 3*time.Second {
 		f.advance(500 * time.Millisecond)
-		f.hear("vm00", figures(serves, fills, 130, 3000))
+		f.report("vm00", figures(serves, fills, 130, 3000))
 		f.plan()
 		if len(f.paces) > 0 {
 			break
@@ -72,7 +72,7 @@
 	f, serves, fills := beside(t)
 	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.hear("vm00", figures(serves, fills, 60, 1000))
+	f.report("vm00", figures(serves, fills, 60, 1000))
 	f.plan()
 	f.s.policy.PeakLimit = 0
 	f.submit("g", filling("crunch", 4000))
@@ -91,14 +91,14 @@
 	p := f.s.images.pair("web")
 	p.slope[f.s.images.number("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.hear("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", figures(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 1)
 	require.Greater(t, f.paces[0].Percent, 0)
 	require.Less(t, f.paces[0].Percent, 100)
 	for range 8 {
 		f.advance(time.Second)
-		f.hear("vm00", figures(serves, fills, 40, 1000))
+		f.report("vm00", figures(serves, fills, 40, 1000))
 		f.plan()
 	}
 	require.Equal(t, 100, f.paces[len(f.paces)-1].Percent)
@@ -110,7 +110,7 @@
 	p := f.s.images.pair("web")
 	p.slope[f.s.images.number("crunch")] = 0
 	f.advance(2 * time.Second)
-	f.hear("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", figures(serves, fills, 95, 3000))
 	f.plan()
 	require.Empty(t, f.paces)
 }
@@ -120,12 +120,12 @@
 	f, serves, fills := beside(t)
 	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.hear("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", figures(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 1)
 	f.s.Paced(f.paces[0], false)
 	f.advance(time.Second)
-	f.hear("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", figures(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 2)
 }
@@ -133,7 +133,7 @@
 // Fillers are kept off VMs whose serving tasks mind them, while others are free.
 func TestFillerAvoidsThoseWhoMind(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("s", serving("web", 4000))
 	f.plan()
 	served := f.last("s.0.0.0")
@@ -149,7 +149,7 @@
 // Serving tasks of one image are kept together, those of another apart.
 func TestServingImagesAreKeptApart(t *testing.T) {
 	f := newFixture(t, 4)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	vms := map[string]map[string]bool{"a": {}, "b": {}}
 	for i := range 8 {
 		image := string(rune('a' + i%2))
@@ -174,7 +174,7 @@
 	f.plan()
 	require.NotContains(t, f.started, "h.0.0.0")
 	f.advance(milliseconds(f.s.policy.StarvedAfterMS) + time.Millisecond)
-	f.hear("vm00", batch.Report{Running: []batch.RunStatus{}})
+	f.report("vm00", batch.Report{Running: []batch.RunStatus{}})
 	f.plan()
 	require.Contains(t, f.started, "h.0.0.0")
 }
@@ -182,7 +182,7 @@
 // Symptom: short tasks wait while lasting ones fill every gap.
 func TestLastingTasksLeaveRoomForShortOnes(t *testing.T) {
 	f := newFixture(t, 4)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	s := serving("web", 2400)
 	s.Tasks = 20
 	f.submit("s", s)
@@ -208,12 +208,12 @@
 	}
 	require.Positive(t, reserving)
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("s", serving("web", 9800))
 	f.plan()
 	require.NotContains(t, f.started, "s.0.0.0")
 	f.advance(milliseconds(f.s.policy.ReservePatienceMS) + time.Millisecond)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.plan()
 	require.Contains(t, f.started, "s.0.0.0")
 }
@@ -222,7 +222,7 @@
 // too, and is longer there.
 func TestStarvedFillerStartsInACrowdedFleet(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("s", serving("web", 7000))
 	f.plan()
 	serves := f.last("s.0.0.0")
@@ -233,7 +233,7 @@
 	began := f.now
 	for len(f.started["f.0.0.0"]) == 0 && f.now-began < time.Minute {
 		f.advance(500 * time.Millisecond)
-		f.hear("vm00", told)
+		f.report("vm00", told)
 		f.plan()
 	}
 	require.Greater(t, f.now-began, milliseconds(f.s.policy.StarvedAfterMS)+time.Second)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -36,7 +36,7 @@
 	if t.step.spec.SameRack {
 		rack = t.step.rack()
 	}
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		if !s.hasRoom(now, v, t.step.spec) || s.fits(now, v, t) != obstacleNone {
 			continue
 		}
@@ -75,12 +75,12 @@
 func (s *Scheduler) leastPressed(now Time, t *task) *vm {
 	var best *vm
 	least := 0.0
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		if o := s.fits(now, v, t); o != obstacleNone && o != obstacleLeftover {
 			continue
 		}
 		p := s.pressure(now, v, t.step.spec.Image, t.step.spec.Need.MilliCPU)
-		pressed := math.Exp(p.worst) + float64(v.fillerCPU)/v.processors()
+		pressed := math.Exp(p.worst) + float64(v.fillerCPU)/v.capacityMilliCPU()
 		if best == nil || pressed < least {
 			best, least = v, pressed
 		}
@@ -136,15 +136,15 @@
 	switch {
 	case v.inst.Pool != t.step.occ.job.pool || !v.inst.HasLabel(spec.Label):
 		return obstaclePool
-	case !v.heard || !v.listed || v.silent(now) || v.unansweredAt > 0 || len(v.strangers) > 0:
+	case !v.hasReported || !v.listed || v.silent(now) || v.firstUnansweredAt > 0 || len(v.unknownRuns) > 0:
 		return obstacleUnheard
-	case !v.entryIsOfThisStart(), !v.guarded, v.otherStart, s.beganUnled(v):
+	case !v.entryIsOfThisStart(), !v.fenced, v.otherIncarnation, s.beganUnled(v):
 		return obstacleRestarted
-	case v.inst.Draining || v.closed || v.ackLimit > 0 || v.seen-v.durable > mostUnacked:
+	case v.inst.Draining || v.closed || v.ackLimit > 0 || v.processedSeq-v.durableSeq > mostUnacked:
 		return obstacleDraining
 	case s.policy.Quarantine && !v.health.usable(now, spec):
 		return obstacleSuspected
-	case spec.MaxPerVM > 0 && t.step.perVM[v] >= spec.MaxPerVM, v.runs[t.id()] != nil:
+	case spec.MaxPerVM > 0 && t.step.runsPerVM[v] >= spec.MaxPerVM, v.runs[t.id()] != nil:
 		return obstaclePerVM
 	case v.onTrial(now, t):
 		return obstacleTrial
@@ -163,7 +163,7 @@
 		return obstacleLeftover
 	}
 	if s.needsAdvice(t.step) {
-		if _, ok := t.step.advised(now, v); !ok {
+		if _, ok := t.step.validTicket(now, v); !ok {
 			return obstacleAdvice
 		}
 	}
@@ -174,7 +174,7 @@
 // rules out.
 func (s *Scheduler) obstaclesOf(now Time, t *task) string {
 	var count [obstacles]int
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		o := s.fits(now, v, t)
 		if o == obstacleNone {
 			o = obstaclePressure
@@ -193,11 +193,11 @@
 // spare is what one more filler may be expected to get of the VM, in
 // thousandths of a processor.
 func (s *Scheduler) spare(now Time, v *vm) float64 {
-	if v.serving == 0 {
+	if v.servingRuns == 0 {
 		return fillerOvercommit*float64(v.inst.Capacity.MilliCPU-v.used.MilliCPU) - float64(v.fillerCPU)
 	}
 	s.tailsOf(now, v)
-	return v.room - v.fillersUse
+	return v.fillerCapacity - v.fillerFullUse
 }
 
 // purity is the share of the image among what serves on the VM. Few pairs of
@@ -206,11 +206,11 @@
 // nobody minds them. Serving tasks do not press on each other, so that packing
 // them tightly costs their tails nothing.
 func (v *vm) purity(image string, empty float64) float64 {
-	if v.serving == 0 {
+	if v.servingRuns == 0 {
 		return empty
 	}
 	same := int64(0)
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if spec := r.task.step.spec; spec.Serves() && spec.Image == image {
 			same += spec.Need.MilliCPU
 		}
@@ -224,7 +224,7 @@
 // emptyPurity rates a VM that serves nothing, for a serving task: the last few are left
 // to fillers and short tasks as long as there is room elsewhere.
 func (s *Scheduler) emptyPurity() float64 {
-	if float64(s.emptyVMs) <= s.policy.KeepEmpty*float64(s.heardVMs) {
+	if float64(s.nonServingVMs) <= s.policy.KeepEmpty*float64(s.reportedVMs) {
 		return keptPurity
 	}
 	return s.policy.EmptyPurity
@@ -233,7 +233,7 @@
 // score rates a VM that fits; higher is better. ok is false when the task would
 // press too hard on what serves there.
 func (s *Scheduler) score(now Time, v *vm, spec *batch.Step) (score float64, ok bool) {
-	capacity := v.processors()
+	capacity := v.capacityMilliCPU()
 	free := float64(v.inst.Capacity.MilliCPU-v.used.MilliCPU) / capacity
 	score = free
 	if s.policy.Placement != PlacementScored {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -120,7 +120,7 @@
 
 // startsShort reports whether plans of late had to leave starts out.
 func (s *Scheduler) startsShort(now Time) bool {
-	return s.startsShortAt > 0 && now-s.startsShortAt < startsShortFor
+	return s.startLimitHitAt > 0 && now-s.startLimitHitAt < startsShortFor
 }
 
 // remainingStarts is how many tasks are neither done nor have a run.
@@ -137,7 +137,7 @@
 	sum := 0.0
 	for i := range o.steps {
 		st := &o.steps[i]
-		sum += float64(st.left) * float64(st.spec.Need.MilliCPU) / 1000 * st.spec.Estimate.Seconds()
+		sum += float64(st.tasksLeft) * float64(st.spec.Need.MilliCPU) / 1000 * st.spec.Estimate.Seconds()
 	}
 	return sum
 }
@@ -165,7 +165,7 @@
 		for _, d := range st.spec.After {
 			at = max(at, end[d])
 		}
-		if st.left > 0 {
+		if st.tasksLeft > 0 {
 			at += st.spec.Estimate
 		}
 		end = append(end, at)
@@ -181,30 +181,30 @@
 // Throttle bounds the starts that are decided from now on, until it is called again: a leader
 // that is behind with the starts that it has can't have others overtake them. A gang is
 // started whole.
-func (s *Scheduler) Throttle(room Room) { s.room = room }
+func (s *Scheduler) Throttle(room Room) { s.startBudget = room }
 
 // RoomLeft is what is left of it.
-func (s *Scheduler) RoomLeft() Room { return s.room }
+func (s *Scheduler) RoomLeft() Room { return s.startBudget }
 
 // mayStart reports whether there is room for a start of a step.
 func (s *Scheduler) mayStart(st *step) bool {
-	return s.room.Starts > 0 && (s.room.Batch > 0 || st.rank.group.urgent())
+	return s.startBudget.Starts > 0 && (s.startBudget.Batch > 0 || st.rank.group.urgent())
 }
 
 // Plan starts what can be started and returns the orders to carry out. The rest
 // waits in the order of its rank.
 func (s *Scheduler) Plan(now Time) []Order {
-	if s.changed || now-s.plannedAt >= planEvery {
+	if s.planNeeded || now-s.plannedAt >= planEvery {
 		s.plannedAt = now
-		s.changed = false
+		s.planNeeded = false
 		s.planWaves(now)
-		if s.room.Starts > 0 {
+		if s.startBudget.Starts > 0 {
 			s.startWaiting(now)
 		}
-		if s.room.short() {
+		if s.startBudget.short() {
 			// What was left out is to be looked at as soon as there is room.
-			s.changed = true
-			s.startsShortAt = now
+			s.planNeeded = true
+			s.startLimitHitAt = now
 		}
 	}
 	orders := s.orders
@@ -213,20 +213,20 @@
 }
 
 func (s *Scheduler) startWaiting(now Time) {
-	s.ready = slices.DeleteFunc(s.ready, func(st *step) bool {
+	s.readySteps = slices.DeleteFunc(s.readySteps, func(st *step) bool {
 		drop := st.waiting == 0 || st.occ.job.state.Final()
 		if drop {
 			st.queued = false
 		}
 		return drop
 	})
-	for _, st := range s.ready {
+	for _, st := range s.readySteps {
 		st.rank = s.rank(now, st)
 	}
-	slices.SortStableFunc(s.ready, func(a, b *step) int { return compareRanks(a.rank, b.rank) })
+	slices.SortStableFunc(s.readySteps, func(a, b *step) int { return compareRanks(a.rank, b.rank) })
 	s.followShort(now)
 	round := &round{now: now}
-	for _, st := range s.ready {
+	for _, st := range s.readySteps {
 		if !s.mayStart(st) {
 			return
 		}
@@ -273,7 +273,7 @@
 
 func (s *Scheduler) startStep(r *round, st *step) {
 	j := st.occ.job
-	if len(s.silent) > 0 && j.existed {
+	if len(s.awaitedVMs) > 0 && j.predatesLeader {
 		return
 	}
 	n := need{pool: j.pool, label: st.spec.Label, filler: st.spec.Filler, lasting: st.spec.Lasting, res: st.spec.Need}
@@ -377,12 +377,12 @@
 		v := choose(now, &st.tasks[k])
 		if v == nil {
 			for _, h := range held {
-				s.withdraw(now, h)
+				s.detachRun(now, h)
 			}
 			return nil
 		}
-		h := &run{task: &st.tasks[k], vm: v, number: number, orderedAt: now, paced: fullPace}
-		s.hold(h)
+		h := &run{task: &st.tasks[k], vm: v, number: number, orderedAt: now, orderedPace: fullPace}
+		s.attachRun(h)
 		held = append(held, h)
 	}
 	return held
@@ -394,8 +394,8 @@
 }
 
 func (s *Scheduler) start(now Time, t *task, v *vm, number int64) *run {
-	r := &run{task: t, vm: v, number: number, orderedAt: now, paced: fullPace}
-	s.hold(r)
+	r := &run{task: t, vm: v, number: number, orderedAt: now, orderedPace: fullPace}
+	s.attachRun(r)
 	s.orderStart(now, r)
 	return r
 }
@@ -407,10 +407,10 @@
 		// The first report has told the clock; no hold has taken a lease yet.
 		v.renew(now, s.settings.Lease())
 	}
-	allowed, _ := t.step.advised(now, v)
-	s.room.Starts--
+	allowed, _ := t.step.validTicket(now, v)
+	s.startBudget.Starts--
 	if !t.step.rank.group.urgent() {
-		s.room.Batch--
+		s.startBudget.Batch--
 	}
 	s.logStart(r)
 	s.logf(Decision{Event: EventRunStarted, Task: t.id(), VM: v.inst.ID, Run: r.number, Age: now - t.step.occ.dueAt, Group: t.step.rank.group.String(), Value: t.step.rank.slack.Seconds()})
@@ -429,10 +429,10 @@
 // explainWait logs what keeps a task waiting: that of the first in the queue,
 // now and then.
 func (s *Scheduler) explainWait(now Time, t *task) {
-	if now-s.explainedAt < explainEvery {
+	if now-s.waitLoggedAt < explainEvery {
 		return
 	}
-	s.explainedAt = now
+	s.waitLoggedAt = now
 	s.logf(Decision{
 		Event: EventTaskWaits, Task: t.id(), Reason: s.obstaclesOf(now, t), Age: now - t.step.occ.dueAt, Value: float64(s.waitingTasks()),
 	})
@@ -441,7 +441,7 @@
 // waitingTasks counts the tasks that could run and have no place.
 func (s *Scheduler) waitingTasks() int {
 	n := 0
-	for _, st := range s.ready {
+	for _, st := range s.readySteps {
 		n += st.waiting
 	}
 	return n
--- a/internal/scheduler/player_test.go
+++ b/internal/scheduler/player_test.go
@@ -294,7 +294,7 @@
 	}
 	_, ok := p.s.Hold(p.now, v.inst.ID, playReports)
 	require.True(p.t, ok)
-	p.s.Heard(p.now, p.now, v.inst.ID, rep)
+	p.s.HandleReport(p.now, p.now, v.inst.ID, rep)
 }
 
 // over is the share of the serving time over target.
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -58,7 +58,7 @@
 
 // progress builds the record of a job.
 func (j *job) progress() *Progress {
-	p := &Progress{DoneLow: j.doneLow, Ended: j.ended}
+	p := &Progress{DoneLow: j.doneLow, Ended: j.recentOccurrences}
 	if j.state.Final() {
 		p.State = j.state
 		return p
@@ -74,13 +74,13 @@
 // unopenedProgress is what the record told of occurrences that are not open yet: a
 // record that leaves it out forgets ends that were acknowledged.
 func (j *job) unopenedProgress() []OccurrenceProgress {
-	if j.pending == nil {
+	if j.restoredProgress == nil {
 		return nil
 	}
 	var open []OccurrenceProgress
-	for i := range j.pending.Open {
-		if j.unopened(j.pending.Open[i].Number) {
-			open = append(open, j.pending.Open[i])
+	for i := range j.restoredProgress.Open {
+		if j.unopened(j.restoredProgress.Open[i].Number) {
+			open = append(open, j.restoredProgress.Open[i])
 		}
 	}
 	return open
@@ -91,7 +91,7 @@
 	for i := range o.steps {
 		st := &o.steps[i]
 		sp := &p.Steps[i]
-		if st.left < len(st.tasks) {
+		if st.tasksLeft < len(st.tasks) {
 			sp.Done = make([]byte, (len(st.tasks)+7)/8)
 			sp.Runs = packRuns(st.countedRuns())
 		}
@@ -128,8 +128,8 @@
 	if len(p.Open) > 0 || p.DoneLow > 0 {
 		j.started = true
 	}
-	j.pending = p
-	j.ended = p.Ended
+	j.restoredProgress = p
+	j.recentOccurrences = p.Ended
 }
 
 // apply marks what the record says of an occurrence.
@@ -155,7 +155,7 @@
 		if len(counted) > 0 {
 			t.doneRun, counted = counted[0], counted[1:]
 		}
-		st.left--
+		st.tasksLeft--
 		st.waiting--
 	}
 	for _, f := range p.Failures {
@@ -190,15 +190,15 @@
 	ends    map[*vm]int64
 }
 
-// Pending returns what has to be written, or nil when there is nothing.
-func (s *Scheduler) Pending() *Flush {
+// PendingWrites returns what has to be written, or nil when there is nothing.
+func (s *Scheduler) PendingWrites() *Flush {
 	f := &Flush{ends: map[*vm]int64{}}
-	for _, id := range slices.Sorted(maps.Keys(s.dirty)) {
-		j := s.dirty[id]
-		f.Records = append(f.Records, Record{Job: id, Progress: j.progress(), Revision: j.record, Spec: j.spec, Queue: j.queue, Pool: j.pool, version: j.version})
+	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
+		j := s.dirtyJobs[id]
+		f.Records = append(f.Records, Record{Job: id, Progress: j.progress(), Revision: j.recordRevision, Spec: j.spec, Queue: j.queue, Pool: j.pool, version: j.version})
 	}
 	for _, v := range s.vms {
-		if mark := v.accounted(); mark > v.durable {
+		if mark := v.accountedSeq(); mark > v.durableSeq {
 			f.ends[v] = mark
 		}
 	}
@@ -214,20 +214,20 @@
 	if j == nil {
 		return
 	}
-	j.record = revision
-	j.written = max(j.written, r.version)
+	j.recordRevision = revision
+	j.writtenVersion = max(j.writtenVersion, r.version)
 	if r.Progress.State.Final() {
 		j.durableState = r.Progress.State
 	}
 	if j.version == r.version {
-		delete(s.dirty, r.Job)
+		delete(s.dirtyJobs, r.Job)
 	}
 }
 
 // RecordFound notes the revision that a record has in the store after a conflict.
 func (s *Scheduler) RecordFound(id string, revision int64) {
 	if j := s.jobs[id]; j != nil {
-		j.record = revision
+		j.recordRevision = revision
 	}
 }
 
@@ -235,6 +235,6 @@
 // hold may be acknowledged.
 func (s *Scheduler) Flushed(f *Flush) {
 	for v, seq := range f.ends {
-		v.durable = max(v.durable, seq)
+		v.durableSeq = max(v.durableSeq, seq)
 	}
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,10 +9,10 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// full occupies the only VM with one task of a job and returns its order.
-func full(t *testing.T) (f *fixture, holds Order) {
+// newFullFixture occupies the only VM with one task of a job and returns its order.
+func newFullFixture(t *testing.T) (f *fixture, holds Order) {
 	f = newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("first", tasks(1, 9000))
 	f.plan()
 	holds = f.last("first.0.0.0")
@@ -20,7 +20,7 @@
 	return f, holds
 }
 
-func lasting(milliCPU int64) batch.Step {
+func lastingStep(milliCPU int64) batch.Step {
 	s := tasks(1, milliCPU)
 	s.Lasting = true
 	return s
@@ -30,12 +30,12 @@
 // processor that comes free.
 // Load: more standing work than there is room for.
 func TestShortTasksGoBeforeNewLastingOnes(t *testing.T) {
-	f, holds := full(t)
-	f.submit("watch", lasting(8000))
+	f, holds := newFullFixture(t)
+	f.submit("watch", lastingStep(8000))
 	f.submit("check", tasks(1, 8000))
 	f.plan()
 	f.advance(500 * time.Millisecond)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, holds, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, holds, batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "check.0.0.0")
 	require.NotContains(t, f.started, "watch.0.0.0")
@@ -45,14 +45,14 @@
 // before anything else: its users notice at once.
 func TestLastingTasksComeBackFirst(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
-	f.submit("watch", lasting(8000))
+	f.reportAll(nil)
+	f.submit("watch", lastingStep(8000))
 	f.plan()
 	first := f.last("watch.0.0.0")
 	f.confirm(first)
 	f.submit("check", tasks(1, 8000))
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndLapsed)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndLapsed)}})
 	f.plan()
 	require.Len(t, f.started["watch.0.0.0"], 2)
 	require.NotContains(t, f.started, "check.0.0.0")
@@ -60,14 +60,14 @@
 
 // A check that is late already does not keep standing work waiting.
 func TestLateShortTasksGoBehindLastingOnes(t *testing.T) {
-	f, holds := full(t)
+	f, holds := newFullFixture(t)
 	f.submit("check", tasks(1, 8000))
 	f.advance(10 * time.Second)
-	f.hear("vm00", runs(holds))
-	f.submit("watch", lasting(8000))
+	f.report("vm00", runningReport(holds))
+	f.submit("watch", lastingStep(8000))
 	f.plan()
 	f.advance(500 * time.Millisecond)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, holds, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, holds, batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "watch.0.0.0")
 	require.NotContains(t, f.started, "check.0.0.0")
@@ -78,10 +78,10 @@
 // for their turn. Cause: a job counted as begun when its first start was decided.
 func TestJobWaitsUntilItsFirstStartIsConfirmed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
-	require.Equal(t, 1, f.s.Waiting(testQueue))
+	require.Equal(t, 1, f.s.WaitingJobs(testQueue))
 	f.confirm(f.last("j.0.0.0"))
-	require.Zero(t, f.s.Waiting(testQueue))
+	require.Zero(t, f.s.WaitingJobs(testQueue))
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -6,19 +6,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// answeredWithin is how much longer than it waits a hold may take until its answer is read. The
+// holdResponseTimeout is how much longer than it waits a hold may take until its answer is read. The
 // call is given up earlier, by a process that runs.
-const answeredWithin = time.Second
+const holdResponseTimeout = time.Second
 
-// Heard takes an instance's report over; the hold was sent at sentAt. It returns false for one
+// HandleReport takes an instance's report over; the hold was sent at sentAt. It returns false for one
 // that a process reads which was suspended meanwhile: the VM may have ended, and started again,
 // since it was made, so that the hold counts as not answered.
-func (s *Scheduler) Heard(now, sentAt Time, id string, rep batch.Report) bool {
+func (s *Scheduler) HandleReport(now, sentAt Time, id string, rep batch.Report) bool {
 	v := s.vms[id]
 	if v == nil {
 		return false
 	}
-	if now-sentAt > v.wait+answeredWithin {
+	if now-sentAt > v.holdWait+holdResponseTimeout {
 		s.Unanswered(now, id, false)
 		return false
 	}
@@ -30,41 +30,41 @@
 	}
 	s.noteGuarded(v)
 	v.setClock(sentAt, now, rep.Clock)
-	v.otherStart = false
-	if !v.heard {
-		v.heard, v.firstHeardAt = true, now
+	v.otherIncarnation = false
+	if !v.hasReported {
+		v.hasReported, v.firstReportAt = true, now
 		// An earlier leader may have renewed the leases there until now, or have given orders
 		// that were meant for the start before.
-		v.leaseOver = max(v.leaseOver, now+leaseOver(s.settings.firstLease(rep.Clock)))
+		v.leaseExpiry = max(v.leaseExpiry, now+leaseOver(s.settings.firstLease(rep.Clock)))
 		s.recallLapsed(v)
-		s.endedUnheard = s.endedUnheard || (rep.Born != 0 && s.awaited(id) && s.settings.startedOfLate(rep.Clock))
-		s.changed = true
+		s.endedUnreported = s.endedUnreported || (rep.Born != 0 && s.awaited(id) && s.settings.startedOfLate(rep.Clock))
+		s.planNeeded = true
 		s.logf(Decision{Event: EventVMHeard, VM: id, Value: float64(len(rep.Running)), Born: rep.Born})
 	}
-	if now-v.heardAt > heardAgain {
-		s.changed = true
+	if now-v.lastReportAt > minReturnGap {
+		s.planNeeded = true
 	}
-	v.heardAt = now
-	if v.unansweredAt > 0 {
+	v.lastReportAt = now
+	if v.firstUnansweredAt > 0 {
 		s.answersAgain(now, v.thisStart())
 	}
-	v.unanswered, v.unansweredAt, v.unansweredHolds = false, 0, 0
-	v.missedAt = 0
+	v.holdUnanswered, v.firstUnansweredAt, v.unansweredHolds = false, 0, 0
+	v.missingSince = 0
 	if !rep.MoreEnded {
-		delete(s.silent, id)
+		delete(s.awaitedVMs, id)
 	}
-	s.takeEnds(now, v, rep.Ended)
-	clear(v.strangers)
+	s.processEnds(now, v, rep.Ended)
+	clear(v.unknownRuns)
 	s.clearUnwanted(v)
 	listed := make(map[*run]bool, len(rep.Running))
 	for i := range rep.Running {
-		if r := s.observe(now, v, &rep.Running[i]); r != nil {
+		if r := s.processRunStatus(now, v, &rep.Running[i]); r != nil {
 			listed[r] = true
 		}
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if !listed[r] && !rep.MoreEnded {
-			s.missing(now, sentAt, r)
+			s.handleUnlistedRun(now, sentAt, r)
 		}
 	}
 	s.settleHeard(now, v, &rep)
@@ -80,9 +80,9 @@
 	return true
 }
 
-// heardAgain is how long an instance has to have been unheard for its return to be
+// minReturnGap is how long an instance has to have been unheard for its return to be
 // worth a plan of its own.
-const heardAgain = 3500 * time.Millisecond
+const minReturnGap = 3500 * time.Millisecond
 
 func (v *vm) setClock(sentAt, gotAt Time, value time.Duration) {
 	if value > 0 {
@@ -90,12 +90,12 @@
 	}
 }
 
-// observe takes a listed run over and returns it, or nil when it is not to run.
-func (s *Scheduler) observe(now Time, v *vm, st *batch.RunStatus) *run {
+// processRunStatus takes a listed run over and returns it, or nil when it is not to run.
+func (s *Scheduler) processRunStatus(now Time, v *vm, st *batch.RunStatus) *run {
 	r := v.runs[st.Task]
 	if r != nil && r.number == st.Run {
 		if r.state == starting {
-			r.confirm(now)
+			r.confirmStart(now)
 		}
 	} else {
 		r = s.adopt(now, v, st)
@@ -103,7 +103,7 @@
 	if r == nil {
 		return nil
 	}
-	s.noteAlive(now, r)
+	s.recordAlive(now, r)
 	r.follow(now, st.Progress)
 	r.usage, r.hasUsage = st.Usage, st.HasUsage
 	r.noteFullUse(now)
@@ -116,19 +116,19 @@
 
 // adopt takes on a run that this leader did not start, or stops it.
 func (s *Scheduler) adopt(now Time, v *vm, st *batch.RunStatus) *run {
-	if s.untold(st.Task.Job) {
-		v.noteStranger(st)
-		s.noteUntold(now, st.Task.Job)
+	if s.jobUnresolved(st.Task.Job) {
+		v.recordUnknownRun(st)
+		s.recordUnknownJob(now, st.Task.Job)
 		return nil
 	}
-	s.openTold(now, st.Task)
+	s.openReported(now, st.Task)
 	t := s.task(st.Task)
 	if t == nil || t.done || t.step.occ.job.state.Final() || (len(t.runs) > 0 && !t.step.spec.Speculative) || v.runs[st.Task] != nil {
 		s.stopUnwanted(v, st)
 		return nil
 	}
-	r := &run{task: t, vm: v, number: st.Run, state: running, orderedAt: now, confirmedAt: now, begun: true, paced: unknownPace}
-	s.hold(r)
+	r := &run{task: t, vm: v, number: st.Run, state: running, orderedAt: now, confirmedAt: now, startSent: true, orderedPace: unknownPace}
+	s.attachRun(r)
 	t.step.occ.job.started = true
 	s.logf(Decision{Event: EventRunAdopted, Task: st.Task, VM: v.inst.ID, Run: st.Run})
 	return r
@@ -147,26 +147,26 @@
 	return &o.steps[id.Step].tasks[id.Index]
 }
 
-// missing handles a run that its VM does not list, neither under way nor ended: the
+// handleUnlistedRun handles a run that its VM does not list, neither under way nor ended: the
 // report was asked for after the VM had confirmed the run, or had confirmed that it
 // will not run.
-func (s *Scheduler) missing(now, sentAt Time, r *run) {
+func (s *Scheduler) handleUnlistedRun(now, sentAt Time, r *run) {
 	confirmed := r.state != starting && r.confirmedAt > 0 && r.confirmedAt < sentAt
 	stopped := r.stopConfirmedAt > 0 && r.stopConfirmedAt < sentAt
 	if !confirmed && !stopped {
 		return
 	}
-	s.logf(Decision{Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: "not listed", Age: now - r.orderedAt, Born: r.vm.born, Acked: r.vm.acked()})
-	if r.earlier != nil {
+	s.logf(Decision{Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: "not listed", Age: now - r.orderedAt, Born: r.vm.born, Acked: r.vm.ackableSeq()})
+	if r.previousEnd != nil {
 		// The VM's start before had it, if any.
 		s.undoubt(r.vm.thisStart(), r.task)
-		s.doubtEarlier(now, r, r.earlier)
+		s.doubtEarlier(now, r, r.previousEnd)
 	}
-	s.lose(now, r)
+	s.releaseLostRun(now, r)
 }
 
-// lose takes a run off whose end nobody has told.
-func (s *Scheduler) lose(now Time, r *run) {
+// releaseLostRun takes a run off whose end nobody has told.
+func (s *Scheduler) releaseLostRun(now Time, r *run) {
 	r.task.lostAt = now
-	s.release(now, r)
+	s.releaseRun(now, r)
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -63,19 +63,19 @@
 // and how many VMs serve nothing.
 func (s *Scheduler) followShort(now Time) {
 	capacity, use, held := 0.0, 0.0, 0.0
-	s.heardVMs, s.emptyVMs = 0, 0
-	for _, v := range s.order {
-		if v.heard {
+	s.reportedVMs, s.nonServingVMs = 0, 0
+	for _, v := range s.vmList {
+		if v.hasReported {
 			capacity += float64(v.inst.Capacity.MilliCPU)
 			use += float64(v.shortCPU)
 			held += float64(v.used.MilliCPU)
-			s.heardVMs++
-			if v.serving == 0 {
-				s.emptyVMs++
+			s.reportedVMs++
+			if v.servingRuns == 0 {
+				s.nonServingVMs++
 			}
 		}
 	}
-	for _, st := range s.ready {
+	for _, st := range s.readySteps {
 		if short(st.spec) {
 			use += float64(st.waiting) * float64(st.spec.Need.MilliCPU)
 		}
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -37,7 +37,9 @@
 
 // beganUnled reports whether the start may have begun after another leader was elected: that one
 // may have heard the start before, whose fencing token this one has not seen.
-func (s *Scheduler) beganUnled(v *vm) bool { return v.mayRestart() && v.firstHeardAt > s.ledAt }
+func (s *Scheduler) beganUnled(v *vm) bool {
+	return v.mayRestart() && v.firstReportAt > s.leadConfirmedAt
+}
 
 // entryIsOfThisStart reports whether the entry on the list is that of the start that
 // reports. Pool, labels and capacity of another one say nothing of it.
@@ -72,16 +74,16 @@
 // report has listed may be on a later start of the VM, which took the order's deadline for
 // one on its own clock, and granted as much of it as it does at most.
 func (s *Scheduler) overAt(r *run) Time {
-	if !r.vm.mayRestart() || !r.begun || r.listedAt > 0 {
-		return r.vm.leaseOver
+	if !r.vm.mayRestart() || !r.startSent || r.listedAt > 0 {
+		return r.vm.leaseExpiry
 	}
-	return max(r.vm.leaseOver, r.begunAt+orderTravel+leaseOver(s.settings.MaxLease))
+	return max(r.vm.leaseExpiry, r.startSentAt+orderTravel+leaseOver(s.settings.MaxLease))
 }
 
 // leasesOver is when everything on the VM has certainly ended, unless a lease is renewed.
 func (s *Scheduler) leasesOver(v *vm) Time {
-	over := v.leaseOver
-	for _, r := range v.ordered {
+	over := v.leaseExpiry
+	for _, r := range v.runList {
 		over = max(over, s.overAt(r))
 	}
 	return over
@@ -94,17 +96,17 @@
 func (s *Scheduler) restarted(now, sentAt Time, old *vm, rep *batch.Report) *vm {
 	v := newVM(now, old.inst)
 	v.born = rep.Born
-	v.token, v.tokenWanted = max(s.token, old.token), s.token <= old.token
-	v.listed, v.unlistedAt, v.wait = old.listed, old.unlistedAt, old.wait
+	v.token, v.needsToken = max(s.maxToken, old.token), s.maxToken <= old.token
+	v.listed, v.unlistedAt, v.holdWait = old.listed, old.unlistedAt, old.holdWait
 	s.vms[v.inst.ID] = v
 	s.sortVMs()
-	s.changed = true
+	s.planNeeded = true
 	d := old.lifeDecision(now, EventVMRestarted, "")
-	d.Born, d.Acked = rep.Born, old.acked()
+	d.Born, d.Acked = rep.Born, old.ackableSeq()
 	s.logf(d)
 	end := s.noteEnd(now, old)
 	told := toldRuns(rep)
-	for _, r := range old.ordered {
+	for _, r := range old.runList {
 		if s.mayBeOn(sentAt, r, rep, told) {
 			s.moveRun(now, r, v, end)
 		} else {
@@ -123,20 +125,20 @@
 
 // RaiseToken tells of a higher fencing token that this leader may use.
 func (s *Scheduler) RaiseToken(token int64) {
-	if token <= s.token {
+	if token <= s.maxToken {
 		return
 	}
-	s.token = token
-	for _, v := range s.order {
-		if v.tokenWanted {
-			v.token, v.tokenWanted = token, false
+	s.maxToken = token
+	for _, v := range s.vmList {
+		if v.needsToken {
+			v.token, v.needsToken = token, false
 		}
 	}
 }
 
 // WantsToken reports whether a VM has started again and waits for a higher token.
 func (s *Scheduler) WantsToken() bool {
-	return slices.ContainsFunc(s.order, func(v *vm) bool { return v.tokenWanted })
+	return slices.ContainsFunc(s.vmList, func(v *vm) bool { return v.needsToken })
 }
 
 // Token returns the fencing token of what is sent to an instance.
@@ -149,8 +151,8 @@
 
 // noteGuarded takes in that the VM has answered its last hold.
 func (s *Scheduler) noteGuarded(v *vm) {
-	if !v.guarded && !v.tokenWanted && v.heldToken == v.token {
-		v.guarded, s.changed = true, true
+	if !v.fenced && !v.needsToken && v.lastHoldToken == v.token {
+		v.fenced, s.planNeeded = true, true
 	}
 }
 
@@ -179,7 +181,7 @@
 	if told[runKey{r.task.id(), r.number}] {
 		return true
 	}
-	if !r.begun || r.listedAt > 0 {
+	if !r.startSent || r.listedAt > 0 {
 		return false
 	}
 	return rep.MoreEnded || r.confirmedAt == 0 || r.confirmedAt >= sentAt
@@ -189,15 +191,15 @@
 // start knows nothing of the first.
 func (s *Scheduler) moveRun(now Time, r *run, to *vm, end *judgedEnd) {
 	t := r.task
-	s.withdraw(now, r)
+	s.detachRun(now, r)
 	moved := &run{
 		task: t, vm: to, number: r.number, state: r.state, orderedAt: r.orderedAt, confirmedAt: r.confirmedAt,
-		begun: r.begun, begunAt: r.begunAt, checkpoint: r.checkpoint, paced: unknownPace, trial: r.trial, last: r.last, earlier: end,
+		startSent: r.startSent, startSentAt: r.startSentAt, checkpoint: r.checkpoint, orderedPace: unknownPace, isTrial: r.isTrial, exclusive: r.exclusive, previousEnd: end,
 	}
-	s.hold(moved)
+	s.attachRun(moved)
 	s.logStart(moved)
-	if r.last {
-		to.trial = moved
+	if r.exclusive {
+		to.trialRun = moved
 	}
 	if c := t.crash(r.number); c != nil && c.kind == crashDoubted {
 		s.undoubt(r.vm.thisStart(), t)
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -244,19 +244,19 @@
 	f := newFixture(t, 1)
 	f.list[0].Born = 1
 	f.s.SetInstances(f.now, f.list)
-	f.hear("vm00", batch.Report{Born: 1})
+	f.report("vm00", batch.Report{Born: 1})
 	f.submit("first", tasks(3, 100))
 	f.plan()
 	var ends []batch.RunEnd
 	for k := range 3 {
 		o := f.last(fmt.Sprintf("first.0.0.%d", k))
 		f.confirm(o)
-		ends = append(ends, ended(int64(k+1), o, batch.EndDone))
+		ends = append(ends, endOfOrder(int64(k+1), o, batch.EndDone))
 	}
-	f.hear("vm00", batch.Report{Born: 1, Ended: ends})
+	f.report("vm00", batch.Report{Born: 1, Ended: ends})
 	f.write()
 	require.EqualValues(t, 3, f.acked("vm00"))
-	f.s.Heard(f.now, f.now, "vm00", batch.Report{Born: 1, Clock: f.now + time.Hour})
+	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 1, Clock: f.now + time.Hour})
 	f.advance(500 * time.Millisecond)
 	return f
 }
@@ -269,7 +269,7 @@
 	f.submit(job, tasks(1, 100))
 	f.plan()
 	o := f.last(job + ".0.0.0")
-	require.True(f.t, f.s.Begin(f.now, o))
+	require.True(f.t, f.s.PrepareStart(f.now, o))
 	f.s.Started(f.now, f.now, o, 50*time.Millisecond, "", false)
 	f.advance(time.Second)
 	f.s.Unanswered(f.now, "vm00", false)
@@ -292,12 +292,12 @@
 	f.list[0].Born = 2
 	f.s.SetInstances(f.now, f.list)
 	for n := int64(1); n <= testAttempts; n++ {
-		f.answer("vm00", batch.Report{Born: 2, Clock: time.Second + time.Duration(n), Ended: []batch.RunEnd{ended(n, o, batch.EndFailed)}})
+		f.answer("vm00", batch.Report{Born: 2, Clock: time.Second + time.Duration(n), Ended: []batch.RunEnd{endOfOrder(n, o, batch.EndFailed)}})
 		f.advance(time.Second)
 		f.plan()
 		if n < testAttempts {
 			o = f.last("second.0.0.0")
-			require.True(t, f.s.Begin(f.now, o))
+			require.True(t, f.s.PrepareStart(f.now, o))
 			f.s.Started(f.now, f.now, o, 50*time.Millisecond, "", false)
 		}
 	}
