--- a/internal/scheduler/startlog.go
+++ b/internal/scheduler/startlog.go
@@ -94,7 +94,7 @@
 // segment is a part of the log that is written and removed as a whole.
 type segment struct {
 	id SegmentID
-	// keptUntil is set where its write had no answer: it may be carried out until then.
+	// reservedUntil is set where its write had no answer: it may be carried out until then.
 	keptUntil Time
 	runs      []*run
 	inherited []*inheritedStart
@@ -102,8 +102,8 @@
 
 // logStart has a successor know of a run that this leader has ordered.
 func (s *Scheduler) logStart(r *run) {
-	if r.number>>runBits == s.fence {
-		s.starts.tail = append(s.starts.tail, r)
+	if r.number>>runNumberBits == s.fence {
+		s.startLog.tail = append(s.startLog.tail, r)
 	}
 }
 
@@ -114,11 +114,11 @@
 	switch {
 	case r.task.done || j.state.Final():
 		return true
-	case !r.dead:
+	case !r.released:
 		// What the record says of a suspect's run goes as soon as its VM lists it.
-		return !r.isNew()
+		return !r.isRecent()
 	case r.task.crash(r.number) != nil:
-		return j.written >= r.task.crashVersion
+		return j.writtenVersion >= r.task.crashVersion
 	}
 	return true
 }
@@ -134,7 +134,7 @@
 // is set where something else is written in any case. Tell what became of the change with
 // StartsWritten or StartsNotWritten before the next call.
 func (s *Scheduler) PendingStarts(now Time, otherWrites bool) *StartLogChange {
-	l := &s.starts
+	l := &s.startLog
 	c := &StartLogChange{}
 	l.tail = slices.DeleteFunc(l.tail, (*run).accounted)
 	if len(l.tail) > 0 {
@@ -159,14 +159,14 @@
 
 // StartsWritten notes that a change is in the store.
 func (s *Scheduler) StartsWritten(c *StartLogChange) {
-	l := &s.starts
+	l := &s.startLog
 	l.segments = slices.DeleteFunc(l.segments, func(g *segment) bool { return slices.Contains(c.Obsolete, g.id) })
 	if len(c.Obsolete) > 0 {
 		l.obsoleteSince = 0
 	}
 	if c.Segment != nil {
 		for _, r := range l.sent.runs {
-			r.logged = true
+			r.inStartLog = true
 		}
 		l.segments, l.sent = append(l.segments, l.sent), nil
 	}
@@ -175,7 +175,7 @@
 // StartsNotWritten notes that a change is not in the store, or may not be. Its starts are written
 // again in a segment of another number: a write that is carried out late must not replace a newer one.
 func (s *Scheduler) StartsNotWritten(now Time, c *StartLogChange, unknown bool) {
-	l := &s.starts
+	l := &s.startLog
 	if c.Segment == nil {
 		return
 	}
@@ -208,7 +208,7 @@
 			steps[key] = step
 			out.Steps = append(out.Steps, StepStarts{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 		}
-		out.Steps[step].Runs = append(out.Steps[step].Runs, [3]int64{int64(id.Index), r.number & (1<<runBits - 1), int64(vm)})
+		out.Steps[step].Runs = append(out.Steps[step].Runs, [3]int64{int64(id.Index), r.number & (1<<runNumberBits - 1), int64(vm)})
 	}
 	return out
 }
--- a/internal/scheduler/startlog_test.go
+++ b/internal/scheduler/startlog_test.go
@@ -24,7 +24,7 @@
 // logged starts a task of the job "old", and returns what the store has of that and the VM.
 func logged(t *testing.T) (store map[SegmentID]StartSegment, vm string) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.s.Submit(f.now, oldJob(nil))
 	store = map[SegmentID]StartSegment{}
 	f.plan()
@@ -35,8 +35,8 @@
 
 // inheriting is the fixture of a successor that waits for two VMs.
 func inheriting(t *testing.T, store map[SegmentID]StartSegment) *fixture {
-	f := successor(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+expectFor)
+	f := newSuccessorFixture(t, 2)
+	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.s.Submit(f.now, oldJob(nil))
 	var log []StartSegment
 	for id, g := range store {
@@ -58,9 +58,9 @@
 		"the machine service names it": func(f *fixture, vm string) { f.s.Gone(f.now, vm, "machine ended it") },
 		"it has started again": func(f *fixture, vm string) {
 			f.s.vms[vm].inst.Born = 4
-			f.hear(vm, batch.Report{Born: 5})
+			f.report(vm, batch.Report{Born: 5})
 		},
-		"it is waited out": func(f *fixture, _ string) { f.advance(2 * expectFor); f.s.Tend(f.now) },
+		"it is waited out": func(f *fixture, _ string) { f.advance(2 * awaitDuration); f.s.Tend(f.now) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			store, vm := logged(t)
@@ -85,7 +85,7 @@
 
 // Guards against innocent tasks under suspicion: their VMs live.
 func TestStartOnAVMThatLivesIsNoCrash(t *testing.T) {
-	running := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runBits | 1}
+	running := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
 	for name, report := range map[string]batch.Report{
 		"it runs":         {Running: []batch.RunStatus{running}},
 		"it never began":  {},
@@ -95,10 +95,10 @@
 		t.Run(name, func(t *testing.T) {
 			store, vm := logged(t)
 			f := inheriting(t, store)
-			f.hear(vm, report)
+			f.report(vm, report)
 			require.Empty(t, f.taskOf("old").crashes)
-			f.advance(newFor + time.Millisecond)
-			f.hear(vm, batch.Report{Born: report.Born, Running: report.Running})
+			f.advance(recentRunDuration + time.Millisecond)
+			f.report(vm, batch.Report{Born: report.Born, Running: report.Running})
 			f.write()
 			f.writeStarts(store)
 			require.Empty(t, store)
@@ -118,21 +118,21 @@
 // A VM that nobody knows any more may live, or may have ended under the task.
 func TestStartOnAnUnknownVMIsDoubted(t *testing.T) {
 	store, vm := logged(t)
-	f := successor(t, 0)
+	f := newSuccessorFixture(t, 0)
 	f.s.Submit(f.now, oldJob(nil))
 	for _, g := range store {
 		f.s.RestoreStarts(f.now, []StartSegment{g})
 	}
 	require.Equal(t, crashDoubted, f.taskOf("old").crashes[0].kind)
 	f.s.SetInstances(f.now, []batch.Instance{{ID: vm, Pool: "pool", Address: "10.0.0.0:1"}})
-	f.hear(vm, batch.Report{})
+	f.report(vm, batch.Report{})
 	require.Empty(t, f.taskOf("old").crashes)
 }
 
 // The log has what is new only.
 func TestLogDropsWhatHasLived(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
 	store := map[SegmentID]StartSegment{}
 	f.plan()
@@ -142,8 +142,8 @@
 	}
 	f.writeStarts(store)
 	require.Len(t, store, 1)
-	f.advance(newFor + time.Millisecond)
-	f.hear("vm00", runs(orders...))
+	f.advance(recentRunDuration + time.Millisecond)
+	f.report("vm00", runningReport(orders...))
 	require.Nil(t, f.s.PendingStarts(f.now, false), "a removal waits for another write")
 	f.advance(obsoletePatience)
 	require.NotNil(t, f.s.PendingStarts(f.now, false), "but not for long")
@@ -165,7 +165,7 @@
 // meanwhile, and the first write is carried out last.
 func TestLateWriteReplacesNoLaterSegment(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	store := map[SegmentID]StartSegment{}
 	f.submit("a", tasks(1, 100))
 	f.plan()
@@ -190,7 +190,7 @@
 // after all in it has lived.
 func TestSegmentOfALateWriteIsRemoved(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	store := map[SegmentID]StartSegment{}
 	f.submit("a", tasks(1, 100))
 	f.plan()
@@ -198,11 +198,11 @@
 	f.confirm(o)
 	late := f.s.PendingStarts(f.now, false)
 	f.s.StartsNotWritten(f.now, late, true)
-	f.advance(newFor + time.Millisecond)
-	f.hear("vm00", runs(o))
+	f.advance(recentRunDuration + time.Millisecond)
+	f.report("vm00", runningReport(o))
 	f.writeStarts(store)
 	require.Nil(t, f.s.PendingStarts(f.now, true))
-	f.advance(lateWrite - newFor - 2*time.Millisecond)
+	f.advance(lateWrite - recentRunDuration - 2*time.Millisecond)
 	apply(store, late)
 	f.writeStarts(store)
 	require.Len(t, store, 1, "it may come later still")
@@ -214,7 +214,7 @@
 // A write that was refused needs no care: the next one has its starts.
 func TestRefusedStartsAreWrittenAgain(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("a", tasks(1, 100))
 	f.plan()
 	f.s.StartsNotWritten(f.now, f.s.PendingStarts(f.now, false), false)
@@ -222,14 +222,14 @@
 	require.Equal(t, 1, again.Len())
 	f.s.StartsWritten(again)
 	f.advance(time.Minute)
-	require.Len(t, f.s.starts.segments, 1)
+	require.Len(t, f.s.startLog.segments, 1)
 }
 
 // Guards against a suspect's start that is neither in the log nor in its job's record: the VM has
 // listed the run, which takes the doubt off the record, and the run is as new as before.
 func TestTrialThatIsListedStaysInTheLog(t *testing.T) {
 	f := newFixture(t, 3)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.s.Submit(f.now, oldJob(nil))
 	f.suspect("old")
 	store := map[SegmentID]StartSegment{}
@@ -242,12 +242,12 @@
 		f.advance(planEvery)
 	}
 	o := f.last("old.0.0.0")
-	require.True(t, f.s.Begin(f.now, o))
+	require.True(t, f.s.PrepareStart(f.now, o))
 	f.confirm(o)
 	f.write()
 	f.writeStarts(store)
 	f.advance(300 * time.Millisecond)
-	f.hear(o.Instance.ID, runs(o))
+	f.report(o.Instance.ID, runningReport(o))
 	f.write()
 	f.writeStarts(store)
 	require.Len(t, store, 1)
@@ -258,12 +258,12 @@
 func TestAdoptedRunStaysInTheLogWhileItIsNew(t *testing.T) {
 	store, vm := logged(t)
 	f := inheriting(t, store)
-	status := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runBits | 1}
-	f.hear(vm, batch.Report{Running: []batch.RunStatus{status}})
+	status := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
+	f.report(vm, batch.Report{Running: []batch.RunStatus{status}})
 	f.writeStarts(store)
 	require.Len(t, store, 1)
-	f.advance(newFor + time.Millisecond)
-	f.hear(vm, batch.Report{Running: []batch.RunStatus{status}})
+	f.advance(recentRunDuration + time.Millisecond)
+	f.report(vm, batch.Report{Running: []batch.RunStatus{status}})
 	f.advance(obsoletePatience)
 	f.writeStarts(store)
 	require.Empty(t, store)
@@ -274,7 +274,7 @@
 func TestSegmentWaitsForTheRecordOfWhatWasTold(t *testing.T) {
 	store, vm := logged(t)
 	f := inheriting(t, store)
-	f.s.LearnCrashes(f.now, []CrashNews{{Task: batch.TaskID{Job: "old"}, Run: 1<<runBits | 1, Kind: int64(crashDoubted), VM: vm}})
+	f.s.LearnCrashes(f.now, []CrashNews{{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1, Kind: int64(crashDoubted), VM: vm}})
 	f.s.Gone(f.now, vm, "machine ended it")
 	f.writeStarts(store)
 	require.Len(t, store, 1)
@@ -292,7 +292,7 @@
 		suspect bool
 	}{"a rack": {suspectsAtOnce + 1, false}, "three tasks": {massVMs + 1, true}} {
 		t.Run(name, func(t *testing.T) {
-			f := successor(t, massVMs+2)
+			f := newSuccessorFixture(t, massVMs+2)
 			g := StartSegment{ID: SegmentID{1, 1}}
 			for i := range massVMs + 1 {
 				g.VMs = append(g.VMs, StartVM{ID: f.list[i].ID})
@@ -302,7 +302,7 @@
 				f.submit(id, tasks(1, 100))
 				g.Steps = append(g.Steps, StepStarts{Job: id, Runs: [][3]int64{{0, int64(i + 1), int64(i % len(g.VMs))}}})
 			}
-			f.s.Expect([]string{"vm00", "vm01", "vm02"}, f.now+expectFor)
+			f.s.Expect([]string{"vm00", "vm01", "vm02"}, f.now+awaitDuration)
 			f.s.RestoreStarts(f.now, []StartSegment{g})
 			for _, vm := range g.VMs {
 				f.s.Gone(f.now, vm.ID, "machine ended it")
@@ -316,7 +316,7 @@
 
 // What names no start is passed over.
 func TestOddSegmentsNameNothing(t *testing.T) {
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	f.s.Submit(f.now, oldJob(nil))
 	f.s.RestoreStarts(f.now, []StartSegment{{
 		ID: SegmentID{1, 1}, VMs: []StartVM{{ID: "gone"}},
@@ -340,7 +340,7 @@
 		f.list = append(f.list, inst)
 	}
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	for i := range starts / 10 {
 		f.submit(fmt.Sprintf("%016x", i), tasks(10, 100))
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -16,22 +16,22 @@
 type Settings struct {
 	// MaxLease is the longest lease that a VM grants.
 	MaxLease time.Duration
-	// StopWithin is how long a stop may take at a VM.
-	StopWithin time.Duration
-	// UnavailableFor is how long a lasting task counts as unavailable after a
+	// StopTimeout is how long a stop may take at a VM.
+	StopTimeout time.Duration
+	// UnavailableDuration is how long a lasting task counts as unavailable after a
 	// notice; it limits how fast lasting tasks may be moved.
-	UnavailableFor time.Duration
+	UnavailableDuration time.Duration
 	// Policy is how the scheduler decides; nil is DefaultPolicy.
 	Policy *Policy
 }
 
-// longestLease is the lease taken where the VMs grant a longer one. It outlives a
+// maxLeaseDuration is the lease taken where the VMs grant a longer one. It outlives a
 // network partition of some six seconds; and when a VM dies, what lasts there is
 // at work elsewhere within nine.
-const longestLease = 8 * time.Second
+const maxLeaseDuration = 8 * time.Second
 
 // Lease is how long a lease is taken for.
-func (s Settings) Lease() time.Duration { return min(s.MaxLease, longestLease) }
+func (s Settings) Lease() time.Duration { return min(s.MaxLease, maxLeaseDuration) }
 
 // runState is where a run is in its life, as the leader knows it.
 type runState int
@@ -52,7 +52,7 @@
 	state  runState
 	// orderedAt is when the start was ordered.
 	orderedAt Time
-	// confirmedAt is when the VM was known to have the run, listedAt when it last told
+	// confirmedAt is when the VM was known to have the run, listReadAt when it last told
 	// that it still has it; 0 before.
 	confirmedAt, listedAt Time
 	// stopConfirmedAt is when the VM confirmed the stop; 0 before.
@@ -63,29 +63,29 @@
 	progress int
 	usage    float64
 	hasUsage bool
-	// full is what a filler was seen to use at full pace, 0 before.
-	full float64
-	// paced is the pace last ordered, in percent, at pacedAt.
-	paced   int
-	pacedAt Time
-	// progressAt is when progress last changed; progressFrom is what it was at
-	// progressSince, when it was first told.
-	progressAt, progressSince Time
-	progressFrom              int
-	// begun is set once the start is given, the last time at begunAt: before, the run has
+	// fullPaceUsage is what a filler was seen to use at full pace, 0 before.
+	fullPaceUsage float64
+	// orderedPace is the pace last ordered, in percent, at paceOrderedAt.
+	orderedPace   int
+	paceOrderedAt Time
+	// progressAt is when progress last changed; firstProgress is what it was at
+	// firstProgressAt, when it was first told.
+	progressAt, firstProgressAt Time
+	firstProgress               int
+	// startSent is set once the start is given, the last time at startSentAt: before, the run has
 	// certainly not begun.
-	begun   bool
-	begunAt Time
-	// trial is set where nothing else was new on the VM when the run was started.
-	trial bool
-	// last is set where nothing else is started on the VM while the run is new.
-	last bool
-	// earlier is the end of its VM's start before, which may have had the run; nil for none.
-	earlier *judgedEnd
-	// logged is set once the run is in the log of starts.
-	logged bool
-	// dead is set when the run no longer counts on its VM.
-	dead bool
+	startSent   bool
+	startSentAt Time
+	// isTrial is set where nothing else was new on the VM when the run was started.
+	isTrial bool
+	// exclusive is set where nothing else is started on the VM while the run is new.
+	exclusive bool
+	// previousEnd is the end of its VM's start before, which may have had the run; nil for none.
+	previousEnd *judgedEnd
+	// inStartLog is set once the run is in the log of starts.
+	inStartLog bool
+	// released is set when the run no longer counts on its VM.
+	released bool
 }
 
 // task is one task of one occurrence.
@@ -106,9 +106,9 @@
 	crashes      []crash
 	crashVersion int64
 	suspectSince Time
-	intended     int64
-	// keptOn is the VM that is kept for its trial.
-	keptOn *vm
+	intendedRun  int64
+	// reservedVM is the VM that is kept for its trial.
+	reservedVM *vm
 	// runs are the runs that have not ended; more than one only of a speculative step.
 	runs       []*run
 	checkpoint string
@@ -134,8 +134,8 @@
 	index int
 	spec  *batch.Step
 	tasks []task
-	// left counts the tasks that are not done.
-	left int
+	// tasksLeft counts the tasks that are not done.
+	tasksLeft int
 	// waiting counts the tasks that are neither done nor have a run.
 	waiting int
 	// blockers counts the steps before it that are not done.
@@ -146,26 +146,26 @@
 	runnableAt Time
 	// advice is set where the queue has an adviser and was asked.
 	advice *advice
-	// doneRates sums the progress rates, in percent a second, of the doneRuns
+	// doneRateSum sums the progress rates, in percent a second, of the doneRuns
 	// runs that are done.
-	doneRates float64
-	doneRuns  int
+	doneRateSum float64
+	doneRuns    int
 	// rank is the step's place in the queue at the last plan.
 	rank rank
-	// base is what the step's load alone does to its tails, where it serves.
-	base baseline
-	// figures are the tails that its tasks have told of late, where it serves.
-	figures figureLog
-	// perVM counts the runs on each VM, where the step bounds them.
-	perVM map[*vm]int
+	// baseline is what the step's load alone does to its tails, where it serves.
+	baseline baseline
+	// tailSamples are the tails that its tasks have told of late, where it serves.
+	tailSamples figureLog
+	// runsPerVM counts the runs on each VM, where the step bounds them.
+	runsPerVM map[*vm]int
 }
 
 // occurrence is one execution of a job's steps.
 type occurrence struct {
-	job    *job
-	number int
-	steps  []step
-	left   int
+	job       *job
+	number    int
+	steps     []step
+	stepsLeft int
 	// dueAt is when the occurrence was due, on the leader's clock.
 	dueAt Time
 }
@@ -178,23 +178,23 @@
 	// submittedAt is when the caller first asked, as far as it is known.
 	submittedAt Time
 	// objective is the time from submittedAt in which the job should be done.
-	objective time.Duration
-	chain     time.Duration
-	work      float64
-	attempts  int
-	priority  int
-	advice    *batch.Advice
-	state     batch.State
+	objective    time.Duration
+	criticalPath time.Duration
+	work         float64
+	maxAttempts  int
+	priority     int
+	advice       *batch.Advice
+	state        batch.State
 	// durableState is the state that the store has; callers are told final
 	// states only from it.
 	durableState batch.State
 	started      bool
 	// running counts the job's runs.
 	running int
-	// existed is set when the job was there before this leader took over: its
+	// predatesLeader is set when the job was there before this leader took over: its
 	// tasks may run where this leader has not heard yet.
-	existed bool
-	occs    map[int]*occurrence
+	predatesLeader bool
+	occs           map[int]*occurrence
 	// nextOcc is the first occurrence that has not been created.
 	nextOcc int
 	// doneOccs counts finished occurrences; all below doneLow are finished.
@@ -202,15 +202,15 @@
 	doneLow  int
 	// version counts changes of the durable part; a write covers the version that it was made from.
 	version int64
-	// written is the version that the store has.
-	written int64
-	// record is the store revision of the job's progress record, 0 for none.
-	record  int64
-	endedAt Time
-	// pending is the record that occurrences opened later start from.
-	pending *Progress
-	// ended are the occurrences that ended of late, with the runs that count.
-	ended []OccurrenceProgress
+	// writtenVersion is the version that the store has.
+	writtenVersion int64
+	// recordRevision is the store revision of the job's progress record, 0 for none.
+	recordRevision int64
+	endedAt        Time
+	// restoredProgress is the record that occurrences opened later start from.
+	restoredProgress *Progress
+	// recentOccurrences are the occurrences that ended of late, with the runs that count.
+	recentOccurrences []OccurrenceProgress
 	// held is set when the record of the job's progress can't be read: what is done
 	// is not known, so that nothing of it may be started.
 	held bool
@@ -219,107 +219,107 @@
 // vm is one start of a VM that the leader knows; see restarts.go.
 type vm struct {
 	// inst is the entry on the list. It may be that of another start: born is the birth of
-	// the one that reports, 0 before it is told, and firstHeardAt when it was first heard.
-	inst         batch.Instance
-	born         int64
-	firstHeardAt Time
+	// the one that reports, 0 before it is told, and firstReportAt when it was first heard.
+	inst          batch.Instance
+	born          int64
+	firstReportAt Time
 	// listed is set while the store's list has the instance.
 	listed bool
 	// token is the fencing token of what is sent to this start: higher than that of what this
-	// leader sent to the one before, unless tokenWanted is set. heldToken is that of the last
+	// leader sent to the one before, unless needsToken is set. lastHoldToken is that of the last
 	// hold. guarded is set where there was none before, or once the start has answered a hold
 	// with token: from then on it refuses what was sent to the one before.
-	token, heldToken     int64
-	tokenWanted, guarded bool
-	// staleAtFirst is set where its entry had not been written for long when it was first seen.
-	staleAtFirst bool
+	token, lastHoldToken int64
+	needsToken, fenced   bool
+	// initiallyStale is set where its entry had not been written for long when it was first seen.
+	initiallyStale bool
 	// unlistedAt is when it left the list.
 	unlistedAt Time
-	// heard is set once the instance has seen this leader's fencing token and
+	// hasReported is set once the instance has seen this leader's fencing token and
 	// told what it runs.
-	heard   bool
-	heardAt Time
-	clock   clock
-	runs    map[batch.TaskID]*run
-	// ordered holds runs in the order in which they were taken on: what is decided for
+	hasReported  bool
+	lastReportAt Time
+	clock        clock
+	runs         map[batch.TaskID]*run
+	// runList holds runs in the order in which they were taken on: what is decided for
 	// one after the other must not follow the order of a map, or equal inputs would give
 	// other plans. It is replaced, not changed, when a run goes, so that loops may end runs.
-	ordered []*run
+	runList []*run
 	used    batch.Resources
 	// fillerCPU is what the fillers here would like to use, in thousandths of a processor.
 	fillerCPU int64
-	// serving counts the serving runs, servingCPU what they declared, in
+	// servingRuns counts the serving runs, servingCPU what they declared, in
 	// thousandths of a processor.
-	serving    int
-	servingCPU int64
+	servingRuns int
+	servingCPU  int64
 	// shortCPU is what tasks that hold processors for a while only declared.
 	shortCPU int64
-	// seen is the highest end sequence that was processed, durable the highest
+	// processedSeq is the highest end sequence that was processed, durable the highest
 	// whose effects are written, to be acknowledged.
-	seen    int64
-	durable int64
-	// deferred are ends of jobs that are not known, by their number; strangers the
+	processedSeq int64
+	durableSeq   int64
+	// deferredEnds are ends of jobs that are not known, by their number; strangers the
 	// runs of such jobs.
-	deferred  map[int64]batch.RunEnd
-	strangers map[batch.TaskID]int64
-	// lapsedSeq is the highest end that says that a lease lapsed. Every run here up to
-	// the number lapsedRun began before a moment at which all leases here were over.
-	lapsedSeq, lapsedRun int64
-	// lapsedLease is the leaseOver that lapsedRun was taken at.
-	lapsedLease Time
-	// missedAt is when the machine service's list was asked for that first lacked the
+	deferredEnds map[int64]batch.RunEnd
+	unknownRuns  map[batch.TaskID]int64
+	// expirySeq is the highest end that says that a lease lapsed. Every run here up to
+	// the number maxExpiredRun began before a moment at which all leases here were over.
+	expirySeq, maxExpiredRun int64
+	// expiredLeaseEnd is the leaseExpiry that maxExpiredRun was taken at.
+	expiredLeaseEnd Time
+	// missingSince is when the machine service's list was asked for that first lacked the
 	// instance; 0 when the last one had it.
-	missedAt Time
+	missingSince Time
 	// ackLimit, where set, is the first end that is never acknowledged; see withhold.
 	ackLimit int64
-	// unwanted are runs that do not count and were ordered to stop.
-	unwanted []unwanted
+	// unwantedRuns are runs that do not count and were ordered to stop.
+	unwantedRuns []unwanted
 	// health rates failures of late; see health.go.
 	health health
-	// otherStart is set when an order was answered by another start than the one that reported,
+	// otherIncarnation is set when an order was answered by another start than the one that reported,
 	// until the next report.
-	otherStart bool
+	otherIncarnation bool
 	// leaseUntil is the end of the lease on the instance's clock.
 	leaseUntil time.Duration
-	// wait is how long the last hold waits for an end.
-	wait time.Duration
+	// holdWait is how long the last hold waits for an end.
+	holdWait time.Duration
 	// closed VMs are being emptied for maintenance and take no new tasks.
 	closed bool
-	// unanswered is set while a hold has no answer, unansweredAt when the first hold
+	// holdUnanswered is set while a hold has no answer, firstUnansweredAt when the first hold
 	// failed since it was last heard, 0 for none; unansweredHolds counts them.
-	unanswered      bool
-	unansweredAt    Time
-	unansweredHolds int
-	// closedAtOnce is set where the first of them found its connection closed.
-	closedAtOnce bool
-	// trial is a suspect's run, beside which nothing is started while it is new; keptFor is the suspect
-	// that the VM is kept for until keptUntil.
-	trial     *run
-	keptFor   *task
-	keptUntil Time
-	// leaseOver is when everything there has certainly ended, unless the lease is renewed.
-	leaseOver Time
-	// pacedAt is when the pace of a filler here was last changed; overSince when
+	holdUnanswered    bool
+	firstUnansweredAt Time
+	unansweredHolds   int
+	// connectionClosed is set where the first of them found its connection closed.
+	connectionClosed bool
+	// trialRun is a suspect's run, beside which nothing is started while it is new; reservedTask is the suspect
+	// that the VM is kept for until reservedUntil.
+	trialRun      *run
+	reservedTask  *task
+	reservedUntil Time
+	// leaseExpiry is when everything there has certainly ended, unless the lease is renewed.
+	leaseExpiry Time
+	// paceOrderedAt is when the pace of a filler here was last changed; overTargetSince when
 	// a serving task was first seen over its target, 0 when none is.
-	pacedAt   Time
-	overSince Time
-	// blindCap bounds the pace of all fillers, in percent, after a tail was over
-	// its target for long with nobody to blame; changed at blindCapAt.
-	blindCap   int
-	blindCapAt Time
-	// sample is the report that the next one is compared with.
-	sample sample
-	// ended are the fillers that ended so recently that the figures show them.
-	ended []endedFiller
-	// excess is how much longer the tails here are than predicted, as a logarithm.
-	excess float64
+	paceChangedAt   Time
+	overTargetSince Time
+	// fillerPaceCap bounds the pace of all fillers, in percent, after a tail was over
+	// its target for long with nobody to blame; changed at fillerPaceCapAt.
+	fillerPaceCap   int
+	fillerPaceCapAt Time
+	// lastSample is the report that the next one is compared with.
+	lastSample reportSample
+	// recentFillers are the fillers that ended so recently that the figures show them.
+	recentFillers []endedFiller
+	// tailExcess is how much longer the tails here are than predicted, as a logarithm.
+	tailExcess float64
 	// tails is worked out from runs; see tailsOf.
 	tails []tail
-	// room is what fillers may use, fillersUse what those that run use at full pace,
+	// fillerCapacity is what fillers may use, fillerFullUse what those that run use at full pace,
 	// in thousandths of a processor; worked out with the tails.
-	room, fillersUse float64
-	tailsAt          Time
-	tailsStale       bool
+	fillerCapacity, fillerFullUse float64
+	tailsAt                       Time
+	tailsStale                    bool
 }
 
 // clock relates an instance's clock to the leader's.
@@ -331,66 +331,66 @@
 	value         time.Duration
 }
 
-// slowClock is the least rate of an instance's clock: it may be 2 % slow.
-const slowClock = 0.98
+// minClockRate is the least rate of an instance's clock: it may be 2 % slow.
+const minClockRate = 0.98
 
 // Scheduler is the leader's state.
 type Scheduler struct {
 	settings Settings
 	policy   Policy
 	fence    int64
-	// token is the highest fencing token that this leader may use; see restarts.go.
-	token int64
+	// maxToken is the highest fencing token that this leader may use; see restarts.go.
+	maxToken int64
 	// nextRun numbers runs. The fencing token is in the upper bits, so that run
 	// numbers rise over all leaders without being stored.
-	nextRun int64
-	config  *batch.Config
-	vms     map[string]*vm
-	order   []*vm
-	jobs    map[string]*job
-	ready   []*step
-	// timed are the jobs with occurrences still to come.
-	timed map[string]*job
-	dirty map[string]*job
-	waves map[int64]*wave
-	// unguarded is set where a pool has VMs that do not guard their capacity.
-	unguarded bool
-	// listedAt is when the list of VMs was last read.
-	listedAt Time
-	// ends are the VMs that ended of late, doubts the runs that may have ended a VM.
-	// judgedEnds are the ends of VMs that are being judged, or were of late.
-	ends       map[vmStart]vmEnd
-	doubts     map[vmStart]map[*task]int64
-	judgedEnds []*judgedEnd
-	starts     startLog
-	// endedUnheard is set once a VM that an earlier leader may have used has ended, or was
+	nextRun    int64
+	config     *batch.Config
+	vms        map[string]*vm
+	vmList     []*vm
+	jobs       map[string]*job
+	readySteps []*step
+	// timedJobs are the jobs with occurrences still to come.
+	timedJobs map[string]*job
+	dirtyJobs map[string]*job
+	waves     map[int64]*wave
+	// hasUnguardedPools is set where a pool has VMs that do not guard their capacity.
+	hasUnguardedPools bool
+	// listReadAt is when the list of VMs was last read.
+	listReadAt Time
+	// recentVMEnds are the VMs that ended of late, doubts the runs that may have ended a VM.
+	// classifiedVMEnds are the ends of VMs that are being judged, or were of late.
+	recentVMEnds       map[vmStart]vmEnd
+	unconfirmedCrashes map[vmStart]map[*task]int64
+	classifiedVMEnds   []*judgedEnd
+	startLog           startLog
+	// endedUnreported is set once a VM that an earlier leader may have used has ended, or was
 	// waited out, before it was heard.
-	endedUnheard bool
-	// trialTurn is where the next look for a VM for a trial begins.
-	trialTurn int
+	endedUnreported bool
+	// trialCursor is where the next look for a VM for a trial begins.
+	trialCursor int
 	// machines is the machine service's list; nil before it was read.
 	machines map[string]batch.Machine
-	// silent are instances that an earlier leader may have given work to and
+	// awaitedVMs are instances that an earlier leader may have given work to and
 	// that have not been heard, with the moment when they need not be waited for.
-	silent map[string]Time
-	// lapsed is what was known of the leases of VMs that were forgotten and may come back.
-	lapsed map[string]Lapsed
-	// untoldSince are the jobs that VMs tell of and that are not known, with the moment
+	awaitedVMs map[string]Time
+	// expiredLeases is what was known of the leases of VMs that were forgotten and may come back.
+	expiredLeases map[string]Lapsed
+	// unknownJobsSince are the jobs that VMs tell of and that are not known, with the moment
 	// when they were first told of; absent those that the store does not have.
-	untoldSince map[string]Time
-	absent      map[string]Time
-	// ledAt is the last moment before which no other leader can have been elected.
-	ledAt Time
-	// newSince is the store's revision after which jobs were created that no earlier
+	unknownJobsSince map[string]Time
+	absentJobs       map[string]Time
+	// leadConfirmedAt is the last moment before which no other leader can have been elected.
+	leadConfirmedAt Time
+	// newJobsRevision is the store's revision after which jobs were created that no earlier
 	// leader has taken up; 0 before it is known.
-	newSince int64
-	orders   []Order
-	// changed is set when a plan may find something new to do.
-	changed bool
-	// room is how many more starts may be decided; see Throttle.
-	room Room
-	// startsShortAt is when it last left some out, 0 for never.
-	startsShortAt Time
+	newJobsRevision int64
+	orders          []Order
+	// planNeeded is set when a plan may find something new to do.
+	planNeeded bool
+	// startBudget is how many more starts may be decided; see Throttle.
+	startBudget Room
+	// startLimitHitAt is when it last left some out, 0 for never.
+	startLimitHitAt Time
 	// meanWork is the mean work of each queue's jobs of late, in processor seconds.
 	meanWork map[string]float64
 	images   images
@@ -399,18 +399,18 @@
 	candidates candidates
 	// crowded is set while lasting and short tasks declare most of all processors.
 	crowded bool
-	// heardVMs counts the VMs that are heard, emptyVMs those of them that serve nothing.
-	heardVMs, emptyVMs int
-	logf               func(Decision)
-	plannedAt          Time
-	explainedAt        Time
-	describedAt        Time
+	// reportedVMs counts the VMs that are heard, nonServingVMs those of them that serve nothing.
+	reportedVMs, nonServingVMs int
+	logf                       func(Decision)
+	plannedAt                  Time
+	waitLoggedAt               Time
+	interferenceLoggedAt       Time
 	// loadLoggedAt is when the fleet's load was last logged.
 	loadLoggedAt Time
 }
 
-// runBits is how many runs one leader may number: 2^24.
-const runBits = 24
+// runNumberBits is how many runs one leader may number: 2^24.
+const runNumberBits = 24
 
 // New returns a scheduler for the leader with the given fencing token. log
 // receives a line for each decision.
@@ -423,9 +423,9 @@
 		policy = *settings.Policy
 	}
 	return &Scheduler{
-		room:     Unthrottled,
-		settings: settings, policy: policy, fence: fence, token: fence, nextRun: fence << runBits, vms: map[string]*vm{}, jobs: map[string]*job{},
-		timed: map[string]*job{}, dirty: map[string]*job{}, waves: map[int64]*wave{}, silent: map[string]Time{}, ends: map[vmStart]vmEnd{}, doubts: map[vmStart]map[*task]int64{}, starts: startLog{inherited: map[vmStart][]*inheritedStart{}, lostVMs: map[string]bool{}}, lapsed: map[string]Lapsed{}, untoldSince: map[string]Time{}, absent: map[string]Time{}, images: newImages(), meanWork: map[string]float64{}, logf: log,
+		startBudget: Unthrottled,
+		settings:    settings, policy: policy, fence: fence, maxToken: fence, nextRun: fence << runNumberBits, vms: map[string]*vm{}, jobs: map[string]*job{},
+		timedJobs: map[string]*job{}, dirtyJobs: map[string]*job{}, waves: map[int64]*wave{}, awaitedVMs: map[string]Time{}, recentVMEnds: map[vmStart]vmEnd{}, unconfirmedCrashes: map[vmStart]map[*task]int64{}, startLog: startLog{inherited: map[vmStart][]*inheritedStart{}, lostVMs: map[string]bool{}}, expiredLeases: map[string]Lapsed{}, unknownJobsSince: map[string]Time{}, absentJobs: map[string]Time{}, images: newImages(), meanWork: map[string]float64{}, logf: log,
 	}
 }
 
@@ -445,16 +445,16 @@
 	Group string
 	// Value is a figure that goes with the reason.
 	Value float64
-	// Lived is how long a run that was lost is known to have run, LivedAtMost the longest
+	// MinLifetime is how long a run that was lost is known to have run, MaxLifetime the longest
 	// that it can have: until its VM first left a hold without an answer. A run that ends
 	// its VM as it begins has lived for some milliseconds each time.
-	Lived, LivedAtMost time.Duration
-	// NewRuns counts the runs on a VM that is gone that had just begun there.
-	NewRuns int
-	// Unheard is how long the VM has not been heard, LeaseLeft how long a lease that
+	MinLifetime, MaxLifetime time.Duration
+	// RecentRuns counts the runs on a VM that is gone that had just begun there.
+	RecentRuns int
+	// SinceReport is how long the VM has not been heard, LeaseLeft how long a lease that
 	// this leader took may still last there; negative when it is over. Both are told
 	// where the end of a VM, or of what it runs, is concluded.
-	Unheard, LeaseLeft time.Duration
+	SinceReport, LeaseLeft time.Duration
 	// Born is which start of the VM it is about, Acked the highest end that was
 	// acknowledged to it. Told where a VM is heard or started again, or a run is not listed.
 	Born, Acked int64
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Wanted reports whether the run of a start that was ordered is to be: it counts, and
+// ShouldResendStart reports whether the run of a start that was ordered is to be: it counts, and
 // was not ordered to stop, and its VM has not started again. The start is then given again, now.
-func (s *Scheduler) Wanted(now Time, o Order) bool {
+func (s *Scheduler) ShouldResendStart(now Time, o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
 		return false
@@ -11,13 +11,13 @@
 	if r == nil || r.number != o.Run || r.state == stopping || o.Start.Fence != v.token {
 		return false
 	}
-	r.begunAt = now
+	r.startSentAt = now
 	return true
 }
 
-// Stopping reports whether the run of a stop that was ordered still counts, and its
+// StopUnconfirmed reports whether the run of a stop that was ordered still counts, and its
 // VM has not confirmed the stop.
-func (s *Scheduler) Stopping(o Order) bool {
+func (s *Scheduler) StopUnconfirmed(o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
 		return false
--- a/internal/scheduler/straggler.go
+++ b/internal/scheduler/straggler.go
@@ -35,8 +35,8 @@
 
 // follow takes a report of the run's progress in.
 func (r *run) follow(now Time, progress int) {
-	if r.progressSince == 0 {
-		r.progressSince, r.progressFrom = now, progress
+	if r.firstProgressAt == 0 {
+		r.firstProgressAt, r.firstProgress = now, progress
 	}
 	if progress != r.progress || r.progressAt == 0 {
 		r.progressAt = now
@@ -46,22 +46,22 @@
 
 // rate is the run's progress in percent a second, 0 when it is not known yet.
 func (r *run) rate(now Time) float64 {
-	watched := now - r.progressSince
-	if r.progressSince == 0 || watched < rateAfter {
+	watched := now - r.firstProgressAt
+	if r.firstProgressAt == 0 || watched < rateAfter {
 		return 0
 	}
-	return float64(r.progress-r.progressFrom) / watched.Seconds()
+	return float64(r.progress-r.firstProgress) / watched.Seconds()
 }
 
 // unhindered reports whether the run works at full pace.
 func (r *run) unhindered() bool {
-	return r.state == running && (!r.task.step.spec.Filler || r.paced >= stallPace)
+	return r.state == running && (!r.task.step.spec.Filler || r.orderedPace >= stallPace)
 }
 
 // siblings is the mean rate of the step's other runs, done ones included, and
 // how many there are.
 func (st *step) siblings(now Time, except *run) (mean float64, n int) {
-	sum := st.doneRates
+	sum := st.doneRateSum
 	n = st.doneRuns
 	for k := range st.tasks {
 		for _, r := range st.tasks[k].runs {
@@ -82,8 +82,8 @@
 
 // noteDone takes the rate of a run that is done into its step's mean.
 func (r *run) noteDone(now Time) {
-	if took := now - r.confirmedAt; r.confirmedAt > 0 && took > 0 && r.paced >= 100 && r.progressFrom == 0 {
-		r.task.step.doneRates += 100 / took.Seconds()
+	if took := now - r.confirmedAt; r.confirmedAt > 0 && took > 0 && r.orderedPace >= 100 && r.firstProgress == 0 {
+		r.task.step.doneRateSum += 100 / took.Seconds()
 		r.task.step.doneRuns++
 	}
 }
@@ -95,14 +95,14 @@
 		return
 	}
 	watched, crawling := 0, 0
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if spec.Lasting || spec.Gang || !r.unhindered() || r.progressAt == 0 {
 			continue
 		}
 		watched++
 		switch {
-		case now-max(r.progressAt, r.pacedAt) > stallAfter:
+		case now-max(r.progressAt, r.paceOrderedAt) > stallAfter:
 			s.suspect(now, v, "stalled runs", r)
 			s.relocate(now, r, "stalled")
 		case s.crawls(now, r):
@@ -132,7 +132,7 @@
 
 func (s *Scheduler) suspect(now Time, v *vm, reason string, r *run) {
 	if v.health.stalled(now) {
-		s.logf(Decision{Event: EventVMSuspected, VM: v.inst.ID, Task: r.task.id(), Run: r.number, Reason: reason, Age: v.health.sentence, Value: r.rate(now)})
+		s.logf(Decision{Event: EventVMSuspected, VM: v.inst.ID, Task: r.task.id(), Run: r.number, Reason: reason, Age: v.health.quarantine, Value: r.rate(now)})
 	}
 }
 
@@ -164,10 +164,10 @@
 
 // copyUnheard starts copies of what a VM runs that has not been heard of late.
 func (s *Scheduler) copyUnheard(now Time, v *vm) {
-	if !s.policy.Copies || now-v.heardAt <= v.wait+copySlack {
+	if !s.policy.Copies || now-v.lastReportAt <= v.holdWait+copySlack {
 		return
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if r.task.step.spec.Speculative {
 			s.startCopy(now, r.task, "VM unheard")
 		}
@@ -179,8 +179,8 @@
 	if now < h.avoidUntil {
 		return false
 	}
-	h.sentence = min(max(2*h.sentence, quarantine), maxQuarantine)
-	h.avoidUntil = now + h.sentence
+	h.quarantine = min(max(2*h.quarantine, initialQuarantine), maxQuarantine)
+	h.avoidUntil = now + h.quarantine
 	h.probing = true
 	return true
 }
--- a/internal/scheduler/straggler_test.go
+++ b/internal/scheduler/straggler_test.go
@@ -11,7 +11,7 @@
 
 // progressing is a report of runs with their progress.
 func progressing(percent int, orders ...Order) batch.Report {
-	rep := runs(orders...)
+	rep := runningReport(orders...)
 	for i := range rep.Running {
 		rep.Running[i].Progress = percent
 	}
@@ -22,18 +22,18 @@
 // Sequence: the tasks on one VM stand still.
 func TestStalledRunMovesElsewhere(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
 	for range 3 {
 		f.advance(900 * time.Millisecond)
-		f.hearAll(map[string]batch.Report{o.Instance.ID: progressing(0, o)})
+		f.reportAll(map[string]batch.Report{o.Instance.ID: progressing(0, o)})
 		f.plan()
 	}
 	require.Len(t, f.stops, 1)
-	f.hearAll(map[string]batch.Report{o.Instance.ID: {Ended: []batch.RunEnd{ended(1, o, batch.EndStopped)}}})
+	f.reportAll(map[string]batch.Report{o.Instance.ID: {Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndStopped)}}})
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 	require.NotEqual(t, o.Instance.ID, f.last("j.0.0.0").Instance.ID)
@@ -42,14 +42,14 @@
 // A run that makes progress, however slowly reports come, is left alone.
 func TestProgressingRunStays(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
 	for i := range 5 {
 		f.advance(time.Second)
-		f.hearAll(map[string]batch.Report{o.Instance.ID: progressing(10*i, o)})
+		f.reportAll(map[string]batch.Report{o.Instance.ID: progressing(10*i, o)})
 		f.plan()
 	}
 	require.Empty(t, f.stops)
@@ -59,7 +59,7 @@
 // Where the step allows copies, one starts elsewhere, and the first to finish counts.
 func TestCopyOfUnheardRun(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	s := tasks(1, 100)
 	s.Speculative = true
 	f.submit("j", s)
@@ -70,36 +70,36 @@
 	if other == first.Instance.ID {
 		other = f.list[1].ID
 	}
-	f.advance(f.s.vms[first.Instance.ID].wait + copySlack + time.Millisecond)
-	f.hear(other, batch.Report{})
+	f.advance(f.s.vms[first.Instance.ID].holdWait + copySlack + time.Millisecond)
+	f.report(other, batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 	second := f.last("j.0.0.0")
 	require.Equal(t, other, second.Instance.ID)
-	f.hear(other, batch.Report{Ended: []batch.RunEnd{ended(1, second, batch.EndDone)}})
+	f.report(other, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}})
 	f.plan()
 	require.Len(t, f.stops, 1, "the other copy runs on")
 	state, _ := f.s.State("j")
 	require.Equal(t, batch.Running, state)
-	require.Equal(t, batch.Completed, f.s.Pending().Records[0].Progress.State)
+	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
 // Without leave for copies the task waits until the lease is certainly over.
 func TestNoCopyWithoutLeave(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
 	silent := o.Instance.ID
-	deadline := f.now + time.Duration(float64(f.s.settings.Lease())/slowClock) + leaseMargin
+	deadline := f.now + time.Duration(float64(f.s.settings.Lease())/minClockRate) + leaseMargin
 	for f.now < deadline-time.Second {
 		f.advance(500 * time.Millisecond)
 		for _, inst := range f.list {
 			if inst.ID != silent {
-				f.hear(inst.ID, batch.Report{})
+				f.report(inst.ID, batch.Report{})
 			}
 		}
 		// Retries of the hold must not prolong the lease.
@@ -111,7 +111,7 @@
 	f.now = deadline + 1100*time.Millisecond
 	for _, inst := range f.list {
 		if inst.ID != silent {
-			f.hear(inst.ID, batch.Report{})
+			f.report(inst.ID, batch.Report{})
 		}
 	}
 	f.s.Tend(f.now)
@@ -125,26 +125,26 @@
 // Cause: orders were carried out as they had been decided, however late.
 func TestOvertakenStartIsNotGiven(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(1, 1000)
 	step.Speculative = true
 	f.submit("j", step)
 	f.plan()
 	first := f.last("j.0.0.0")
 	f.confirm(first)
-	f.hear(first.Instance.ID, runs(first))
+	f.report(first.Instance.ID, runningReport(first))
 	f.advance(2 * time.Second)
 	other := f.list[0].ID
 	if other == first.Instance.ID {
 		other = f.list[1].ID
 	}
-	f.hear(other, batch.Report{})
+	f.report(other, batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	second := f.last("j.0.0.0")
 	require.NotEqual(t, first.Run, second.Run, "no copy was ordered")
-	require.True(t, f.s.Begin(f.now, second))
-	f.hear(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndDone)}})
-	require.False(t, f.s.Begin(f.now, second))
-	require.False(t, f.s.Begin(f.now, second), "the run is gone")
+	require.True(t, f.s.PrepareStart(f.now, second))
+	f.report(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndDone)}})
+	require.False(t, f.s.PrepareStart(f.now, second))
+	require.False(t, f.s.PrepareStart(f.now, second), "the run is gone")
 }
--- a/internal/scheduler/tails.go
+++ b/internal/scheduler/tails.go
@@ -28,7 +28,7 @@
 
 // held is the excess of the VM's tails that the model does not explain, as far as
 // it is not noise.
-func (v *vm) held() float64 { return min(max(v.excess-excessNoise, 0), maxExcess) }
+func (v *vm) held() float64 { return min(max(v.tailExcess-excessNoise, 0), maxExcess) }
 
 // soon is the level of the step's load that fillers have to leave room for now:
 // that of the next second where it rises.
@@ -42,34 +42,34 @@
 // roomFor is what fillers may use of the VM now and after some time, in
 // thousandths of a processor, where limit is the share of all that may be in use.
 func (v *vm) roomFor(now Time, ahead time.Duration, limit float64) float64 {
-	rest := limit*v.processors() - float64(v.used.MilliCPU-v.servingCPU)
+	rest := limit*v.capacityMilliCPU() - float64(v.used.MilliCPU-v.servingCPU)
 	return rest - max(v.servingUse(now, 0), v.servingUse(now, ahead))
 }
 
 // tailsOf returns the VM's predicted tails.
 func (s *Scheduler) tailsOf(now Time, v *vm) []tail {
-	if v.serving == 0 {
+	if v.servingRuns == 0 {
 		return nil
 	}
 	if !v.tailsStale && now-v.tailsAt < tailsValid {
 		return v.tails
 	}
 	v.tails = v.tails[:0]
-	v.room = v.roomFor(now, roomLead, s.policy.RoomLimit)
-	v.fillersUse = 0
-	for _, r := range v.ordered {
+	v.fillerCapacity = v.roomFor(now, roomLead, s.policy.RoomLimit)
+	v.fillerFullUse = 0
+	for _, r := range v.runList {
 		st := r.task.step
 		if st.spec.Serves() {
-			v.addTail(s.images.pair(st.spec.Image), st.spec.Image, st.base.peak(now), st.base.soon(now)+v.held())
+			v.addTail(s.images.pair(st.spec.Image), st.spec.Image, st.baseline.peak(now), st.baseline.soon(now)+v.held())
 		}
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if !spec.Filler {
 			continue
 		}
-		v.fillersUse += r.fullUse()
-		number, use := s.images.number(spec.Image), r.fullUse()/v.processors()
+		v.fillerFullUse += r.fullUse()
+		number, use := s.images.number(spec.Image), r.fullUse()/v.capacityMilliCPU()
 		for i := range v.tails {
 			e := v.tails[i].pair.effect(number, use)
 			v.tails[i].peak += e
@@ -118,7 +118,7 @@
 func (s *Scheduler) pressure(now Time, v *vm, image string, milliCPU int64) pressure {
 	p := pressure{worst: math.Inf(-1), peak: math.Inf(-1), soon: math.Inf(-1)}
 	number := s.images.number(image)
-	share := float64(milliCPU) / v.processors()
+	share := float64(milliCPU) / v.capacityMilliCPU()
 	for i := range s.tailsOf(now, v) {
 		t := &v.tails[i]
 		e := t.pair.effect(number, share)
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -18,11 +18,11 @@
 func TestNewJobsWaitForVMsAfterTakeover(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.submit("new", tasks(1, 100))
 	f.plan()
 	require.Empty(t, f.started, "started while vm01 may run it for the earlier leader")
-	f.hear("vm01", batch.Report{})
+	f.report("vm01", batch.Report{})
 	f.plan()
 	require.Len(t, f.started, 1)
 }
@@ -31,18 +31,18 @@
 	f := newFixture(t, 2)
 	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
 	f.advance(DeposedWithin + time.Millisecond)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.s.NewSince(50)
 	for created, id := range map[int64]string{0: "unknown", 50: "overlap", 51: "new"} {
 		job := &batch.Job{ID: id, Steps: []batch.Step{tasks(1, 100)}}
-		f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", Created: created})
+		f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", CreatedRevision: created})
 	}
 	f.plan()
 	require.Len(t, f.started, 1)
 	require.Contains(t, f.started, "new.0.0.0")
 	// The watch tells of a job that was announced without its revision.
 	job := &batch.Job{ID: "unknown", Steps: []batch.Step{tasks(1, 100)}}
-	f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", Created: 52})
+	f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", CreatedRevision: 52})
 	f.advance(100 * time.Millisecond)
 	f.plan()
 	require.Contains(t, f.started, "unknown.0.0.0")
@@ -53,17 +53,17 @@
 func TestOldJobsWaitOutSilentVMs(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
-	s := Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true}
+	s := Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true}
 	f.s.Submit(f.now, s)
 	for range 11 {
 		f.advance(time.Second)
-		f.hear("vm00", batch.Report{})
+		f.report("vm00", batch.Report{})
 		f.s.Tend(f.now)
 		f.plan()
 	}
 	require.Empty(t, f.started)
 	f.advance(1100 * time.Millisecond)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	require.Len(t, f.started, 1)
@@ -73,14 +73,14 @@
 func TestRunningTasksAreAdopted(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.Expect([]string{"vm00"}, f.now+12*time.Second)
-	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(2, 100)}}, Queue: testQueue, Pool: "pool", Existed: true})
+	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(2, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	id := batch.TaskID{Job: "old"}
-	f.hear("vm00", batch.Report{Running: []batch.RunStatus{{Task: id, Run: 3}}})
+	f.report("vm00", batch.Report{Running: []batch.RunStatus{{Task: id, Run: 3}}})
 	f.plan()
 	require.Len(t, f.started, 1)
 	require.Contains(t, f.started, "old.0.0.1")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{{Seq: 1, Task: id, Run: 3, Kind: batch.EndDone}}})
-	require.NotNil(t, f.s.Pending())
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{{Seq: 1, Task: id, Run: 3, Kind: batch.EndDone}}})
+	require.NotNil(t, f.s.PendingWrites())
 }
 
 // Symptom: a job fails after fewer failures than it may have.
@@ -88,29 +88,29 @@
 // the next leader reads the record and is told the same end again.
 func TestFailedEndToldAgainCountsOnce(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	first := f.last("j.0.0.0")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndFailed)}})
-	record := f.s.Pending().Records[0].Progress
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndFailed)}})
+	record := f.s.PendingWrites().Records[0].Progress
 
 	next := newFixture(t, 1)
-	next.s.Submit(next.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true, Progress: record})
-	next.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndFailed)}})
+	next.s.Submit(next.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: record})
+	next.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndFailed)}})
 	require.Len(t, next.s.task(first.Task).failedRuns, 1)
 }
 
 // An end may be acknowledged only once the record that holds it is written.
 func TestEndsAreAcknowledgedAfterTheWrite(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
 	f.plan()
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, f.last("j.0.0.0"), batch.EndDone)}, Running: runs(f.last("j.0.0.1")).Running})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, f.last("j.0.0.0"), batch.EndDone)}, Running: runningReport(f.last("j.0.0.1")).Running})
 	hold, _ := f.s.Hold(f.now, "vm00", 0)
 	require.Zero(t, hold.Acked)
-	flush := f.s.Pending()
+	flush := f.s.PendingWrites()
 	require.Len(t, flush.Records, 1)
 	f.s.RecordWritten(flush.Records[0], 7)
 	f.s.Flushed(flush)
@@ -121,13 +121,13 @@
 // A job is shown as completed only once the store has it.
 func TestCompletedIsToldAfterTheWrite(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, f.last("j.0.0.0"), batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, f.last("j.0.0.0"), batch.EndDone)}})
 	state, _ := f.s.State("j")
 	require.Equal(t, batch.Running, state)
-	flush := f.s.Pending()
+	flush := f.s.PendingWrites()
 	f.s.RecordWritten(flush.Records[0], 7)
 	state, _ = f.s.State("j")
 	require.Equal(t, batch.Completed, state)
@@ -140,14 +140,14 @@
 	f := newFixture(t, 1)
 	f.s.Expect([]string{"vm00", "left"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "left", Address: "10.9.9.9:1"})
-	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true})
+	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	f.advance(12*time.Second - 100*time.Millisecond)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	require.Empty(t, f.started)
 	f.advance(200 * time.Millisecond)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	require.Len(t, f.started, 1)
@@ -158,9 +158,9 @@
 	f := newFixture(t, 1)
 	f.s.Expect([]string{"vm00", "cut"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "cut", Address: "10.9.9.9:1"})
-	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true})
-	f.hear("cut", batch.Report{Running: []batch.RunStatus{{Task: batch.TaskID{Job: "old"}, Run: 3}}})
-	f.hear("vm00", batch.Report{})
+	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
+	f.report("cut", batch.Report{Running: []batch.RunStatus{{Task: batch.TaskID{Job: "old"}, Run: 3}}})
+	f.report("vm00", batch.Report{})
 	f.plan()
 	require.Empty(t, f.started)
 }
@@ -172,7 +172,7 @@
 // stood idle for as long as the leader led.
 func TestEndOfARunWhoseLeaseRanOutIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	first := f.last("j.0.0.0")
@@ -183,13 +183,13 @@
 	}
 	_, _ = f.s.Hold(f.now, first.Instance.ID, 0)
 	f.advance(9 * time.Second)
-	f.hear(other, batch.Report{})
+	f.report(other, batch.Report{})
 	f.s.Tend(f.now)
 	f.plan()
 	second := f.last("j.0.0.0")
 	require.Equal(t, other, second.Instance.ID)
 	f.confirm(second)
-	f.s.Heard(f.now, f.now, first.Instance.ID, batch.Report{Clock: f.now + time.Hour, Ended: []batch.RunEnd{ended(1, first, batch.EndDone)}})
+	f.s.HandleReport(f.now, f.now, first.Instance.ID, batch.Report{Clock: f.now + time.Hour, Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndDone)}})
 	require.Equal(t, batch.Completed, f.write()["j"].State)
 	require.EqualValues(t, 1, f.acked(first.Instance.ID))
 	f.plan()
@@ -204,12 +204,12 @@
 // Where the VM says that its lease lapsed after that end, it may be acknowledged.
 func TestEndBeforeLapseIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 1)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
 	f.plan()
 	a, b := f.last("j.0.0.0"), f.last("j.0.0.1")
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, a, batch.EndDone), ended(2, b, batch.EndLapsed)}})
-	flush := f.s.Pending()
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndDone), endOfOrder(2, b, batch.EndLapsed)}})
+	flush := f.s.PendingWrites()
 	for _, r := range flush.Records {
 		f.s.RecordWritten(r, 1)
 	}
@@ -227,19 +227,19 @@
 	f := newFixture(t, 1)
 	f.s = New(Settings{MaxLease: 10 * time.Second}, 2, nil)
 	f.s.SetInstances(f.now, f.list)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	step := tasks(1, 1000)
 	terms := &batch.Queue{Name: "gone", Pool: "pool", Attempts: 3, Stretch: 2}
-	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "gone", Pool: "pool", Terms: terms, Existed: true})
+	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "gone", Pool: "pool", AcceptedQueue: terms, PredatesLeader: true})
 	f.plan()
 	first := f.last("j.0.0.0")
 	f.confirm(first)
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, first, batch.EndFailed)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, first, batch.EndFailed)}})
 	state, _ := f.s.State("j")
 	require.Equal(t, batch.Running, state)
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 }
@@ -252,12 +252,12 @@
 func TestEndOfAnOccurrenceThatIsNotOpenYet(t *testing.T) {
 	f := newFixture(t, 2)
 	job := &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 1000)}, Schedule: &batch.Schedule{FirstMS: 1000, IntervalMS: 1000, Count: 3}}
-	f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", Existed: true})
+	f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	earlier := func(occurrence int) Order {
 		return Order{Task: batch.TaskID{Job: "j", Occurrence: occurrence}, Run: 7}
 	}
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, earlier(0), batch.EndDone)}})
-	f.hear("vm01", runs(earlier(1)))
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, earlier(0), batch.EndDone)}})
+	f.report("vm01", runningReport(earlier(1)))
 	f.s.OpenDue(f.now, 2500)
 	f.plan()
 	require.NotContains(t, f.started, "j.0.0.0", "is done")
--- a/internal/scheduler/trials.go
+++ b/internal/scheduler/trials.go
@@ -37,16 +37,16 @@
 
 // onTrial reports whether the VM is in use, or kept, for the trial of another task.
 func (v *vm) onTrial(now Time, t *task) bool {
-	if v.trial != nil && v.trial.task.unit() != t.unit() {
+	if v.trialRun != nil && v.trialRun.task.unit() != t.unit() {
 		return true
 	}
-	return v.keptFor != nil && now < v.keptUntil && v.keptFor.unit() != t.unit()
+	return v.reservedTask != nil && now < v.reservedUntil && v.reservedTask.unit() != t.unit()
 }
 
 // newOfOthers reports whether something is new on the VM beside the task.
 func (v *vm) newOfOthers(t *task) bool {
-	for _, r := range v.ordered {
-		if r.isNew() && r.task.unit() != t.unit() {
+	for _, r := range v.runList {
+		if r.isRecent() && r.task.unit() != t.unit() {
 			return true
 		}
 	}
@@ -55,25 +55,25 @@
 
 // endTrial opens the VM of a run for others, where the run was on trial.
 func (s *Scheduler) endTrial(r *run) {
-	if r.vm.trial != r {
+	if r.vm.trialRun != r {
 		return
 	}
-	r.vm.trial = nil
-	for _, o := range r.vm.ordered {
-		if o != r && o.task.unit() == r.task.unit() && o.isNew() {
+	r.vm.trialRun = nil
+	for _, o := range r.vm.runList {
+		if o != r && o.task.unit() == r.task.unit() && o.isRecent() {
 			// Another member of the gang.
-			r.vm.trial = o
+			r.vm.trialRun = o
 			return
 		}
 	}
-	s.changed = true
+	s.planNeeded = true
 }
 
 // trials counts the VMs that are in use or kept for trials.
 func (s *Scheduler) trials(now Time) int {
 	n := 0
-	for _, v := range s.order {
-		if v.trial != nil || (v.keptFor != nil && now < v.keptUntil) {
+	for _, v := range s.vmList {
+		if v.trialRun != nil || (v.reservedTask != nil && now < v.reservedUntil) {
 			n++
 		}
 	}
@@ -83,8 +83,8 @@
 // answering counts the VMs that are heard: the entry of one that has ended stays for seconds.
 func (s *Scheduler) answering(now Time) int {
 	n := 0
-	for _, v := range s.order {
-		if v.heard && v.unansweredAt == 0 && !v.silent(now) {
+	for _, v := range s.vmList {
+		if v.hasReported && v.firstUnansweredAt == 0 && !v.silent(now) {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 		if v != nil {
 			s.startClosed(now, t, v, false)
 		}
-	case best != nil && best.keptFor != t && float64(s.trials(now)) < max(1, mostTrials*float64(s.answering(now))):
+	case best != nil && best.reservedTask != t && float64(s.trials(now)) < max(1, mostTrials*float64(s.answering(now))):
 		s.keep(now, best, t)
 	}
 }
@@ -158,21 +158,21 @@
 	if first.suspectSince == 0 {
 		first.suspectSince = now
 	}
-	if first.intended == 0 {
+	if first.intendedRun == 0 {
 		number := s.number()
 		for k := range st.tasks {
 			s.intendRun(&st.tasks[k], number)
 		}
 		return nil
 	}
-	held := s.holdGang(now, st, first.intended, s.chooseForTrial)
+	held := s.holdGang(now, st, first.intendedRun, s.chooseForTrial)
 	trial := held != nil
 	if !trial && now-first.suspectSince > trialPatience {
-		held = s.holdGang(now, st, first.intended, s.choose)
+		held = s.holdGang(now, st, first.intendedRun, s.choose)
 	}
 	for _, h := range held {
-		h.trial, h.last, h.vm.trial = trial, true, h
-		h.task.suspectSince, h.task.intended = 0, 0
+		h.isTrial, h.exclusive, h.vm.trialRun = trial, true, h
+		h.task.suspectSince, h.task.intendedRun = 0, 0
 		s.recordCrash(h, h.vm.thisStart(), crashDoubted)
 	}
 	return held
@@ -189,21 +189,21 @@
 
 // keep keeps a VM for a suspect.
 func (s *Scheduler) keep(now Time, v *vm, t *task) {
-	v.keptFor, v.keptUntil, t.keptOn = t, now+reservedFor, v
+	v.reservedTask, v.reservedUntil, t.reservedVM = t, now+reservedFor, v
 }
 
 // trialVM returns the best VM for a trial of the task among some that have room, and
 // whether nothing else is new there. One that is kept for the task stays the choice.
 func (s *Scheduler) trialVM(now Time, t *task) (best *vm, free bool) {
-	if v := t.keptOn; v != nil && s.vms[v.inst.ID] == v && v.keptFor == t && now < v.keptUntil && s.fitsTrial(now, v, t) {
+	if v := t.reservedVM; v != nil && s.vms[v.inst.ID] == v && v.reservedTask == t && now < v.reservedUntil && s.fitsTrial(now, v, t) {
 		return v, !v.newOfOthers(t)
 	}
 	looked := 0
-	for i := range s.order {
+	for i := range s.vmList {
 		if looked == trialCandidates {
 			break
 		}
-		v := s.order[(s.trialTurn+i)%len(s.order)]
+		v := s.vmList[(s.trialCursor+i)%len(s.vmList)]
 		if !s.fitsTrial(now, v, t) {
 			continue
 		}
@@ -213,7 +213,7 @@
 			best, free = v, isFree
 		}
 	}
-	s.trialTurn++
+	s.trialCursor++
 	return best, free
 }
 
@@ -229,9 +229,9 @@
 // startClosed starts a suspect on a VM that takes nothing else while the run is new. It is
 // a trial where nothing else is new there now.
 func (s *Scheduler) startClosed(now Time, t *task, v *vm, trial bool) {
-	r := s.start(now, t, v, t.intended)
-	r.trial, r.last, v.trial = trial, true, r
-	t.suspectSince, t.intended, t.keptOn, v.keptFor = 0, 0, nil, nil
+	r := s.start(now, t, v, t.intendedRun)
+	r.isTrial, r.exclusive, v.trialRun = trial, true, r
+	t.suspectSince, t.intendedRun, t.reservedVM, v.reservedTask = 0, 0, nil, nil
 	s.recordCrash(r, r.vm.thisStart(), crashDoubted)
 }
 
@@ -239,7 +239,7 @@
 // from the second crash on the store must have the record, or a leader that dies as the VM
 // ends takes the count with it.
 func (s *Scheduler) intend(t *task) bool {
-	if t.intended == 0 {
+	if t.intendedRun == 0 {
 		s.intendRun(t, s.number())
 	}
 	return t.crashesDurable()
@@ -249,12 +249,12 @@
 // task's next start waits until all VMs are heard that they may have used, so that such a run
 // has begun only where one of these has ended instead.
 func (s *Scheduler) clearIntents(t *task) {
-	if s.endedUnheard {
+	if s.endedUnreported {
 		return
 	}
 	before := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool {
-		return c.kind == crashDoubted && c.vm.id == "" && c.run>>runBits < s.fence
+		return c.kind == crashDoubted && c.vm.id == "" && c.run>>runNumberBits < s.fence
 	})
 	if len(t.crashes) < before {
 		s.touchCrashes(t)
@@ -262,8 +262,8 @@
 }
 
 func (s *Scheduler) intendRun(t *task, number int64) {
-	t.intended = number
+	t.intendedRun = number
 	t.setCrash(crash{run: number, kind: crashDoubted})
 	s.touchCrashes(t)
-	s.changed = true
+	s.planNeeded = true
 }
--- a/internal/scheduler/twice_test.go
+++ b/internal/scheduler/twice_test.go
@@ -10,16 +10,16 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// expectFor is how long the leaders of these tests are told to wait for instances
+// awaitDuration is how long the leaders of these tests are told to wait for instances
 // of earlier leaders.
-const expectFor = 13 * time.Second
+const awaitDuration = 13 * time.Second
 
 // oldTask is the one task of a job that earlier leaders knew.
 var oldTask = batch.TaskID{Job: "old"}
 
 // oldJob is that job, as a new leader reads it.
 func oldJob(p *Progress) Submission {
-	return Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Existed: true, Progress: p}
+	return Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: p}
 }
 
 // endOf is how an earlier leader's run of a task ended.
@@ -27,12 +27,12 @@
 	return batch.RunEnd{Seq: seq, Task: task, Run: run, Kind: kind}
 }
 
-// successor is a fixture with a leader after f's.
-func successor(t *testing.T, vms int) *fixture {
+// newSuccessorFixture is a fixture with a leader after f's.
+func newSuccessorFixture(t *testing.T, vms int) *fixture {
 	f := newFixture(t, vms)
 	f.fence = 9
 	f.s = New(Settings{MaxLease: 10 * time.Second}, f.fence, func(d Decision) { f.log = append(f.log, d) })
-	f.s.Led(farAhead)
+	f.s.Led(distantFuture)
 	f.s.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	f.s.SetInstances(f.now, f.list)
 	return f
@@ -42,7 +42,7 @@
 // gives them to the next leader.
 func (f *fixture) write() map[string]*Progress {
 	out := map[string]*Progress{}
-	flush := f.s.Pending()
+	flush := f.s.PendingWrites()
 	if flush == nil {
 		return out
 	}
@@ -64,13 +64,13 @@
 	return o.Acked
 }
 
-// pass lets time go by while one VM is heard and the leader plans, until the task
+// advanceUntilStarted lets time go by while one VM is heard and the leader plans, until the task
 // was started so many times.
-func (f *fixture) pass(d time.Duration, heard string, task batch.TaskID, starts int) {
+func (f *fixture) advanceUntilStarted(d time.Duration, heard string, task batch.TaskID, starts int) {
 	const tick = 100 * time.Millisecond
 	for range d / tick {
 		f.advance(tick)
-		f.hear(heard, batch.Report{})
+		f.report(heard, batch.Report{})
 		f.s.Tend(f.now)
 		f.plan()
 		if len(f.started[task.String()]) >= starts {
@@ -79,14 +79,14 @@
 	}
 }
 
-// cutOff is a leader with one VM that it hears, vm00, and one that earlier leaders
+// newCutOffFixture is a leader with one VM that it hears, vm00, and one that earlier leaders
 // used and that is off the list, "cut".
-func cutOff(t *testing.T) *fixture {
-	f := successor(t, 1)
-	f.s.Expect([]string{"vm00", "cut"}, f.now+expectFor)
+func newCutOffFixture(t *testing.T) *fixture {
+	f := newSuccessorFixture(t, 1)
+	f.s.Expect([]string{"vm00", "cut"}, f.now+awaitDuration)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "cut", Pool: "pool", Address: "10.9.9.9:1"})
 	f.s.Submit(f.now, oldJob(nil))
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	return f
 }
 
@@ -110,9 +110,9 @@
 // such a task at 16.48 s; the old leader's leader_lease_unrenewed not before 13.81 s, so
 // that its leases lasted until 22 s. 243 tasks ran twice.
 func TestLeaseOutlivesListEntry(t *testing.T) {
-	f := cutOff(t)
-	f.pass(forgetAfter-200*time.Millisecond, "vm00", oldTask, 1)
-	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+expectFor)
+	f := newCutOffFixture(t)
+	f.advanceUntilStarted(forgetAfter-200*time.Millisecond, "vm00", oldTask, 1)
+	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+awaitDuration)
 }
 
 // What happened: as above, but six seconds later.
@@ -121,9 +121,9 @@
 // Cause: a VM that is forgotten for being off the list was no longer waited for
 // either, though nobody had heard what it runs.
 func TestLeaseOutlivesForgetting(t *testing.T) {
-	f := cutOff(t)
-	f.pass(expectFor-200*time.Millisecond, "vm00", oldTask, 1)
-	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+expectFor)
+	f := newCutOffFixture(t)
+	f.advanceUntilStarted(awaitDuration-200*time.Millisecond, "vm00", oldTask, 1)
+	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+awaitDuration)
 }
 
 // What happened: two runs of one task at once, one of them on a draining VM.
@@ -134,7 +134,7 @@
 // ended, whatever its lease.
 func TestLeaseOutlivesDraining(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
@@ -152,10 +152,10 @@
 	// One more hold arrives there; the rest of the talk with it is lost.
 	hold, _ := f.s.Hold(f.now, o.Instance.ID, 0)
 	lease = max(lease, hold.LeaseUntil)
-	f.s.Heard(f.now, f.now, o.Instance.ID, batch.Report{Clock: f.now + time.Hour, Running: runs(o).Running})
+	f.s.HandleReport(f.now, f.now, o.Instance.ID, batch.Report{Clock: f.now + time.Hour, Running: runningReport(o).Running})
 	f.advance(100 * time.Millisecond)
 	f.s.SetInstances(f.now, rest)
-	f.pass(20*time.Second, rest[0].ID, o.Task, 2)
+	f.advanceUntilStarted(20*time.Second, rest[0].ID, o.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 2, "never started again")
 	require.Greater(t, f.now+time.Hour, lease, "started again at %v, while its lease on the draining VM runs until %v", f.now, lease-time.Hour)
 }
@@ -166,18 +166,18 @@
 // leases are over.
 // Cause: a lease of which nothing was known counted as over.
 func TestLeaseOutlivesFirstReport(t *testing.T) {
-	f := cutOff(t)
+	f := newCutOffFixture(t)
 	f.advance(5 * time.Second)
 	f.relist()
-	f.s.Heard(f.now, f.now, "cut", batch.Report{Clock: f.now + time.Hour, Running: []batch.RunStatus{{Task: oldTask, Run: 3}}})
+	f.s.HandleReport(f.now, f.now, "cut", batch.Report{Clock: f.now + time.Hour, Running: []batch.RunStatus{{Task: oldTask, Run: 3}}})
 	for range 8 {
 		f.advance(time.Second)
-		f.hear("vm00", batch.Report{})
+		f.report("vm00", batch.Report{})
 		f.s.Tend(f.now)
 		f.plan()
 		require.Empty(t, f.started, "started again at %v", f.now)
 	}
-	f.pass(2*time.Second, "vm00", oldTask, 1)
+	f.advanceUntilStarted(2*time.Second, "vm00", oldTask, 1)
 	require.Len(t, f.started, 1, "not started again though every lease there is over")
 }
 
@@ -189,7 +189,7 @@
 // Cause: a lease was taken to be over by a leader that may not lead any more.
 func TestLeaseOutlivesTheLead(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	first := f.last("j.0.0.0")
@@ -198,8 +198,8 @@
 	if other == first.Instance.ID {
 		other = f.list[1].ID
 	}
-	f.s.ledAt = f.now + 5*time.Second
-	f.pass(12*time.Second, other, first.Task, 2)
+	f.s.leadConfirmedAt = f.now + 5*time.Second
+	f.advanceUntilStarted(12*time.Second, other, first.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 1, "started again by a leader that is cut off")
 	f.s.Led(f.now)
 	f.plan()
@@ -208,12 +208,12 @@
 
 // A leader that is cut off does not take the wait for earlier leaders' VMs to be over.
 func TestWaitForSilentVMsOutlivesTheLead(t *testing.T) {
-	f := cutOff(t)
-	f.s.ledAt = f.now + expectFor - time.Millisecond
-	f.pass(2*expectFor, "vm00", oldTask, 1)
+	f := newCutOffFixture(t)
+	f.s.leadConfirmedAt = f.now + awaitDuration - time.Millisecond
+	f.advanceUntilStarted(2*awaitDuration, "vm00", oldTask, 1)
 	require.Empty(t, f.started)
 	f.s.Led(f.now)
-	f.pass(time.Second, "vm00", oldTask, 1)
+	f.advanceUntilStarted(time.Second, "vm00", oldTask, 1)
 	require.Len(t, f.started, 1)
 }
 
@@ -222,19 +222,19 @@
 // another leader is elected; the VM is back and tells that its run ended well.
 // Cause: that the lease had run out was known to the first leader only.
 func TestNextLeaderKnowsThatALeaseRanOut(t *testing.T) {
-	f := cutOff(t)
-	f.pass(2*expectFor, "vm00", oldTask, 1)
+	f := newCutOffFixture(t)
+	f.advanceUntilStarted(2*awaitDuration, "vm00", oldTask, 1)
 	second := f.last("old.0.0.0")
 	f.confirm(second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, second, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}})
 	records := f.write()
 
-	next := successor(t, 1)
+	next := newSuccessorFixture(t, 1)
 	next.s.RestoreLapsed(f.s.LapsedRuns())
 	next.s.Submit(next.now, oldJob(records["old"]))
-	next.hear("vm00", batch.Report{})
+	next.report("vm00", batch.Report{})
 	next.relist()
-	next.hear("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
+	next.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
 	next.write()
 	require.EqualValues(t, 1, next.acked("cut"))
 }
@@ -247,45 +247,45 @@
 // deposed.
 // Cause: that the earlier leader starts no more says nothing of what it has started.
 // A job that came while it may still have followed new ones is as good as an old one.
-func TestJobOfTheOverlapWaitsForSilentVMs(t *testing.T) {
-	f := successor(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+expectFor)
+func TestJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
+	f := newSuccessorFixture(t, 2)
+	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.advance(100 * time.Millisecond)
 	f.submit("new", tasks(1, 100))
-	f.pass(expectFor-500*time.Millisecond, "vm00", batch.TaskID{Job: "new"}, 1)
-	require.Empty(t, f.started, "started at %v, while an earlier leader's run may be on vm01 until %v", f.now, time.Second+expectFor)
-	f.pass(time.Second, "vm00", batch.TaskID{Job: "new"}, 1)
+	f.advanceUntilStarted(awaitDuration-500*time.Millisecond, "vm00", batch.TaskID{Job: "new"}, 1)
+	require.Empty(t, f.started, "started at %v, while an earlier leader's run may be on vm01 until %v", f.now, time.Second+awaitDuration)
+	f.advanceUntilStarted(time.Second, "vm00", batch.TaskID{Job: "new"}, 1)
 	require.Len(t, f.started, 1)
 }
 
 // What happened: as above, seconds later.
 // Sequence: the job came in the same time, and the next leader's watch tells it late.
-func TestJobOfTheOverlapThatIsLearnedLateWaitsForSilentVMs(t *testing.T) {
-	f := successor(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+expectFor)
+func TestLateJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
+	f := newSuccessorFixture(t, 2)
+	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.advance(4 * time.Second)
 	f.s.Submit(f.now, Submission{
 		Job: &batch.Job{ID: "new", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Age: 3900 * time.Millisecond,
 	})
-	f.pass(expectFor-4500*time.Millisecond, "vm00", batch.TaskID{Job: "new"}, 1)
-	require.Empty(t, f.started, "started at %v, while an earlier leader's run may be on vm01 until %v", f.now, time.Second+expectFor)
+	f.advanceUntilStarted(awaitDuration-4500*time.Millisecond, "vm00", batch.TaskID{Job: "new"}, 1)
+	require.Empty(t, f.started, "started at %v, while an earlier leader's run may be on vm01 until %v", f.now, time.Second+awaitDuration)
 }
 
 // What must not happen: an end is not looked at, since one before it is of a job that
 // is not known; its run, which the VM does not list any more, counts as lost, and its
 // task is started again.
 // The end of the unknown job holds up what is acknowledged, and nothing else.
-func TestEndsBehindOneOfAnUnknownJobAreTaken(t *testing.T) {
-	f := successor(t, 1)
-	f.hearAll(nil)
+func TestEndsBehindOneOfUnknownJobAreProcessed(t *testing.T) {
+	f := newSuccessorFixture(t, 1)
+	f.reportAll(nil)
 	f.submit("known", tasks(1, 100))
 	f.plan()
 	o := f.last("known.0.0.0")
 	f.confirm(o)
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, batch.TaskID{Job: "late"}, 3, batch.EndDone), ended(2, o, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, batch.TaskID{Job: "late"}, 3, batch.EndDone), endOfOrder(2, o, batch.EndDone)}})
 	f.advance(time.Second)
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, batch.TaskID{Job: "late"}, 3, batch.EndDone), ended(2, o, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, batch.TaskID{Job: "late"}, 3, batch.EndDone), endOfOrder(2, o, batch.EndDone)}})
 	f.plan()
 	require.Len(t, f.started["known.0.0.0"], 1)
 	require.Equal(t, batch.Completed, f.write()["known"].State)
@@ -295,14 +295,14 @@
 // not list it, though its lease never ran out; the task was started again elsewhere.
 // The end of the first run is kept on its VM, and told later.
 func startedTwice(t *testing.T) (f *fixture, first, second Order) {
-	f = successor(t, 2)
-	f.hearAll(nil)
+	f = newSuccessorFixture(t, 2)
+	f.reportAll(nil)
 	f.s.Submit(f.now, oldJob(nil))
 	f.plan()
 	first = f.last("old.0.0.0")
 	f.confirm(first)
 	f.advance(time.Second)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.plan()
 	second = f.last("old.0.0.0")
 	require.NotEqual(t, first.Run, second.Run)
@@ -314,7 +314,7 @@
 // secondRunDone lets the second run end well, and returns the records then.
 func secondRunDone(t *testing.T) (f *fixture, first Order, records map[string]*Progress) {
 	f, first, second := startedTwice(t)
-	f.hear(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, second, batch.EndDone)}})
+	f.report(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}})
 	records = f.write()
 	require.Equal(t, batch.Completed, records["old"].State)
 	return f, first, records
@@ -329,7 +329,7 @@
 func TestCountedRunIsKnownAfterItsEnd(t *testing.T) {
 	f, first, _ := secondRunDone(t)
 	seq := f.acked(first.Instance.ID) + 7
-	f.hear(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(seq, first, batch.EndDone)}})
+	f.report(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(seq, first, batch.EndDone)}})
 	f.write()
 	require.Less(t, f.acked(first.Instance.ID), seq, "the end of the first run was acknowledged; a later run counts")
 }
@@ -338,11 +338,11 @@
 // Cause: the record told that the task is done, and not by which run.
 func TestCountedRunIsKnownToTheNextLeader(t *testing.T) {
 	_, _, records := secondRunDone(t)
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	f.s.Submit(f.now, oldJob(records["old"]))
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.relist()
-	f.hear("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
+	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
 	f.write()
 	require.Zero(t, f.acked("cut"), "the end of run 3 was acknowledged; a later run counts")
 }
@@ -353,19 +353,19 @@
 	open := oldJob(nil)
 	open.Job = &batch.Job{ID: "open", Steps: []batch.Step{tasks(2, 100)}}
 	task := batch.TaskID{Job: "open"}
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	f.s.Submit(f.now, open)
-	f.hear("vm00", batch.Report{})
+	f.report("vm00", batch.Report{})
 	f.plan()
 	second := f.last(task.String())
-	f.hear("vm00", batch.Report{Ended: []batch.RunEnd{ended(1, second, batch.EndDone)}, Running: runs(f.last("open.0.0.1")).Running})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}, Running: runningReport(f.last("open.0.0.1")).Running})
 	open.Progress = f.write()["open"]
 
-	next := successor(t, 1)
+	next := newSuccessorFixture(t, 1)
 	next.s.Submit(next.now, open)
-	next.hear("vm00", runs(f.last("open.0.0.1")))
+	next.report("vm00", runningReport(f.last("open.0.0.1")))
 	next.relist()
-	next.hear("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, task, 3, batch.EndDone)}})
+	next.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, task, 3, batch.EndDone)}})
 	next.write()
 	require.Zero(t, next.acked("cut"), "the end of run 3 was acknowledged; a later run counts")
 }
@@ -377,9 +377,9 @@
 // Cause: an end counted as superseded only while a later run was under way.
 func TestCountedRunIsNotOneBeforeAFailedRun(t *testing.T) {
 	f, first, second := startedTwice(t)
-	f.hear(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(1, second, batch.EndFailed)}})
+	f.report(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndFailed)}})
 	seq := f.acked(first.Instance.ID) + 7
-	f.hear(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{ended(seq, first, batch.EndDone)}})
+	f.report(first.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(seq, first, batch.EndDone)}})
 	f.write()
 	require.Less(t, f.acked(first.Instance.ID), seq, "the end of the first run was acknowledged; a later run was started")
 }
@@ -390,17 +390,17 @@
 // that follows acknowledges it, though no record holds it. Then the job is learned.
 // Cause: an end of a job that is not known counted as processed.
 func TestAcknowledgedEndIsOfAKnownJob(t *testing.T) {
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "late"}
 	rep := batch.Report{Ended: []batch.RunEnd{endOf(1, task, 3, batch.EndDone)}}
-	f.hear("vm00", rep)
+	f.report("vm00", rep)
 	f.write()
 	acked := f.acked("vm00")
 	f.submit("late", tasks(1, 100))
 	f.plan()
 	require.Zero(t, acked, "acknowledged before the job is known")
 	require.Empty(t, f.started, "started though its end is known")
-	f.hear("vm00", rep)
+	f.report("vm00", rep)
 	f.plan()
 	require.Empty(t, f.started, "started though its end is known")
 	require.Equal(t, batch.Completed, f.write()["late"].State)
@@ -410,16 +410,16 @@
 // What happened: a task is started more often than its queue allows.
 // Sequence: as above, and the end that is told is that of a failed run.
 func TestAcknowledgedFailureIsOfAKnownJob(t *testing.T) {
-	f := successor(t, 1)
+	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "late"}
 	rep := batch.Report{Ended: []batch.RunEnd{
 		endOf(1, task, 3, batch.EndFailed), endOf(2, task, 4, batch.EndFailed), endOf(3, task, 5, batch.EndFailed),
 	}}
-	f.hear("vm00", rep)
+	f.report("vm00", rep)
 	f.write()
 	acked := f.acked("vm00")
 	f.submit("late", tasks(1, 100))
-	f.hear("vm00", rep)
+	f.report("vm00", rep)
 	f.plan()
 	require.Zero(t, acked, "acknowledged before the job is known")
 	require.Empty(t, f.started, "started after three failed runs, which is all its queue allows")
@@ -431,9 +431,9 @@
 // elsewhere before the VM has carried the stop out.
 // Cause: a run of a job that is not known was not held on its VM.
 func TestAcknowledgedRunIsOfAKnownJob(t *testing.T) {
-	f := successor(t, 2)
+	f := newSuccessorFixture(t, 2)
 	task := batch.TaskID{Job: "late"}
-	f.hearAll(map[string]batch.Report{"vm00": {Running: []batch.RunStatus{{Task: task, Run: 3}}}})
+	f.reportAll(map[string]batch.Report{"vm00": {Running: []batch.RunStatus{{Task: task, Run: 3}}}})
 	f.plan()
 	f.submit("late", tasks(1, 100))
 	f.plan()
@@ -451,30 +451,30 @@
 		Job: &batch.Job{
 			ID: "timed", Steps: []batch.Step{tasks(2, 100)}, Schedule: &batch.Schedule{FirstMS: 1000, IntervalMS: 1000, Count: 3},
 		},
-		Queue: testQueue, Pool: "pool", Existed: true,
+		Queue: testQueue, Pool: "pool", PredatesLeader: true,
 	}
 	task := func(occurrence, index int) batch.TaskID {
 		return batch.TaskID{Job: "timed", Occurrence: occurrence, Index: index}
 	}
-	first := successor(t, 1)
+	first := newSuccessorFixture(t, 1)
 	first.s.Submit(first.now, sub)
 	first.s.OpenDue(first.now, 1500)
-	first.hear("vm00", batch.Report{Ended: []batch.RunEnd{
+	first.report("vm00", batch.Report{Ended: []batch.RunEnd{
 		endOf(1, task(0, 0), 3, batch.EndDone), endOf(2, task(0, 1), 4, batch.EndFailed), endOf(3, task(0, 1), 5, batch.EndFailed),
 	}})
 	sub.Progress = first.write()["timed"]
 	require.EqualValues(t, 3, first.acked("vm00"))
 
-	second := successor(t, 1)
+	second := newSuccessorFixture(t, 1)
 	second.s.Submit(second.now, sub)
-	second.hear("vm00", batch.Report{Ended: []batch.RunEnd{endOf(4, task(1, 0), 6, batch.EndDone)}})
+	second.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(4, task(1, 0), 6, batch.EndDone)}})
 	sub.Progress = second.write()["timed"]
 	require.EqualValues(t, 4, second.acked("vm00"))
 
-	third := successor(t, 1)
+	third := newSuccessorFixture(t, 1)
 	third.s.Submit(third.now, sub)
 	third.s.OpenDue(third.now, 2500)
-	third.hear("vm00", batch.Report{})
+	third.report("vm00", batch.Report{})
 	third.plan()
 	require.NotContains(t, third.started, "timed.0.0.0", "its end was acknowledged")
 	require.NotContains(t, third.started, "timed.1.0.0", "its end was acknowledged")
--- a/internal/scheduler/vmends.go
+++ b/internal/scheduler/vmends.go
@@ -40,17 +40,17 @@
 
 // end describes the VM's end if it has ended.
 func (v *vm) end(now Time) vmEnd {
-	e := vmEnd{aliveAt: v.heardAt, noticedAt: now}
-	if v.unansweredAt > 0 {
-		e.noticedAt = v.unansweredAt
+	e := vmEnd{aliveAt: v.lastReportAt, noticedAt: now}
+	if v.firstUnansweredAt > 0 {
+		e.noticedAt = v.firstUnansweredAt
 	}
-	if v.unansweredAt > 0 && v.closedAtOnce {
+	if v.firstUnansweredAt > 0 && v.connectionClosed {
 		e.aliveAt, e.closed = max(e.aliveAt, e.noticedAt-closedWithin), true
 	}
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		e.aliveAt = max(e.aliveAt, r.confirmedAt)
 		if r.confirmedAt > 0 && r.mayHaveCrashed() && e.noticedAt-r.confirmedAt < begunJustBefore {
-			e.byTask, e.bySuspect = true, e.bySuspect || r.trial || r.last
+			e.byTask, e.bySuspect = true, e.bySuspect || r.isTrial || r.exclusive
 			e.fresh = append(e.fresh, r.task)
 		}
 	}
@@ -75,7 +75,7 @@
 // it did, and that no suspect is likely to have ended. busy are those of them on which
 // something else had just begun, unsure those that only do not answer: they may live.
 func (s *Scheduler) endedWith(now Time, ended vmStart, end *vmEnd) (others, busy int, unsure []vmStart) {
-	maps.DeleteFunc(s.ends, func(_ vmStart, e vmEnd) bool { return now-e.noticedAt > endsKept })
+	maps.DeleteFunc(s.recentVMEnds, func(_ vmStart, e vmEnd) bool { return now-e.noticedAt > endsKept })
 	count := func(e *vmEnd) bool {
 		if e.bySuspect || !e.together(end) {
 			return false
@@ -86,13 +86,13 @@
 		}
 		return true
 	}
-	for start, e := range s.ends {
+	for start, e := range s.recentVMEnds {
 		if start.id != ended.id {
 			count(&e)
 		}
 	}
 	for _, other := range s.vms {
-		if other.inst.ID == ended.id || !other.heard || other.unansweredAt == 0 || other.inst.Draining || other.closed || s.hasEnded(other.thisStart()) {
+		if other.inst.ID == ended.id || !other.hasReported || other.firstUnansweredAt == 0 || other.inst.Draining || other.closed || s.hasEnded(other.thisStart()) {
 			continue
 		}
 		if e := other.end(now); count(&e) {
@@ -103,7 +103,7 @@
 }
 
 func (s *Scheduler) hasEnded(start vmStart) bool {
-	_, ended := s.ends[start]
+	_, ended := s.recentVMEnds[start]
 	return ended
 }
 
@@ -111,7 +111,7 @@
 // answer: whatever ends them may have ended this one as well.
 func (s *Scheduler) storm(now Time, of vmStart) bool {
 	ended := 0
-	for start, e := range s.ends {
+	for start, e := range s.recentVMEnds {
 		if start != of && !e.byTask {
 			ended++
 		}
@@ -121,7 +121,7 @@
 	}
 	living := 0
 	for _, o := range s.vms {
-		if o.inst.ID != of.id && o.heard && !o.silent(now) && o.unansweredAt == 0 {
+		if o.inst.ID != of.id && o.hasReported && !o.silent(now) && o.firstUnansweredAt == 0 {
 			living++
 		}
 	}
--- a/internal/scheduler/vms.go
+++ b/internal/scheduler/vms.go
@@ -15,17 +15,17 @@
 const silentSlack = 900 * time.Millisecond
 
 // silent reports whether the instance has been unheard for too long to be given work.
-func (v *vm) silent(now Time) bool { return now-v.heardAt > v.wait+silentSlack }
+func (v *vm) silent(now Time) bool { return now-v.lastReportAt > v.holdWait+silentSlack }
 
 // SetInstances takes the store's list over.
 func (s *Scheduler) SetInstances(now Time, list []batch.Instance) {
-	s.listedAt = now
+	s.listReadAt = now
 	listed := make(map[string]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
 		s.setInstance(now, list[i])
 	}
-	for _, v := range s.order {
+	for _, v := range s.vmList {
 		if v.listed && !listed[v.inst.ID] {
 			v.listed = false
 			v.unlistedAt = now
@@ -39,13 +39,13 @@
 	if v == nil {
 		v = s.addVM(now, inst)
 		s.logf(Decision{Event: EventVMListed, VM: inst.ID, Reason: inst.Zone, Value: float64(inst.Capacity.MilliCPU)})
-		s.changed = true
+		s.planNeeded = true
 	}
 	if inst.Draining && !v.inst.Draining {
 		s.logf(Decision{Event: EventVMDraining, VM: inst.ID, Age: inst.Remaining})
 	}
 	if !v.listed || inst.Born != v.inst.Born || inst.Draining != v.inst.Draining || inst.Stale != v.inst.Stale {
-		s.changed = true
+		s.planNeeded = true
 	}
 	before := v.inst.Capacity
 	v.listed = true
@@ -64,27 +64,27 @@
 
 func (s *Scheduler) addVM(now Time, inst batch.Instance) *vm {
 	v := newVM(now, inst)
-	v.token, v.guarded = s.fence, true
+	v.token, v.fenced = s.fence, true
 	s.vms[inst.ID] = v
 	s.sortVMs()
 	return v
 }
 
 func newVM(now Time, inst batch.Instance) *vm {
-	return &vm{inst: inst, staleAtFirst: inst.Stale, runs: map[batch.TaskID]*run{}, blindCap: fullPace, heardAt: now}
+	return &vm{inst: inst, initiallyStale: inst.Stale, runs: map[batch.TaskID]*run{}, fillerPaceCap: fullPace, lastReportAt: now}
 }
 
 // sortVMs keeps the VMs in a fixed order, so that equal inputs give equal plans.
 func (s *Scheduler) sortVMs() {
-	s.order = s.order[:0]
+	s.vmList = s.vmList[:0]
 	for _, v := range s.vms {
-		s.order = append(s.order, v)
+		s.vmList = append(s.vmList, v)
 	}
-	sort.Slice(s.order, func(i, k int) bool { return s.order[i].inst.ID < s.order[k].inst.ID })
+	sort.Slice(s.vmList, func(i, k int) bool { return s.vmList[i].inst.ID < s.vmList[k].inst.ID })
 }
 
 // Silent returns the instances that are still waited for, by ID.
-func (s *Scheduler) Silent() []string { return slices.Sorted(maps.Keys(s.silent)) }
+func (s *Scheduler) Silent() []string { return slices.Sorted(maps.Keys(s.awaitedVMs)) }
 
 // Recorded returns the instances that a successor has to hear or to wait for, by ID:
 // those that may be given work, and those where a lease may live. One that has left and
@@ -123,9 +123,9 @@
 // lifeDecision is a log line on a VM's life, with what is known of its lease. Value
 // is how many runs it had.
 func (v *vm) lifeDecision(now Time, event, reason string) Decision {
-	d := Decision{Event: event, VM: v.inst.ID, Reason: reason, Value: float64(len(v.runs)), NewRuns: v.newRuns(), Unheard: now - v.heardAt}
-	if v.leaseOver > 0 {
-		d.LeaseLeft = v.leaseOver - now
+	d := Decision{Event: event, VM: v.inst.ID, Reason: reason, Value: float64(len(v.runs)), RecentRuns: v.recentRuns(), SinceReport: now - v.lastReportAt}
+	if v.leaseExpiry > 0 {
+		d.LeaseLeft = v.leaseExpiry - now
 	}
 	return d
 }
@@ -145,7 +145,7 @@
 // Gone takes an instance out whose life has certainly ended, or that runs nothing.
 func (s *Scheduler) Gone(now Time, id, reason string) {
 	awaited := s.awaited(id)
-	delete(s.silent, id)
+	delete(s.awaitedVMs, id)
 	v := s.vms[id]
 	if v == nil {
 		return
@@ -153,7 +153,7 @@
 	s.logf(v.lifeDecision(now, EventVMGone, reason))
 	if reason == reasonUnlisted {
 		// What was in doubt there stays so.
-		delete(s.doubts, v.thisStart())
+		delete(s.unconfirmedCrashes, v.thisStart())
 	} else {
 		s.crashedUnder(now, v, awaited)
 		s.settleGone(now, v)
@@ -161,13 +161,13 @@
 	s.dropRuns(now, v, reason)
 	delete(s.vms, id)
 	s.sortVMs()
-	s.changed = true
+	s.planNeeded = true
 }
 
 // dropRuns counts everything on v as ended.
 func (s *Scheduler) dropRuns(now Time, v *vm, reason string) {
 	s.clearUnwanted(v)
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		s.dropRun(now, r, reason)
 	}
 }
@@ -176,9 +176,9 @@
 func (s *Scheduler) dropRun(now Time, r *run, reason string) {
 	s.logf(Decision{
 		Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: reason, Age: now - r.orderedAt,
-		Lived: r.lived(), LivedAtMost: r.livedAtMost(now), Unheard: now - r.vm.heardAt, LeaseLeft: s.overAt(r) - now,
+		MinLifetime: r.minLifetime(), MaxLifetime: r.maxLifetime(now), SinceReport: now - r.vm.lastReportAt, LeaseLeft: s.overAt(r) - now,
 	})
-	s.lose(now, r)
+	s.releaseLostRun(now, r)
 }
 
 // ackWithin is how long after a report its ends may be acknowledged. A later start of the
@@ -196,15 +196,15 @@
 	if v == nil {
 		return batch.HoldOrder{}, false
 	}
-	v.wait = wait
-	o := batch.HoldOrder{Fence: v.token, Acked: v.acked(), Wait: wait}
-	if v.mayRestart() && (v.unanswered || now-v.heardAt > ackWithin) {
+	v.holdWait = wait
+	o := batch.HoldOrder{Fence: v.token, Acked: v.ackableSeq(), Wait: wait}
+	if v.mayRestart() && (v.holdUnanswered || now-v.lastReportAt > ackWithin) {
 		o.Acked = 0
 	}
-	if v.clock.known && !v.unanswered {
+	if v.clock.known && !v.holdUnanswered {
 		o.LeaseUntil = v.renew(now, s.settings.leaseFor(v))
 	}
-	v.unanswered, v.heldToken = true, v.token
+	v.holdUnanswered, v.lastHoldToken = true, v.token
 	return o, true
 }
 
@@ -212,7 +212,7 @@
 // acknowledged yet, since their effect is not durable.
 func (s *Scheduler) Unacked(id string) bool {
 	v := s.vms[id]
-	return v != nil && v.seen > v.acked()
+	return v != nil && v.processedSeq > v.ackableSeq()
 }
 
 // Tend does what is due by time alone; call it before each plan.
@@ -220,17 +220,17 @@
 	s.logLoad(now)
 	s.logInterference(now)
 	s.waitOutSilent(now)
-	s.forgetAbsent(now)
+	s.expireAbsentJobs(now)
 	s.judgeEnds(now)
-	for _, v := range slices.Clone(s.order) {
+	for _, v := range slices.Clone(s.vmList) {
 		s.tendVM(now, v.inst.ID, v)
 	}
 }
 
 // logInterference logs what was learned, now and then.
 func (s *Scheduler) logInterference(now Time) {
-	if now-s.describedAt > describeEvery && len(s.images.pairs) > 0 {
-		s.describedAt = now
+	if now-s.interferenceLoggedAt > describeEvery && len(s.images.pairs) > 0 {
+		s.interferenceLoggedAt = now
 		s.logf(Decision{Event: EventInterference, Reason: s.images.describe()})
 	}
 }
@@ -240,14 +240,14 @@
 // out one whose life has ended.
 func (s *Scheduler) tendVM(now Time, id string, v *vm) {
 	s.copyUnheard(now, v)
-	if v.heard && now > v.leaseOver {
+	if v.hasReported && now > v.leaseExpiry {
 		s.lapse(now, v)
 	}
 	if v.inst.Draining && v.listed && v.entryIsOfThisStart() && s.policy.Evacuate {
 		s.emptyDraining(now, v)
 	}
 	if !v.listed && len(v.runs) == 0 && now-v.unlistedAt > forgetAfter && now > s.leasesOver(v) && !s.awaited(id) {
-		lapsed := v.lapsedRun
+		lapsed := v.maxExpiredRun
 		s.Gone(now, id, reasonUnlisted)
 		if lapsed > 0 {
 			s.keepLapsed(id, Lapsed{Run: lapsed, Born: v.born})
@@ -259,7 +259,7 @@
 // time: each is away for its stop and its startup only, not until the VM is known
 // to have left.
 func (s *Scheduler) emptyDraining(now Time, v *vm) {
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if r.task.step.spec.Lasting {
 			s.moveLasting(now, r)
 		}
--- a/internal/scheduler/waves.go
+++ b/internal/scheduler/waves.go
@@ -148,7 +148,7 @@
 	}
 	delete(w.accepted, name)
 	delete(w.lives, name)
-	s.changed = true
+	s.planNeeded = true
 }
 
 // WaveStatuses tells how the waves go.
@@ -241,7 +241,7 @@
 	v.closed = true
 	late := now-since > w.emptyFor()
 	lasting := 0
-	for _, r := range v.ordered {
+	for _, r := range v.runList {
 		if r.task.step.spec.Lasting {
 			lasting++
 			s.moveLasting(now, r)
@@ -254,7 +254,7 @@
 	if lasting > 0 {
 		return
 	}
-	if len(v.runs) == 0 || (late && now-since > w.emptyFor()+s.settings.StopWithin) {
+	if len(v.runs) == 0 || (late && now-since > w.emptyFor()+s.settings.StopTimeout) {
 		s.maintain(now, w, name)
 	}
 }
@@ -267,7 +267,7 @@
 	}
 	st := r.task.step
 	bound := max(st.spec.MaxUnavailable, 1)
-	if st.unavailable(now, s.settings.UnavailableFor) >= bound || s.choose(now, r.task) == nil {
+	if st.unavailable(now, s.settings.UnavailableDuration) >= bound || s.choose(now, r.task) == nil {
 		return
 	}
 	r.task.movedAt = now
--- a/internal/scheduler/waves_test.go
+++ b/internal/scheduler/waves_test.go
@@ -17,7 +17,7 @@
 			rep.Running[i].Progress++
 		}
 	}
-	f.hearAll(reports)
+	f.reportAll(reports)
 }
 
 // untilMaintained lets time go by, with all VMs heard, until a machine is to be
@@ -42,12 +42,12 @@
 // a new one.
 func TestMaintenanceThatWasDoneBeforeEndsNoInstance(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	reports := map[string]batch.Report{o.Instance.ID: runs(o)}
+	reports := map[string]batch.Report{o.Instance.ID: runningReport(o)}
 	machines := []batch.Machine{{Name: "m", State: batch.MachineUp, Instance: o.Instance.ID}}
 	f.s.AddWave(f.now, batch.Wave{Number: 1, Machines: []string{"m"}, Duration: 20 * time.Second, MaxAtOnce: 1}, nil)
 	f.s.SetMachines(f.now, f.now, machines)
@@ -71,7 +71,7 @@
 // returns, was accepted.
 func firstMaintained(t *testing.T) (*fixture, []batch.Machine, Order) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	machines := withWave(f, 2, 1)
 	first := untilMaintained(f, nil)
 	f.s.Maintained(f.now, first, true, "")
@@ -100,14 +100,14 @@
 // list of machines tells.
 func TestMaintenanceEndsTheInstance(t *testing.T) {
 	f := newFixture(t, 2)
-	f.hearAll(nil)
+	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
 	f.s.AddWave(f.now, batch.Wave{Number: 1, Machines: []string{"m"}, Duration: 20 * time.Second, MaxAtOnce: 1}, nil)
 	f.s.SetMachines(f.now, f.now, []batch.Machine{{Name: "m", State: batch.MachineUp, Instance: o.Instance.ID}})
-	order := untilMaintained(f, map[string]batch.Report{o.Instance.ID: runs(o)})
+	order := untilMaintained(f, map[string]batch.Report{o.Instance.ID: runningReport(o)})
 	f.s.Maintained(f.now, order, true, "")
 	f.advance(500 * time.Millisecond)
 	f.s.SetMachines(f.now, f.now, []batch.Machine{{Name: "m", State: batch.MachineMaintenance}})
