--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -149,7 +149,7 @@
 		said.Left[i] = time.Duration(ms) * time.Millisecond
 	}
 	for _, c := range r.GetCrashes() {
-		said.Crashes = append(said.Crashes, scheduler.CrashNews{
+		said.Crashes = append(said.Crashes, scheduler.CrashReport{
 			Task: batch.TaskID{Job: c.GetJob(), Occurrence: int(c.GetOccurrence()), Step: int(c.GetStep()), Index: int(c.GetIndex())},
 			Run:  c.GetRun(), Kind: c.GetKind(), VM: c.GetVm(), Born: c.GetBorn(),
 		})
--- a/internal/experiment/crashing.go
+++ b/internal/experiment/crashing.go
@@ -54,7 +54,7 @@
 		p.lose(d.vm)
 		p.lostAt[d.vm.inst.ID] = p.now + crashKnown - leaseOver
 		for range 2 {
-			p.sched.Unanswered(p.now, d.vm.inst.ID, true)
+			p.sched.HoldFailed(p.now, d.vm.inst.ID, true)
 		}
 		c.back = append(c.back, recovery{at: p.now + crashBack, vm: d.vm})
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -142,7 +142,7 @@
 	}
 	policy := p.variant.Policy
 	p.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second, StopTimeout: 500 * time.Millisecond, UnavailableDuration: 4500 * time.Millisecond, Policy: &policy}, p.fence, nil)
-	p.sched.Led(time.Hour)
+	p.sched.ConfirmLeadership(time.Hour)
 	if p.variant.Informed {
 		model = p.f.w.knowledge(p.s.Serving.Images, p.s.Fillers.Images)
 	}
@@ -238,7 +238,7 @@
 		}
 	}
 	p.sched.Throttle(p.backlog.Room(p.now, 0))
-	p.sched.Tend(p.now)
+	p.sched.Tick(p.now)
 	orders := p.sched.Plan(p.now)
 	p.busy += time.Since(began)
 	given := p.backlog.Decided(p.now, scheduler.CountStarts(orders), p.sched.RoomLeft())
@@ -288,7 +288,7 @@
 // giveUp tells the leader that a VM has ended, when its lease is over.
 func (p *player) giveUp(v *vm) {
 	if at := p.lostAt[v.inst.ID]; at > 0 && p.now-at > leaseOver {
-		p.sched.Gone(p.now, v.inst.ID, "lost")
+		p.sched.RemoveInstance(p.now, v.inst.ID, "lost")
 	}
 }
 
--- a/internal/experiment/restarting.go
+++ b/internal/experiment/restarting.go
@@ -34,7 +34,7 @@
 	p.out.Restarts++
 	v.down = true
 	v.runs, v.list, v.ends = map[batch.TaskID]*run{}, nil, nil
-	p.sched.Unanswered(p.now, v.inst.ID, true)
+	p.sched.HoldFailed(p.now, v.inst.ID, true)
 }
 
 // startAgain begins the next start of a VM, which knows nothing of the one before. Its entry
--- a/internal/leader/absence_test.go
+++ b/internal/leader/absence_test.go
@@ -28,7 +28,7 @@
 		te.Instances = func(context.Context) ([]batch.Instance, error) { return list, nil }
 		_, err := te.tryRebuild(t.Context())
 		require.NoError(t, err)
-		require.ElementsMatch(t, []string{"earlier", "later"}, te.sched.Silent(), "waited for")
+		require.ElementsMatch(t, []string{"earlier", "later"}, te.sched.AwaitedInstances(), "waited for")
 	}
 }
 
--- a/internal/leader/holds.go
+++ b/internal/leader/holds.go
@@ -179,7 +179,7 @@
 	}
 	if err != nil {
 		// A hold that fails before it has waited was not left in silence.
-		t.sched.Unanswered(now, inst.ID, now-sentAt < order.Wait)
+		t.sched.HoldFailed(now, inst.ID, now-sentAt < order.Wait)
 		if silent.failed(now, before.SinceReport) {
 			t.log.Warn("vm_unanswered", err, standingFields(inst.ID, before))
 		}
@@ -211,7 +211,7 @@
 	if x, ok := t.sched.VMStatus(now, inst.ID); ok {
 		t.log.Event("vm_replaced", standingFields(inst.ID, x))
 	}
-	t.sched.Replaced(now, inst)
+	t.sched.RemoveReplaced(now, inst)
 	t.awake()
 	_, known = t.sched.Instance(inst.ID)
 	return known
@@ -281,7 +281,7 @@
 	defer limit.Stop()
 	for {
 		t.mu.Lock()
-		unacked := t.sched.Unacked(id)
+		unacked := t.sched.HasUnackedEnds(id)
 		flushed := t.flushed
 		t.mu.Unlock()
 		if !unacked {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -124,7 +124,7 @@
 	sched    *scheduler.Scheduler
 	recorded instances
 	// lapsed is what the store has under lapsedKey.
-	lapsed map[string]scheduler.Lapsed
+	lapsed map[string]scheduler.ExpiredLease
 	// lapsedRead is set once that is known.
 	lapsedRead bool
 	// instancesRevision is that of the record of instances.
@@ -296,8 +296,8 @@
 		t.sched.SetConfig(c)
 	}
 	t.sched.Throttle(t.startRoom(now, late))
-	t.sched.Led(t.tenure.RenewedAt())
-	t.sched.Tend(now)
+	t.sched.ConfirmLeadership(t.tenure.RenewedAt())
+	t.sched.Tick(now)
 	t.sched.OpenDue(now, t.WallMS())
 	orders := t.sched.Plan(now)
 	left := t.sched.RoomLeft()
--- a/internal/leader/lives.go
+++ b/internal/leader/lives.go
@@ -23,7 +23,7 @@
 func (t *term) livesLoop(ctx context.Context) {
 	pause.Every(ctx, livesEvery, func() {
 		t.mu.Lock()
-		doubtful := t.sched.Doubtful(steady.Now())
+		doubtful := t.sched.NeedsLivenessCheck(steady.Now())
 		t.mu.Unlock()
 		if !doubtful || !t.tenure.MayAct() {
 			return
@@ -39,7 +39,7 @@
 			return
 		}
 		t.mu.Lock()
-		t.sched.SetLives(steady.Now(), askedAt, list)
+		t.sched.SetLiveInstances(steady.Now(), askedAt, list)
 		t.mu.Unlock()
 		t.awake()
 	})
@@ -48,14 +48,14 @@
 // newSinceLoop reads a revision of the store once earlier leaders have certainly learned
 // that they were succeeded. Jobs created after it need not wait for VMs that are silent.
 func (t *term) newSinceLoop(ctx context.Context) {
-	pause.For(ctx, scheduler.DeposedWithin)
+	pause.For(ctx, scheduler.DeposedAdmissionTimeout)
 	for ctx.Err() == nil && t.awaits() {
 		callCtx, cancel := context.WithTimeout(ctx, untoldCall)
 		_, revision, err := t.Store.Range(callCtx, leaderKey)
 		cancel()
 		if err == nil {
 			t.mu.Lock()
-			t.sched.NewSince(revision)
+			t.sched.SetHandoverRevision(revision)
 			t.mu.Unlock()
 			t.log.Event("new_since", eventlog.Fields{"revision": revision})
 			return
--- a/internal/leader/predecessors.go
+++ b/internal/leader/predecessors.go
@@ -45,7 +45,7 @@
 	// again since: Left then holds for the leaders before it, too.
 	Remembered bool
 	// Crashes are what that tenure knew and may not have written.
-	Crashes []scheduler.CrashNews
+	Crashes []scheduler.CrashReport
 }
 
 // Predecessors asks the process of an earlier tenure how long leases on the VMs may
@@ -104,7 +104,7 @@
 			known = len(open) == 0 && t.pastComplete
 			if known {
 				t.mu.Lock()
-				t.sched.ExpectUntil(said)
+				t.sched.ShortenWaits(said)
 				t.mu.Unlock()
 				t.awake()
 			}
@@ -124,14 +124,14 @@
 func (t *term) awaits() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.sched.Silent()) > 0
+	return len(t.sched.AwaitedInstances()) > 0
 }
 
 // askAll asks the tenures and returns those for which nobody answered. said gets, for each
 // silent VM, the latest moment at which a lease of those that answered is over.
 func (t *term) askAll(ctx context.Context, past []Past, said map[string]time.Duration) []Past {
 	t.mu.Lock()
-	vms := t.sched.Silent()
+	vms := t.sched.AwaitedInstances()
 	t.mu.Unlock()
 	var mu sync.Mutex
 	var left []Past
@@ -162,7 +162,7 @@
 			}
 			if len(leases.Crashes) > 0 {
 				t.mu.Lock()
-				t.sched.LearnCrashes(now, leases.Crashes)
+				t.sched.AcceptCrashReports(now, leases.Crashes)
 				t.mu.Unlock()
 			}
 			t.log.Event("predecessor_answered", eventlog.Fields{
@@ -179,7 +179,7 @@
 type leases struct {
 	fence   int64
 	over    map[string]time.Duration
-	crashes []scheduler.CrashNews
+	crashes []scheduler.CrashReport
 	// last is when all of them are.
 	last time.Duration
 }
@@ -190,7 +190,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	l := leases{fence: t.tenure.Fence, over: t.sched.LeasesOver(), crashes: t.sched.UnrecordedCrashes()}
+	l := leases{fence: t.tenure.Fence, over: t.sched.LeaseDeadlines(), crashes: t.sched.UnrecordedCrashes()}
 	for _, over := range l.over {
 		l.last = max(l.last, over)
 	}
@@ -224,7 +224,7 @@
 		said.Crashes = known.crashes
 	}
 	for i, id := range vms {
-		over := l.Settings.SilentFor(0)
+		over := l.Settings.TakeoverWait(0)
 		if known != nil {
 			over = known.over[id]
 		}
--- a/internal/leader/predecessors_test.go
+++ b/internal/leader/predecessors_test.go
@@ -59,14 +59,14 @@
 	l, _ := led()
 	said := l.LeasesLeft(4, []string{"vm"})
 	require.False(t, said.Remembered)
-	require.LessOrEqual(t, said.Left[0], l.Settings.SilentFor(0)-steady.Now()+time.Second)
+	require.LessOrEqual(t, said.Left[0], l.Settings.TakeoverWait(0)-steady.Now()+time.Second)
 }
 
 // A leader tells of the VMs that it waits for itself, too: they may run what the one
 // before it started.
 func TestLeasesLeftCoverThoseOfEarlierLeaders(t *testing.T) {
 	l, te := led()
-	te.sched.Expect([]string{"silent"}, steady.Now()+14*time.Second)
+	te.sched.AwaitInstances([]string{"silent"}, steady.Now()+14*time.Second)
 	require.Greater(t, l.LeasesLeft(9, []string{"silent"}).Left[0], 13*time.Second)
 }
 
@@ -90,25 +90,25 @@
 func TestAskAllWaitsForEveryPredecessor(t *testing.T) {
 	_, te := led()
 	now := steady.Now()
-	te.sched.Expect([]string{"silent"}, now+time.Minute)
+	te.sched.AwaitInstances([]string{"silent"}, now+time.Minute)
 	te.Predecessors = told{"a": left(time.Second, false), "b": left(3*time.Second, false)}
 	said := map[string]time.Duration{}
 	open := te.askAll(t.Context(), []Past{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, said)
 	require.Equal(t, []Past{{Node: "dead", Fence: 5}}, open)
 	te.Predecessors = told{"dead": left(2*time.Second, false)}
 	require.Empty(t, te.askAll(t.Context(), open, said))
-	te.sched.ExpectUntil(said)
-	te.sched.Led(now + time.Minute)
-	te.sched.Tend(now + 2900*time.Millisecond)
-	require.Equal(t, []string{"silent"}, te.sched.Silent())
-	te.sched.Tend(steady.Now() + 3100*time.Millisecond)
-	require.Empty(t, te.sched.Silent())
+	te.sched.ShortenWaits(said)
+	te.sched.ConfirmLeadership(now + time.Minute)
+	te.sched.Tick(now + 2900*time.Millisecond)
+	require.Equal(t, []string{"silent"}, te.sched.AwaitedInstances())
+	te.sched.Tick(steady.Now() + 3100*time.Millisecond)
+	require.Empty(t, te.sched.AwaitedInstances())
 }
 
 // Who remembers its tenure speaks for the leaders before it, and for none after it.
 func TestAskAllTakesTheWordOfWhoRemembers(t *testing.T) {
 	_, te := led()
-	te.sched.Expect([]string{"silent"}, steady.Now()+time.Minute)
+	te.sched.AwaitInstances([]string{"silent"}, steady.Now()+time.Minute)
 	te.Predecessors = told{"b": left(3*time.Second, true)}
 	open := te.askAll(t.Context(), []Past{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, map[string]time.Duration{})
 	require.Equal(t, []Past{{Node: "a", Fence: 7}}, open)
@@ -120,7 +120,7 @@
 	_, te := led()
 	te.sched.Submit(steady.Now(), scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Queue: "q", Pool: "p"})
 	task := batch.TaskID{Job: "j"}
-	te.Predecessors = told{"a": {Left: []time.Duration{}, Remembered: true, Crashes: []scheduler.CrashNews{{Task: task, Run: 3, VM: "vm"}}}}
+	te.Predecessors = told{"a": {Left: []time.Duration{}, Remembered: true, Crashes: []scheduler.CrashReport{{Task: task, Run: 3, VM: "vm"}}}}
 	te.past, te.pastComplete = []Past{{Node: "a", Fence: 7}}, true
 	te.Store = &cutStore{back: true}
 	te.predecessorsLoop(t.Context())
@@ -135,7 +135,7 @@
 	te.Store = store
 	te.Predecessors = told{"a": left(time.Second, true)}
 	te.past, te.pastComplete = []Past{{Node: "a", Fence: 7}, {Node: "cut off", Fence: 6}}, true
-	te.sched.Expect([]string{"silent"}, steady.Now()+time.Minute)
+	te.sched.AwaitInstances([]string{"silent"}, steady.Now()+time.Minute)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -144,9 +144,9 @@
 	commits := func() int {
 		te.mu.Lock()
 		defer te.mu.Unlock()
-		te.sched.Led(steady.Now())
-		te.sched.Tend(steady.Now())
-		if len(te.sched.Silent()) > 0 {
+		te.sched.ConfirmLeadership(steady.Now())
+		te.sched.Tick(steady.Now())
+		if len(te.sched.AwaitedInstances()) > 0 {
 			require.Empty(t, store.written(), "off the record while a lease may last")
 		}
 		return len(store.written())
--- a/internal/leader/rebuild.go
+++ b/internal/leader/rebuild.go
@@ -91,7 +91,7 @@
 	// The earlier leader may have renewed its own lease just before this one was
 	// elected, since a key can be taken away before its lease is over, and leases of
 	// VMs for as long as it may act without the store.
-	t.sched.Expect(used, now+t.Settings.SilentFor(actWithoutStore))
+	t.sched.AwaitInstances(used, now+t.Settings.TakeoverWait(actWithoutStore))
 	for _, id := range used {
 		t.sched.AddUnlisted(now, batch.Instance{ID: id, Address: earlier[id]})
 	}
@@ -184,7 +184,7 @@
 		return
 	}
 	item, err := t.Store.Get(ctx, lapsedKey)
-	var lapsed map[string]scheduler.Lapsed
+	var lapsed map[string]scheduler.ExpiredLease
 	if err == nil && item != nil {
 		err = json.Unmarshal(item.Value, &lapsed)
 	}
@@ -195,7 +195,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lapsed, t.lapsedRead = lapsed, true
-	t.sched.RestoreLapsed(lapsed)
+	t.sched.RestoreExpiredLeases(lapsed)
 }
 
 // recordInstances makes sure that the store names every instance before it may
@@ -204,10 +204,10 @@
 func (t *term) recordInstances(ctx context.Context, list []batch.Instance, earlier instances) error {
 	t.mu.Lock()
 	next := instances{}
-	for _, id := range t.sched.Silent() {
+	for _, id := range t.sched.AwaitedInstances() {
 		next[id] = t.recorded[id]
 	}
-	for id, inst := range t.sched.Recorded(steady.Now()) {
+	for id, inst := range t.sched.RecordedInstances(steady.Now()) {
 		next[id] = inst.Address
 	}
 	maps.Copy(next, earlier)
@@ -215,7 +215,7 @@
 		next[list[i].ID] = list[i].Address
 	}
 	revision := t.instancesRevision
-	lapsed := t.sched.LapsedRuns()
+	lapsed := t.sched.ExpiredLeases()
 	txn := durable.Txn{Conditions: []durable.Condition{t.leads()}}
 	usedChanged, lapsedChanged := !maps.Equal(next, t.recorded), t.lapsedRead && !maps.Equal(lapsed, t.lapsed)
 	t.mu.Unlock()
--- a/internal/leader/rebuild_test.go
+++ b/internal/leader/rebuild_test.go
@@ -169,7 +169,7 @@
 		{ID: "silent", Pool: "p", Address: "b", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 1000}},
 	}
 	te.sched.SetInstances(began, vms)
-	te.sched.Expect([]string{"vm", "silent"}, began+14*time.Second)
+	te.sched.AwaitInstances([]string{"vm", "silent"}, began+14*time.Second)
 	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	const wall = 1_000_000_000
 	te.WallMS = func() int64 { return wall }
--- a/internal/leader/restarts_test.go
+++ b/internal/leader/restarts_test.go
@@ -49,7 +49,7 @@
 	x, _, old := movedVM(t)
 	step := batch.Step{Tasks: 1, Need: batch.Resources{MilliCPU: 100, MemoryMB: 10}, Estimate: time.Second}
 	now := steady.Now()
-	x.sched.Led(now + time.Hour)
+	x.sched.ConfirmLeadership(now + time.Hour)
 	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
 	orders := x.sched.Plan(now)
 	require.Len(t, orders, 1)
--- a/internal/leader/starts_test.go
+++ b/internal/leader/starts_test.go
@@ -55,7 +55,7 @@
 	require.Equal(t, 1, r.starts)
 	next.flushPending(t.Context())
 	require.Equal(t, 1, segments(store), "nobody has heard the VM")
-	next.sched.Gone(steady.Now(), "vm", "machine ended it")
+	next.sched.RemoveInstance(steady.Now(), "vm", "machine ended it")
 	next.flushPending(t.Context())
 	require.Contains(t, store.values[ProgressKey("j")], `"v":"vm"`)
 	next.flushPending(t.Context())
@@ -89,7 +89,7 @@
 	store.loses, store.lost = startsKey(scheduler.SegmentID{Fence: 9, Number: 2}), false
 	te.flushPending(t.Context())
 	require.True(t, store.lost, "the log was not written")
-	require.False(t, te.sched.Unacked("vm"))
+	require.False(t, te.sched.HasUnackedEnds("vm"))
 }
 
 // What can't be read is no reason not to lead, and goes.
--- a/internal/leader/tokens.go
+++ b/internal/leader/tokens.go
@@ -18,7 +18,7 @@
 func (t *term) tokenLoop(ctx context.Context) {
 	pause.Every(ctx, tokenEvery, func() {
 		t.mu.Lock()
-		wanted := t.sched.WantsToken()
+		wanted := t.sched.NeedsToken()
 		t.mu.Unlock()
 		if !wanted {
 			return
--- a/internal/scheduler/absence_test.go
+++ b/internal/scheduler/absence_test.go
@@ -77,7 +77,7 @@
 			f.report(inst.ID, batch.Report{})
 		}
 	}
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1, "started again while the VM's lease runs")
 }
@@ -164,7 +164,7 @@
 				f.report(inst.ID, runningReport(f.started["j.0.0.0"][1:]...))
 			}
 		}
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		for _, o := range f.plan() {
 			f.confirm(o)
 		}
--- a/internal/scheduler/accounts_test.go
+++ b/internal/scheduler/accounts_test.go
@@ -69,13 +69,13 @@
 	f.s.SetInstances(f.now, f.list)
 	f.reportAll(nil)
 	f.advance(20 * time.Second)
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.reportAll(nil)
 	began := time.Now()
-	first := f.s.LapsedRuns()
+	first := f.s.ExpiredLeases()
 	took := time.Since(began)
 	t.Logf("took %v", took)
-	require.True(t, maps.Equal(first, f.s.LapsedRuns()), "another choice with each call")
+	require.True(t, maps.Equal(first, f.s.ExpiredLeases()), "another choice with each call")
 	require.Less(t, took, 20*time.Millisecond)
 }
 
@@ -89,14 +89,14 @@
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.advanceUntilStarted(15*time.Second, "vm00", batch.TaskID{}, 1)
-	f.s.Tend(f.now)
-	first := f.s.LapsedRuns()
+	f.s.Tick(f.now)
+	first := f.s.ExpiredLeases()
 	require.Contains(t, first, "vm01")
 	f.submit("j", tasks(1, 100))
 	f.advanceUntilStarted(time.Second, "vm00", batch.TaskID{Job: "j"}, 1)
 	require.NotEmpty(t, f.started)
-	f.s.Tend(f.now)
-	require.Equal(t, first, f.s.LapsedRuns())
+	f.s.Tick(f.now)
+	require.Equal(t, first, f.s.ExpiredLeases())
 }
 
 // What happened: an end that was withheld was acknowledged.
@@ -111,7 +111,7 @@
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 5, batch.EndDone)}})
 	require.Zero(t, f.acked("vm00"))
 	onItsWay := f.s.PendingWrites()
-	f.s.Gone(f.now, "vm00", "unlisted")
+	f.s.RemoveInstance(f.now, "vm00", "unlisted")
 	f.s.SetInstances(f.now, f.list)
 	if onItsWay != nil {
 		f.s.Flushed(onItsWay)
@@ -129,7 +129,7 @@
 	f.relist()
 	other := batch.TaskID{Job: "old", Index: 1}
 	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, other, 3, batch.EndStopped)}, MoreEnded: true})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Empty(t, f.started, "started while the VM has more to tell")
 	f.write()
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -48,7 +48,7 @@
 		return "", false
 	}
 	t, ok := st.advice.tickets[v.inst.ID]
-	return t.text, ok && now < t.expires && v.mayBe(t.born)
+	return t.text, ok && now < t.expires && v.matchesBirth(t.born)
 }
 
 // needsAdvice reports whether the step's queue has an adviser.
@@ -92,11 +92,11 @@
 	t := &st.tasks[0]
 	for _, v := range s.vmList {
 		born, refused := a.refused[v.inst.ID]
-		if o := s.fits(now, v, t); (refused && v.mayBe(born)) || (o != obstacleNone && o != obstacleAdvice) {
+		if o := s.fits(now, v, t); (refused && v.matchesBirth(born)) || (o != obstacleNone && o != obstacleAdvice) {
 			continue
 		}
 		old, known := a.tickets[v.inst.ID]
-		good := known && v.mayBe(old.born)
+		good := known && v.matchesBirth(old.born)
 		score, _ := s.score(now, v, st.spec)
 		list = append(list, candidate{v.inst.ID, good, score})
 	}
--- a/internal/scheduler/contracts_test.go
+++ b/internal/scheduler/contracts_test.go
@@ -340,7 +340,7 @@
 		f.list[i].Draining = f.list[i].ID == o.Instance.ID
 	}
 	f.s.SetInstances(f.now, f.list)
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.stops, 1)
 	f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndStopped)}})
@@ -378,5 +378,5 @@
 	f.advanceUntilStarted(10*time.Second, rest[0].ID, o.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 2)
 	require.Greater(t, f.now, last+drainingLease)
-	require.Less(t, f.now, last+leaseOver(drainingLease)+200*time.Millisecond)
+	require.Less(t, f.now, last+leaseExpiryDelay(drainingLease)+200*time.Millisecond)
 }
--- a/internal/scheduler/counted.go
+++ b/internal/scheduler/counted.go
@@ -34,19 +34,19 @@
 	return numbers
 }
 
-// keptOccurrences is how many ended occurrences of a job are kept with the runs that
+// maxEndedOccurrences is how many ended occurrences of a job are kept with the runs that
 // count: a run's end is told again until it is acknowledged, at the latest when its
 // VM is heard again after a cut, and occurrences are seconds apart.
-const keptOccurrences = 16
+const maxEndedOccurrences = 16
 
-// noteCounted keeps which runs count of an occurrence that has ended.
-func (j *job) noteCounted(o *occurrence) {
+// recordCountedRuns keeps which runs count of an occurrence that has ended.
+func (j *job) recordCountedRuns(o *occurrence) {
 	steps := make([]StepProgress, len(o.steps))
 	for i := range o.steps {
 		steps[i].Runs = packRuns(o.steps[i].countedRuns())
 	}
 	j.recentOccurrences = append(j.recentOccurrences, OccurrenceProgress{Number: o.number, Steps: steps})
-	if extra := len(j.recentOccurrences) - keptOccurrences; extra > 0 {
+	if extra := len(j.recentOccurrences) - maxEndedOccurrences; extra > 0 {
 		j.recentOccurrences = j.recentOccurrences[extra:]
 	}
 }
--- a/internal/scheduler/counted_test.go
+++ b/internal/scheduler/counted_test.go
@@ -34,13 +34,13 @@
 // A job with many occurrences keeps the latest ones only.
 func TestEndedOccurrencesAreBounded(t *testing.T) {
 	j := &job{}
-	for n := range 3 * keptOccurrences {
+	for n := range 3 * maxEndedOccurrences {
 		o := &occurrence{job: j, number: n, steps: make([]step, 1)}
 		o.steps[0].tasks = []task{{done: true, doneRun: int64(100 + n)}}
-		j.noteCounted(o)
+		j.recordCountedRuns(o)
 	}
-	require.Len(t, j.recentOccurrences, keptOccurrences)
-	last := 3*keptOccurrences - 1
+	require.Len(t, j.recentOccurrences, maxEndedOccurrences)
+	last := 3*maxEndedOccurrences - 1
 	require.EqualValues(t, 100+last, j.countedRun(batch.TaskID{Occurrence: last}))
 	require.Zero(t, j.countedRun(batch.TaskID{Occurrence: 0}))
 }
--- a/internal/scheduler/crashes.go
+++ b/internal/scheduler/crashes.go
@@ -26,12 +26,12 @@
 
 // The kinds are part of the records of progress; their numbers stay.
 const (
-	// crashDoubted: the VM leaves holds unanswered; it may live.
-	crashDoubted crashKind = iota
+	// crashUnconfirmed: the VM leaves holds unanswered; it may live.
+	crashUnconfirmed crashKind = iota
 	// crashShared: the VM ended; other runs were as new, or other VMs ended with it.
 	crashShared
-	// crashAlone: the VM ended in a trial, by itself.
-	crashAlone
+	// crashIsolated: the VM ended in a trial, by itself.
+	crashIsolated
 	// crashMass: so many VMs ended together that a cause of their own is likelier.
 	crashMass
 	// crashStorm: the VM ended while VMs ended one after the other by no task.
@@ -39,8 +39,8 @@
 	// crashUnseen: the VM ended while nobody led who could have seen when, and which other VMs
 	// ended with it.
 	crashUnseen
-	// crashStarted is not in records: the run was started, and may not be in the log of starts.
-	crashStarted
+	// crashUnloggedStart is not in records: the run was started, and may not be in the log of starts.
+	crashUnloggedStart
 	// crashPaired: the VM ended in a storm, by itself, as another task began there beside a
 	// suspect. It counts once and a half: more than a shared end, and gives no task up as a
 	// trial does.
@@ -48,7 +48,7 @@
 )
 
 var crashKindNames = map[crashKind]string{
-	crashDoubted: "doubted", crashShared: "shared", crashAlone: "alone", crashMass: "with many others", crashStorm: "in a storm", crashUnseen: "unseen", crashStarted: "started",
+	crashUnconfirmed: "doubted", crashShared: "shared", crashIsolated: "alone", crashMass: "with many others", crashStorm: "in a storm", crashUnseen: "unseen", crashUnloggedStart: "started",
 	crashPaired: "beside another",
 }
 
@@ -56,40 +56,40 @@
 type crash struct {
 	run  int64
 	kind crashKind
-	vm   vmStart
-	// lived is set where the run had lived for begunJustBefore when its VM was last heard.
+	vm   vmIncarnation
+	// lived is set where the run had lived for startCrashWindow when its VM was last heard.
 	lived bool
 }
 
 const (
-	// crashesAlone in trials give a task up: the first VM's end made it a suspect, so
+	// isolatedCrashLimit in trials give a task up: the first VM's end made it a suspect, so
 	// that three VMs have ended under it.
-	crashesAlone = 2
-	// crashesInAll give it up although trials told nothing, since other VMs ended each
+	isolatedCrashLimit = 2
+	// totalCrashLimit give it up although trials told nothing, since other VMs ended each
 	// time or none was to be had. A task that ends its VMs may be started two times
 	// after the third; the fourth start leaves one for an end that a leader which died
 	// has not recorded.
-	crashesInAll = 4
-	// stormWeight is how many ends in a storm, or unseen, count as one of the others.
-	stormWeight = 2
-	// crashesWithDoubts give it up where VMs were never heard of again.
-	crashesWithDoubts = 5
-	// mostUnplaced bounds the doubts about runs of which no VM is recorded: a leader has to die
+	totalCrashLimit = 4
+	// weakCrashDivisor is how many ends in a storm, or unseen, count as one of the others.
+	weakCrashDivisor = 2
+	// possibleCrashLimit give it up where VMs were never heard of again.
+	possibleCrashLimit = 5
+	// maxUnplacedCrashes bounds the doubts about runs of which no VM is recorded: a leader has to die
 	// between the start and the next write for such a run to have begun.
-	mostUnplaced = 1
-	// crashesRecorded is from how many on a task is started again only once the store
+	maxUnplacedCrashes = 1
+	// durableCrashThreshold is from how many on a task is started again only once the store
 	// has them: a successor must not begin the count anew.
-	crashesRecorded = 2
-	// doubtAfter is how many holds a VM has to leave unanswered in a row for its new
+	durableCrashThreshold = 2
+	// failedHoldThreshold is how many holds a VM has to leave unanswered in a row for its new
 	// runs to be recorded as doubted: one fails where a connection is reset.
-	doubtAfter = 2
+	failedHoldThreshold = 2
 )
 
-// Unanswered notes that a hold of an instance has failed: the instance may have ended,
+// HoldFailed notes that a hold of an instance has failed: the instance may have ended,
 // or the path to it. closed is set where the other side closed or refused the connection:
 // then that was just now; a hold that is left in silence tells only that it was since the
 // last answer.
-func (s *Scheduler) Unanswered(now Time, id string, closed bool) {
+func (s *Scheduler) HoldFailed(now Time, id string, closed bool) {
 	v := s.vms[id]
 	if v == nil {
 		return
@@ -98,17 +98,17 @@
 		v.firstUnansweredAt, v.connectionClosed = now, closed
 	}
 	v.unansweredHolds++
-	if v.unansweredHolds == doubtAfter {
-		s.doubtNewRuns(now, v)
+	if v.unansweredHolds == failedHoldThreshold {
+		s.recordRecentRuns(now, v)
 	}
 }
 
-// doubtNewRuns records that what is new on a VM may have ended it. The record is written
+// recordRecentRuns records that what is new on a VM may have ended it. The record is written
 // long before the VM's end can be concluded, so that the count outlives this leader.
-func (s *Scheduler) doubtNewRuns(now Time, v *vm) {
+func (s *Scheduler) recordRecentRuns(now Time, v *vm) {
 	for _, r := range v.runList {
 		if r.mayHaveCrashed() {
-			s.noteCrash(now, r, crashDoubted)
+			s.handleCrash(now, r, crashUnconfirmed)
 		}
 	}
 }
@@ -117,31 +117,31 @@
 // new.
 func (r *run) mayHaveCrashed() bool { return r.startSent && r.isRecent() }
 
-// noteCrash records what the end of a run's VM says of its task.
-func (s *Scheduler) noteCrash(now Time, r *run, kind crashKind) {
+// handleCrash records what the end of a run's VM says of its task.
+func (s *Scheduler) handleCrash(now Time, r *run, kind crashKind) {
 	t := r.task
 	if t.done || t.step.occ.job.state.Final() {
 		return
 	}
-	s.recordCrash(r, r.vm.thisStart(), kind)
+	s.recordCrash(r, r.vm.incarnation(), kind)
 	s.logf(Decision{Event: EventCrashNoted, Task: t.id(), VM: r.vm.inst.ID, Run: r.number, Reason: crashKindNames[kind], Value: float64(len(t.crashes))})
-	if kind != crashDoubted {
-		s.judgeCrashes(now, t)
+	if kind != crashUnconfirmed {
+		s.evaluateCrashes(now, t)
 	}
 }
 
 // recordCrash has the job's record tell of a run and the start of a VM that it was on.
-func (s *Scheduler) recordCrash(r *run, start vmStart, kind crashKind) {
-	r.task.setCrash(r.asCrash(kind, start))
-	s.touchCrashes(r.task)
-	if kind == crashDoubted {
-		s.doubt(start, r.task, r.number)
+func (s *Scheduler) recordCrash(r *run, start vmIncarnation, kind crashKind) {
+	r.task.setCrash(r.toCrash(kind, start))
+	s.markCrashesChanged(r.task)
+	if kind == crashUnconfirmed {
+		s.addUnconfirmed(start, r.task, r.number)
 	}
 }
 
-// asCrash is what is noted of the run, where a start of a VM may have ended under it.
-func (r *run) asCrash(kind crashKind, start vmStart) crash {
-	return crash{run: r.number, kind: kind, vm: start, lived: r.minLifetime() >= begunJustBefore}
+// toCrash is what is noted of the run, where a start of a VM may have ended under it.
+func (r *run) toCrash(kind crashKind, start vmIncarnation) crash {
+	return crash{run: r.number, kind: kind, vm: start, lived: r.minLifetime() >= startCrashWindow}
 }
 
 // crash returns what was noted of a run, or nil.
@@ -162,7 +162,7 @@
 	t.crashes = append(t.crashes, c)
 }
 
-func (s *Scheduler) touchCrashes(t *task) {
+func (s *Scheduler) markCrashesChanged(t *task) {
 	j := t.step.occ.job
 	s.markDirty(j)
 	t.crashVersion = j.version
@@ -173,7 +173,7 @@
 	before := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.run == number })
 	if len(t.crashes) < before {
-		s.touchCrashes(t)
+		s.markCrashesChanged(t)
 	}
 }
 
@@ -183,17 +183,17 @@
 		return
 	}
 	t.crashes, t.intendedRun = nil, 0
-	s.touchCrashes(t)
+	s.markCrashesChanged(t)
 	for _, r := range t.runs {
 		s.endTrial(r)
 	}
-	s.acquit(now, t)
+	s.reclassifyBeside(now, t)
 }
 
-// suspect reports whether the task has to be started in a trial. The loss of many VMs at
+// isSuspect reports whether the task has to be started in a trial. The loss of many VMs at
 // once is no ground for suspicion the first time: all that was new there would have to
 // wait for trials.
-func (t *task) suspect() bool {
+func (t *task) isSuspect() bool {
 	mass := 0
 	for _, c := range t.crashes {
 		if c.kind != crashMass {
@@ -204,10 +204,10 @@
 	return mass > 1
 }
 
-// crashedUnder takes in that a VM has certainly ended, with what ran there. awaited is set
+// handleVMEnd takes in that a VM has certainly ended, with what ran there. awaited is set
 // where an earlier leader may have used it.
-func (s *Scheduler) crashedUnder(now Time, v *vm, awaited bool) {
-	start := v.thisStart()
+func (s *Scheduler) handleVMEnd(now Time, v *vm, awaited bool) {
+	start := v.incarnation()
 	if s.hasEnded(start) {
 		// Its entry outlived it for some seconds, and was taken for a VM that is not heard:
 		// that goes with it a second time, at a moment that has to do with neither.
@@ -222,14 +222,14 @@
 			end.bySuspect = end.byTask
 			s.recentVMEnds[start] = end
 		}
-		s.concludeEarlierDoubts(now, v)
+		s.resolveEarlierIncarnations(now, v)
 		return
 	}
-	e := s.noteEnd(now, v)
+	e := s.recordEnd(now, v)
 	for _, r := range v.runList {
-		s.doubtEarlier(now, r, e)
+		s.recordEarlierCrash(now, r, e)
 	}
-	s.judgeEnds(now)
+	s.classifyEnds(now)
 }
 
 // crashWeight is how much a crash says against its task, in ascending order.
@@ -238,7 +238,7 @@
 const (
 	weightNone crashWeight = iota
 	weightHalf
-	weightDoubt
+	weightUnconfirmed
 	weightWhole
 	weightPaired
 	weightAlone
@@ -248,26 +248,26 @@
 // nothing yet.
 func (t *task) weight(c *crash) crashWeight {
 	switch c.kind {
-	case crashAlone:
+	case crashIsolated:
 		return weightAlone
 	case crashPaired:
 		return weightPaired
 	case crashShared:
 		return weightWhole
-	case crashDoubted:
+	case crashUnconfirmed:
 		if c.run != t.intendedRun && !t.hasRun(c.run) {
-			return weightDoubt
+			return weightUnconfirmed
 		}
 	case crashStorm, crashUnseen:
 		return weightHalf
-	case crashMass, crashStarted:
+	case crashMass, crashUnloggedStart:
 	}
 	return weightNone
 }
 
-// sameEnd reports whether another crash tells of the same end of a VM, and says as much or more: a
+// isDuplicateEnd reports whether another crash tells of the same end of a VM, and says as much or more: a
 // start of a VM ends once, by one run of the task at most.
-func (t *task) sameEnd(i int) bool {
+func (t *task) isDuplicateEnd(i int) bool {
 	c := &t.crashes[i]
 	if c.vm.id == "" {
 		return false
@@ -284,12 +284,12 @@
 	return false
 }
 
-// judgeCrashes gives a task up that has ended its VMs.
-func (s *Scheduler) judgeCrashes(now Time, t *task) {
+// evaluateCrashes gives a task up that has ended its VMs.
+func (s *Scheduler) evaluateCrashes(now Time, t *task) {
 	alone, counted, doubted, weak, unplaced := 0, 0, 0, 0, 0
 	for i := range t.crashes {
 		c := &t.crashes[i]
-		if t.sameEnd(i) {
+		if t.isDuplicateEnd(i) {
 			continue
 		}
 		switch t.weight(c) {
@@ -301,7 +301,7 @@
 			weak++
 		case weightWhole:
 			counted++
-		case weightDoubt:
+		case weightUnconfirmed:
 			if c.vm.id == "" {
 				unplaced++
 			} else {
@@ -312,9 +312,9 @@
 		case weightNone:
 		}
 	}
-	counted += weak / stormWeight
-	doubted += min(unplaced, mostUnplaced)
-	if alone < crashesAlone && counted < crashesInAll && counted+doubted < crashesWithDoubts {
+	counted += weak / weakCrashDivisor
+	doubted += min(unplaced, maxUnplacedCrashes)
+	if alone < isolatedCrashLimit && counted < totalCrashLimit && counted+doubted < possibleCrashLimit {
 		return
 	}
 	s.finish(now, t.step.occ.job, batch.Failed, "VMs ended as they began "+t.id().String())
@@ -324,38 +324,38 @@
 // those of each VM. What the VM tells when it is heard clears them, its certain end
 // concludes them; that it is not heard proves nothing.
 
-// doubt notes that a run's VM may have ended under it.
-func (s *Scheduler) doubt(start vmStart, t *task, number int64) {
+// addUnconfirmed notes that a run's VM may have ended under it.
+func (s *Scheduler) addUnconfirmed(start vmIncarnation, t *task, number int64) {
 	if s.unconfirmedCrashes[start] == nil {
 		s.unconfirmedCrashes[start] = map[*task]int64{}
 	}
 	s.unconfirmedCrashes[start][t] = number
 }
 
-// undoubt takes the doubt about a task on a VM back.
-func (s *Scheduler) undoubt(start vmStart, t *task) {
+// removeUnconfirmed takes the doubt about a task on a VM back.
+func (s *Scheduler) removeUnconfirmed(start vmIncarnation, t *task) {
 	delete(s.unconfirmedCrashes[start], t)
 	if len(s.unconfirmedCrashes[start]) == 0 {
 		delete(s.unconfirmedCrashes, start)
 	}
 }
 
-// restoreDoubts takes over the doubts of an earlier leader.
-func (s *Scheduler) restoreDoubts(o *occurrence) {
+// restoreUnconfirmed takes over the doubts of an earlier leader.
+func (s *Scheduler) restoreUnconfirmed(o *occurrence) {
 	for i := range o.steps {
 		for k := range o.steps[i].tasks {
 			t := &o.steps[i].tasks[k]
 			for _, c := range t.crashes {
-				if c.kind == crashDoubted && c.vm.id != "" {
-					s.doubt(c.vm, t, c.run)
+				if c.kind == crashUnconfirmed && c.vm.id != "" {
+					s.addUnconfirmed(c.vm, t, c.run)
 				}
 			}
 		}
 	}
 }
 
-// inOrder returns the tasks of some doubts by their runs' numbers; a gang's share one.
-func inOrder(doubts map[*task]int64) []*task {
+// sortedTasks returns the tasks of some doubts by their runs' numbers; a gang's share one.
+func sortedTasks(doubts map[*task]int64) []*task {
 	if len(doubts) == 0 {
 		return nil
 	}
@@ -364,26 +364,26 @@
 	})
 }
 
-// clearDoubts takes the doubts about a VM back that lives: what it has not listed, nor
+// clearUnconfirmed takes the doubts about a VM back that lives: what it has not listed, nor
 // told the end of, has never begun there. Runs that are under way stay in doubt.
-func (s *Scheduler) clearDoubts(start vmStart) {
+func (s *Scheduler) clearUnconfirmed(start vmIncarnation) {
 	doubts := s.unconfirmedCrashes[start]
-	for _, t := range inOrder(doubts) {
+	for _, t := range sortedTasks(doubts) {
 		number := doubts[t]
 		if !t.hasRun(number) {
 			s.clearCrash(t, number)
-			s.undoubt(start, t)
+			s.removeUnconfirmed(start, t)
 		}
 	}
 }
 
-// concludeDoubts takes in that a VM has ended that runs were doubted on.
-func (s *Scheduler) concludeDoubts(now Time, start vmStart, verdictOn func(c *crash) crashKind) {
+// resolveUnconfirmed takes in that a VM has ended that runs were doubted on.
+func (s *Scheduler) resolveUnconfirmed(now Time, start vmIncarnation, verdictOn func(c *crash) crashKind) {
 	doubts := s.unconfirmedCrashes[start]
 	delete(s.unconfirmedCrashes, start)
-	for _, t := range inOrder(doubts) {
+	for _, t := range sortedTasks(doubts) {
 		number := doubts[t]
-		if c := t.crash(number); c != nil && c.kind == crashDoubted && !t.step.occ.job.state.Final() {
+		if c := t.crash(number); c != nil && c.kind == crashUnconfirmed && !t.step.occ.job.state.Final() {
 			s.setCrashKind(now, t, c, verdictOn(c))
 		}
 	}
@@ -392,23 +392,23 @@
 // setCrashKind judges a crash that was in doubt.
 func (s *Scheduler) setCrashKind(now Time, t *task, c *crash, kind crashKind) {
 	c.kind = kind
-	s.touchCrashes(t)
+	s.markCrashesChanged(t)
 	s.logf(Decision{Event: EventCrashNoted, Task: t.id(), VM: c.vm.id, Run: c.run, Reason: crashKindNames[kind], Value: float64(len(t.crashes)), Born: c.vm.born})
-	if kind == crashAlone {
-		s.accuse(now, t)
+	if kind == crashIsolated {
+		s.confirmSuspect(now, t)
 	}
-	s.judgeCrashes(now, t)
+	s.evaluateCrashes(now, t)
 }
 
 func (t *task) hasRun(number int64) bool {
 	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.number == number })
 }
 
-// crashesDurable reports whether the store has the task's crashes, as far as it must.
-func (t *task) crashesDurable() bool {
+// hasDurableCrashes reports whether the store has the task's crashes, as far as it must.
+func (t *task) hasDurableCrashes() bool {
 	crashes := len(t.crashes)
 	if t.intendedRun != 0 {
 		crashes--
 	}
-	return crashes < crashesRecorded || t.step.occ.job.writtenVersion >= t.crashVersion
+	return crashes < durableCrashThreshold || t.step.occ.job.writtenVersion >= t.crashVersion
 }
--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -300,9 +300,9 @@
 	f.s.Advised(f.now, f.now, asked, map[string]string{"vm00": "ticket"}, time.Minute, true)
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
-	f.s.Unanswered(f.now, "vm00", true)
-	f.s.Unanswered(f.now, "vm00", true)
-	f.s.Gone(f.now, "vm00", "machine ended it")
+	f.s.HoldFailed(f.now, "vm00", true)
+	f.s.HoldFailed(f.now, "vm00", true)
+	f.s.RemoveInstance(f.now, "vm00", "machine ended it")
 	f.write()
 	f.list = f.list[1:]
 	f.s.SetInstances(f.now, f.list)
@@ -329,9 +329,9 @@
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
-	f.s.Unanswered(f.now, "vm00", false)
+	f.s.HoldFailed(f.now, "vm00", false)
 	f.advance(9 * time.Second)
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.reportAll(nil)
 	f.write()
 	f.plan()
@@ -339,8 +339,8 @@
 	require.Len(t, f.started["j.0.0.0"], 2)
 	require.True(t, f.s.PrepareStart(f.now, second))
 	f.confirm(second)
-	f.s.Unanswered(f.now, "vm00", true)
-	f.s.Gone(f.now, "vm00", "machine ended it")
+	f.s.HoldFailed(f.now, "vm00", true)
+	f.s.RemoveInstance(f.now, "vm00", "machine ended it")
 	last := f.log[len(f.log)-2]
 	require.Equal(t, EventCrashNoted, last.Event)
 	require.Equal(t, second.Run, last.Run)
@@ -366,12 +366,12 @@
 	f.plan()
 	require.Equal(t, other, f.last("k.0.0.0").Instance.ID)
 	f.confirm(f.last("k.0.0.0"))
-	f.s.Unanswered(f.now, first.Instance.ID, true)
-	f.s.Gone(f.now, first.Instance.ID, "machine ended it")
+	f.s.HoldFailed(f.now, first.Instance.ID, true)
+	f.s.RemoveInstance(f.now, first.Instance.ID, "machine ended it")
 	f.write()
 	f.plan()
 	require.NotNil(t, f.s.vms[other].reservedTask)
-	f.s.Gone(f.now, other, "another instance answers")
+	f.s.RemoveInstance(f.now, other, "another instance answers")
 	f.write()
 	f.advance(2 * planEvery)
 	f.plan()
@@ -385,8 +385,8 @@
 	f.reportAll(nil)
 	f.submit("j", tasks(3, 100))
 	first := &f.s.jobs["j"].occs[0].steps[0].tasks[0]
-	for n := range int64(crashesInAll) {
-		first.setCrash(crash{run: n + 1, kind: crashShared, vm: vmStart{id: fmt.Sprintf("gone%d", n)}})
+	for n := range int64(totalCrashLimit) {
+		first.setCrash(crash{run: n + 1, kind: crashShared, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
 	}
 	require.Empty(t, f.plan())
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
@@ -406,7 +406,7 @@
 	filler := tasks(1, 9000)
 	filler.Filler, filler.Image = true, "f"
 	f.submit("j", filler)
-	f.s.jobs["j"].occs[0].steps[0].tasks[0].setCrash(crash{run: 1, kind: crashShared, vm: vmStart{id: "gone"}})
+	f.s.jobs["j"].occs[0].steps[0].tasks[0].setCrash(crash{run: 1, kind: crashShared, vm: vmIncarnation{id: "gone"}})
 	for f.now < time.Minute && len(f.started["j.0.0.0"]) == 0 {
 		f.advance(200 * time.Millisecond)
 		rep := runningReport(at)
--- a/internal/scheduler/crashfleet_test.go
+++ b/internal/scheduler/crashfleet_test.go
@@ -82,7 +82,7 @@
 	darkDeaths bool
 	// restarts: VMs start again under their IDs. judge looks at what they see.
 	restarts bool
-	judge    *restartJudge
+	judge    *restartChecker
 	// records is what the store has, by job; lost says whether a write's answer is lost,
 	// down whether the store can't be written.
 	jobs    []*batch.Job
@@ -157,7 +157,7 @@
 	}
 	c.after(learnAfter, func() {
 		c.unlist(id)
-		c.s.Gone(c.now, id, "machine ended it")
+		c.s.RemoveInstance(c.now, id, "machine ended it")
 		c.s.SetInstances(c.now, c.list)
 	})
 }
@@ -176,16 +176,16 @@
 	c.polls = c.now + listedEvery
 	c.s.SetInstances(c.now, c.list)
 	for id := range c.dead {
-		c.s.Unanswered(c.now, id, true)
+		c.s.HoldFailed(c.now, id, true)
 	}
-	if !c.s.Doubtful(c.now) {
+	if !c.s.NeedsLivenessCheck(c.now) {
 		return
 	}
 	var lives []batch.Machine
 	for _, id := range c.ids() {
 		lives = append(lives, batch.Machine{Name: id, State: batch.MachineUp, Instance: id})
 	}
-	c.s.SetLives(c.now, c.now, lives)
+	c.s.SetLiveInstances(c.now, c.now, lives)
 }
 
 // holdsFail tells the leader of the holds that a VM which has ended leaves unanswered:
@@ -196,7 +196,7 @@
 		first, pause = 1300*time.Millisecond, 800*time.Millisecond
 	}
 	for at := first; at < learnAfter; at += pause {
-		c.after(at, func() { c.s.Unanswered(c.now, id, !c.darkDeaths) })
+		c.after(at, func() { c.s.HoldFailed(c.now, id, !c.darkDeaths) })
 	}
 }
 
@@ -275,9 +275,9 @@
 		c.stepVM(id, c.living[id])
 	}
 	if !c.down {
-		c.s.Led(c.now)
+		c.s.ConfirmLeadership(c.now)
 	}
-	c.s.Tend(c.now)
+	c.s.Tick(c.now)
 	for _, o := range c.plan() {
 		c.carryOut(o)
 	}
@@ -396,7 +396,7 @@
 
 // flush writes what is pending; an answer that is lost leaves the write done.
 func (c *crashFleet) flush() {
-	if c.s.WantsToken() && !c.down {
+	if c.s.NeedsToken() && !c.down {
 		c.fence++
 		c.s.RaiseToken(c.fence)
 	}
@@ -422,7 +422,7 @@
 // takeOver lets another leader begin, from what the store has. It has to hear the VMs
 // that its predecessor used, or to learn that they are gone.
 func (c *crashFleet) takeOver() {
-	used := c.s.Recorded(c.now)
+	used := c.s.RecordedInstances(c.now)
 	c.fence++
 	c.s = c.newLeader()
 	c.s.SetInstances(c.now, c.list)
@@ -431,7 +431,7 @@
 		expected = append(expected, id)
 		c.s.AddUnlisted(c.now, inst)
 	}
-	c.s.Expect(expected, c.now+14*time.Second)
+	c.s.AwaitInstances(expected, c.now+14*time.Second)
 	for _, job := range c.jobs {
 		sub := Submission{Job: job, Queue: testQueue, Pool: "pool", PredatesLeader: true}
 		if value := c.records[job.ID]; value != nil {
--- a/internal/scheduler/dump.go
+++ b/internal/scheduler/dump.go
@@ -40,7 +40,7 @@
 
 // Dump returns the state in figures.
 func (s *Scheduler) Dump(now Time) Dump {
-	d := Dump{Fence: s.fence, Awaited: s.Silent(), Interference: s.images.describe(), ReserveShare: s.reserve.share(s.policy.ReserveMost)}
+	d := Dump{Fence: s.fence, Awaited: s.AwaitedInstances(), Interference: s.images.describe(), ReserveShare: s.reserve.share(s.policy.ReserveMost)}
 	for _, j := range s.jobs {
 		if !j.state.Final() {
 			d.OpenJobs++
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -271,7 +271,7 @@
 	case s.mayOverfill(now, v):
 		// It had room when the start was decided.
 		s.dropStart(now, r, "no room")
-	case !v.entryIsOfThisStart():
+	case !v.entryMatchesIncarnation():
 		s.dropStart(now, r, reasonRestarted)
 	default:
 		r.startSent, r.startSentAt = true, now
--- a/internal/scheduler/explore_judge_test.go
+++ b/internal/scheduler/explore_judge_test.go
@@ -68,7 +68,7 @@
 	w.judgeAttempts(o.Task, h)
 }
 
-// judgeCrashes looks at the start of a task that ends its VMs.
+// evaluateCrashes looks at the start of a task that ends its VMs.
 func (w *world) judgeCrashes(v *modelVM, o Order, h *history) {
 	if h.crashes < mostCrashes || !w.calm || w.now < w.calmAt+stableFor {
 		return
@@ -95,11 +95,11 @@
 		return
 	}
 	for task, h := range w.tasks {
-		if task.Job == id && h.crashes >= crashesAlone {
+		if task.Job == id && h.crashes >= isolatedCrashLimit {
 			return
 		}
 	}
-	w.fail(batch.TaskID{Job: id}, "job %s is given up, and no task of it has ended %d VMs", id, crashesAlone)
+	w.fail(batch.TaskID{Job: id}, "job %s is given up, and no task of it has ended %d VMs", id, isolatedCrashLimit)
 }
 
 // wouldBreak says what the acknowledgement of an end would break: whoever notes
--- a/internal/scheduler/explore_leader_test.go
+++ b/internal/scheduler/explore_leader_test.go
@@ -130,16 +130,16 @@
 			earlier[list[i].ID] = list[i].Address
 		}
 	}
-	l.s.RestoreLapsed(w.store.lapsed)
+	l.s.RestoreExpiredLeases(w.store.lapsed)
 	w.record(l, list, earlier)
 	l.s.SetInstances(w.now, list)
 	used := slices.Sorted(maps.Keys(earlier))
 	if !w.breaks.noExpect {
-		wait := l.s.settings.SilentFor(actsUnseen)
+		wait := l.s.settings.TakeoverWait(actsUnseen)
 		if w.breaks.impatient {
 			wait = time.Second
 		}
-		l.s.Expect(used, w.now+wait)
+		l.s.AwaitInstances(used, w.now+wait)
 	}
 	for _, id := range used {
 		l.s.AddUnlisted(w.now, batch.Instance{ID: id, Address: earlier[id]})
@@ -163,17 +163,17 @@
 // work. It returns false when it can't.
 func (w *world) record(l *modelLeader, list []batch.Instance, earlier map[string]string) bool {
 	next := map[string]string{}
-	for _, id := range l.s.Silent() {
+	for _, id := range l.s.AwaitedInstances() {
 		next[id] = l.recorded[id]
 	}
-	for id, inst := range l.s.Recorded(w.now) {
+	for id, inst := range l.s.RecordedInstances(w.now) {
 		next[id] = inst.Address
 	}
 	maps.Copy(next, earlier)
 	for i := range list {
 		next[list[i].ID] = list[i].Address
 	}
-	lapsed := l.s.LapsedRuns()
+	lapsed := l.s.ExpiredLeases()
 	if maps.Equal(next, l.recorded) && maps.Equal(lapsed, w.store.lapsed) {
 		return true
 	}
@@ -209,21 +209,21 @@
 		l.ended = true
 		return
 	}
-	if l.s.WantsToken() && w.reachesStore(l) && w.leads(l) {
+	if l.s.NeedsToken() && w.reachesStore(l) && w.leads(l) {
 		w.fence++
 		l.s.RaiseToken(w.fence)
 	}
-	if !l.overlapRead && w.now >= l.readyAt+DeposedWithin && w.reachesStore(l) {
+	if !l.overlapRead && w.now >= l.readyAt+DeposedAdmissionTimeout && w.reachesStore(l) {
 		l.overlapRead = true
-		l.s.NewSince(int64(w.now))
+		l.s.SetHandoverRevision(int64(w.now))
 	}
 	if w.now >= max(l.listAt, l.readyAt) && w.reachesStore(l) {
 		l.listAt = w.now + listedEvery
 		if list := w.list(); w.record(l, list, nil) {
 			l.s.SetInstances(w.now, list)
 		}
-		if (w.faults.crashes || w.faults.restarts) && l.s.Doubtful(w.now) {
-			l.s.SetLives(w.now, w.now, w.machines())
+		if (w.faults.crashes || w.faults.restarts) && l.s.NeedsLivenessCheck(w.now) {
+			l.s.SetLiveInstances(w.now, w.now, w.machines())
 		}
 	}
 }
@@ -319,13 +319,13 @@
 			w.hold(l, v)
 		}
 	}
-	if l.s.Led(l.renewedAt); w.breaks.concludes {
-		l.s.Led(w.now)
+	if l.s.ConfirmLeadership(l.renewedAt); w.breaks.concludes {
+		l.s.ConfirmLeadership(w.now)
 	}
 	if w.breaks.forgetsCrashes {
 		l.s.forgetCrashes()
 	}
-	l.s.Tend(w.now)
+	l.s.Tick(w.now)
 	if w.now >= l.openAt {
 		w.openDue(l)
 	}
@@ -359,7 +359,7 @@
 }
 
 // gone tells a leader that another life answers at a VM's address.
-func (w *world) gone(l *modelLeader, inst *batch.Instance) { l.s.Replaced(w.now, inst) }
+func (w *world) gone(l *modelLeader, inst *batch.Instance) { l.s.RemoveReplaced(w.now, inst) }
 
 // fenced ends the tenure of a leader whose successor a VM has seen.
 func (w *world) fenced(l *modelLeader) {
@@ -409,7 +409,7 @@
 		l.s.HandleReport(w.now, sentAt, v.id, report)
 	}, func() {
 		l.holding[v.id] = false
-		l.s.Unanswered(w.now, v.id, v.dead && !v.dark)
+		l.s.HoldFailed(w.now, v.id, v.dead && !v.dark)
 	})
 }
 
--- a/internal/scheduler/explore_predecessors_test.go
+++ b/internal/scheduler/explore_predecessors_test.go
@@ -12,7 +12,7 @@
 type pastAnswer struct {
 	left       map[string]time.Duration
 	remembered bool
-	crashes    []CrashNews
+	crashes    []CrashReport
 }
 
 // askPast lets a leader ask its predecessors, as package leader does.
@@ -21,7 +21,7 @@
 		return
 	}
 	l.askAt = w.now + askEvery
-	vms := l.s.Silent()
+	vms := l.s.AwaitedInstances()
 	slices.Sort(vms)
 	if len(vms) == 0 {
 		w.prunePast(l)
@@ -54,7 +54,7 @@
 		for _, id := range vms {
 			l.said[id] = max(l.said[id], w.now+a.left[id])
 		}
-		l.s.LearnCrashes(w.now, a.crashes)
+		l.s.AcceptCrashReports(w.now, a.crashes)
 		if a.remembered {
 			remembered = max(remembered, p.fence)
 		}
@@ -65,7 +65,7 @@
 	})
 	if len(l.past) == 0 {
 		w.tracef("leader %d knows of its predecessors' leases", l.fence)
-		l.s.ExpectUntil(l.said)
+		l.s.ShortenWaits(l.said)
 		l.knows = true
 	}
 }
@@ -90,7 +90,7 @@
 	a := pastAnswer{left: map[string]time.Duration{}}
 	if p.died {
 		for _, id := range vms {
-			a.left[id] = max(0, p.s.settings.SilentFor(0)-(w.now-p.restartAt))
+			a.left[id] = max(0, p.s.settings.TakeoverWait(0)-(w.now-p.restartAt))
 		}
 		return a, true
 	}
@@ -101,13 +101,13 @@
 	w.tracef("leader %d is asked by leader %d", p.fence, l.fence)
 	if w.now < p.readyAt {
 		for _, id := range vms {
-			a.left[id] = max(0, p.s.settings.SilentFor(0)-w.now)
+			a.left[id] = max(0, p.s.settings.TakeoverWait(0)-w.now)
 		}
 		return a, true
 	}
 	a.remembered = true
 	a.crashes = p.s.UnrecordedCrashes()
-	over := p.s.LeasesOver()
+	over := p.s.LeaseDeadlines()
 	for _, id := range vms {
 		a.left[id] = max(0, over[id]-w.now)
 	}
--- a/internal/scheduler/explore_store_test.go
+++ b/internal/scheduler/explore_store_test.go
@@ -35,7 +35,7 @@
 	events    []jobEvent
 	records   map[string][]byte
 	instances map[string]string
-	lapsed    map[string]Lapsed
+	lapsed    map[string]ExpiredLease
 	tenures   []*modelLeader
 	starts    map[SegmentID][]byte
 }
--- a/internal/scheduler/explore_vm_test.go
+++ b/internal/scheduler/explore_vm_test.go
@@ -245,7 +245,7 @@
 	return l.zone == v.zone || (w.now >= w.zoneCut[l.zone] && w.now >= w.zoneCut[v.zone])
 }
 
-// tendVM does what is due on a VM, and in the store's list with its entry.
+// tickVM does what is due on a VM, and in the store's list with its entry.
 func (w *world) tendVM(v *modelVM) {
 	if !v.dead {
 		w.lapse(v)
@@ -334,11 +334,11 @@
 // dieTogether ends so many VMs at once that their end has a cause of its own.
 func (w *world) dieTogether() {
 	living := slices.DeleteFunc(w.living(), func(v *modelVM) bool { return v.draining })
-	if len(living) <= massVMs {
+	if len(living) <= minMassEnds {
 		return
 	}
 	w.rng.Shuffle(len(living), func(i, k int) { living[i], living[k] = living[k], living[i] })
-	for _, v := range living[:massVMs+1+w.rng.IntN(len(living)-massVMs)] {
+	for _, v := range living[:minMassEnds+1+w.rng.IntN(len(living)-minMassEnds)] {
 		w.die(v, false)
 	}
 }
--- a/internal/scheduler/figures.go
+++ b/internal/scheduler/figures.go
@@ -60,7 +60,7 @@
 		if !x.Reported {
 			f.Unreported++
 		}
-		if v.silent(now) {
+		if v.isUnresponsive(now) {
 			f.Unresponsive++
 			if x.LeaseLeft > 0 {
 				f.LeasedUnresponsive++
@@ -125,7 +125,7 @@
 // EndStatus tells how an end stands that a start of a VM tells; ask before the report is
 // taken over.
 func (s *Scheduler) EndStatus(vm string, born int64, e *batch.RunEnd) EndStatus {
-	if v := s.vms[vm]; v != nil && v.mayBe(born) && e.Seq <= v.processedSeq {
+	if v := s.vms[vm]; v != nil && v.matchesBirth(born) && e.Seq <= v.processedSeq {
 		return EndDuplicate
 	}
 	j := s.jobs[e.Task.Job]
--- a/internal/scheduler/figures_test.go
+++ b/internal/scheduler/figures_test.go
@@ -18,7 +18,7 @@
 	// The clocks are known now, so that these holds take leases.
 	f.report("vm00", batch.Report{})
 	f.report("vm01", batch.Report{})
-	f.s.Expect([]string{"vm02"}, f.now+time.Minute)
+	f.s.AwaitInstances([]string{"vm02"}, f.now+time.Minute)
 	x := f.s.Stats(f.now)
 	require.Equal(t, Stats{Fence: 1, VMs: 3, Unreported: 1, Leased: 2, Awaited: 1, LongestLease: x.LongestLease}, x)
 	require.InDelta(t, 8.5, x.LongestLease.Seconds(), 0.5)
--- a/internal/scheduler/fleet_bench_test.go
+++ b/internal/scheduler/fleet_bench_test.go
@@ -31,10 +31,10 @@
 	}{
 		{"SetInstances", func() { s.SetInstances(time.Second, list) }},
 		{"Instances", func() { s.Instances() }},
-		{"LapsedRuns", func() { s.LapsedRuns() }},
-		{"Tend", func() { s.Tend(time.Second) }},
+		{"LapsedRuns", func() { s.ExpiredLeases() }},
+		{"Tend", func() { s.Tick(time.Second) }},
 		{"Pending", func() { s.PendingWrites() }},
-		{"LeasesOver", func() { s.LeasesOver() }},
+		{"LeasesOver", func() { s.LeaseDeadlines() }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -10,8 +10,8 @@
 // A leader that is deposed or cut off from the store as a VM ends can't record what that says of
 // the tasks there. Its process still knows, and tells its successor.
 
-// CrashNews is what a leader knows of a run under which a VM ended, or may have.
-type CrashNews struct {
+// CrashReport is what a leader knows of a run under which a VM ended, or may have.
+type CrashReport struct {
 	Task batch.TaskID
 	Run  int64
 	// Kind is a crashKind, as in the records of progress.
@@ -23,13 +23,13 @@
 	Lived bool
 }
 
-// mostNews bounds what a leader tells, crashes first: a row takes some 80 bytes.
-const mostNews = 2000
+// maxCrashReports bounds what a leader tells, crashes first: a row takes some 80 bytes.
+const maxCrashReports = 2000
 
 // UnrecordedCrashes returns what the store may not have: crashes that were not written, new
 // runs on VMs that leave holds unanswered, and new runs that are not in the log of starts.
-func (s *Scheduler) UnrecordedCrashes() []CrashNews {
-	var crashes, started []CrashNews
+func (s *Scheduler) UnrecordedCrashes() []CrashReport {
+	var crashes, started []CrashReport
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		for _, number := range slices.Sorted(maps.Keys(j.occs)) {
@@ -43,49 +43,49 @@
 		}
 	}
 	news := append(crashes, started...)
-	return news[:min(len(news), mostNews)]
+	return news[:min(len(news), maxCrashReports)]
 }
 
-// news is a row about a run.
-func (t *task) news(c crash) CrashNews {
-	return CrashNews{Task: t.id(), Run: c.run, Kind: int64(c.kind), VM: c.vm.id, Born: c.vm.born, Lived: c.lived}
+// crashReport is a row about a run.
+func (t *task) crashReport(c crash) CrashReport {
+	return CrashReport{Task: t.id(), Run: c.run, Kind: int64(c.kind), VM: c.vm.id, Born: c.vm.born, Lived: c.lived}
 }
 
-func (t *task) unrecordedCrashes() []CrashNews {
+func (t *task) unrecordedCrashes() []CrashReport {
 	j := t.step.occ.job
 	if t.done || j.state.Final() {
 		return nil
 	}
-	var news []CrashNews
+	var news []CrashReport
 	for _, c := range t.crashes {
 		if c.vm.id != "" && j.writtenVersion < t.crashVersion {
-			news = append(news, t.news(c))
+			news = append(news, t.crashReport(c))
 		}
 	}
 	for _, r := range t.runs {
 		if r.vm.firstUnansweredAt > 0 && r.mayHaveCrashed() && t.crash(r.number) == nil {
-			news = append(news, t.news(r.asCrash(crashDoubted, r.vm.thisStart())))
+			news = append(news, t.crashReport(r.toCrash(crashUnconfirmed, r.vm.incarnation())))
 		}
 	}
 	return news
 }
 
 // unloggedStarts are those of new runs on VMs that answer.
-func (t *task) unloggedStarts() []CrashNews {
+func (t *task) unloggedStarts() []CrashReport {
 	if t.done || t.step.occ.job.state.Final() {
 		return nil
 	}
-	var news []CrashNews
+	var news []CrashReport
 	for _, r := range t.runs {
 		if r.vm.firstUnansweredAt == 0 && r.mayHaveCrashed() && !r.inStartLog && t.crash(r.number) == nil {
-			news = append(news, t.news(r.asCrash(crashStarted, r.vm.thisStart())))
+			news = append(news, t.crashReport(r.toCrash(crashUnloggedStart, r.vm.incarnation())))
 		}
 	}
 	return news
 }
 
-// LearnCrashes takes over what an earlier leader tells.
-func (s *Scheduler) LearnCrashes(now Time, news []CrashNews) {
+// AcceptCrashReports takes over what an earlier leader tells.
+func (s *Scheduler) AcceptCrashReports(now Time, news []CrashReport) {
 	for i := range news {
 		n := &news[i]
 		if n.Task.Step < 0 || n.Task.Index < 0 {
@@ -95,27 +95,27 @@
 			// Another version's.
 			continue
 		}
-		if crashKind(n.Kind) == crashStarted {
-			s.inherit(now, &inheritedStart{task: n.Task, run: n.Run, vm: vmStart{n.VM, n.Born}})
+		if crashKind(n.Kind) == crashUnloggedStart {
+			s.inheritStart(now, &inheritedStart{task: n.Task, run: n.Run, vm: vmIncarnation{n.VM, n.Born}})
 			continue
 		}
 		t := s.task(n.Task)
 		if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(n.Run) {
 			continue
 		}
-		c := crash{run: n.Run, kind: crashKind(n.Kind), vm: vmStart{n.VM, n.Born}, lived: n.Lived}
+		c := crash{run: n.Run, kind: crashKind(n.Kind), vm: vmIncarnation{n.VM, n.Born}, lived: n.Lived}
 		known := t.crash(n.Run)
 		switch {
-		case known == nil && c.kind == crashDoubted:
-			s.doubt(c.vm, t, c.run)
-		case known != nil && (known.kind != crashDoubted || c.kind == crashDoubted):
+		case known == nil && c.kind == crashUnconfirmed:
+			s.addUnconfirmed(c.vm, t, c.run)
+		case known != nil && (known.kind != crashUnconfirmed || c.kind == crashUnconfirmed):
 			continue
 		case known != nil:
-			s.undoubt(known.vm, t)
+			s.removeUnconfirmed(known.vm, t)
 		}
 		t.setCrash(c)
-		s.touchCrashes(t)
+		s.markCrashesChanged(t)
 		s.logf(Decision{Event: EventCrashNoted, Task: t.id(), VM: n.VM, Run: n.Run, Reason: "told: " + crashKindNames[c.kind], Value: float64(len(t.crashes)), Born: n.Born})
-		s.judgeCrashes(now, t)
+		s.evaluateCrashes(now, t)
 	}
 }
--- a/internal/scheduler/handover_test.go
+++ b/internal/scheduler/handover_test.go
@@ -17,26 +17,26 @@
 	f.write()
 	vm := f.startFirst()
 	f.advance(50 * time.Millisecond)
-	f.endsNow(vm)
+	f.failHolds(vm)
 	news := f.s.UnrecordedCrashes()
 	require.Len(t, news, 1, "a run on a VM that does not answer")
-	require.EqualValues(t, crashDoubted, news[0].Kind)
+	require.EqualValues(t, crashUnconfirmed, news[0].Kind)
 
 	next := newFixture(t, 3)
 	next.reportAll(nil)
 	next.submit("j", tasks(1, 1000))
-	next.s.LearnCrashes(next.now, news)
-	require.True(t, next.taskOf("j").suspect())
+	next.s.AcceptCrashReports(next.now, news)
+	require.True(t, next.taskOf("j").isSuspect())
 
-	f.s.Gone(f.now, vm, "machine ended it")
-	f.advance(judgedAfter)
-	f.s.Tend(f.now)
+	f.s.RemoveInstance(f.now, vm, "machine ended it")
+	f.advance(classifyDelay)
+	f.s.Tick(f.now)
 	judged := f.s.UnrecordedCrashes()
 	require.Len(t, judged, 1)
-	require.NotEqualValues(t, crashDoubted, judged[0].Kind)
-	next.s.LearnCrashes(next.now, judged)
+	require.NotEqualValues(t, crashUnconfirmed, judged[0].Kind)
+	next.s.AcceptCrashReports(next.now, judged)
 	require.EqualValues(t, judged[0].Kind, next.taskOf("j").crashes[0].kind, "what was in doubt is judged")
-	next.s.LearnCrashes(next.now, news)
+	next.s.AcceptCrashReports(next.now, news)
 	require.EqualValues(t, judged[0].Kind, next.taskOf("j").crashes[0].kind, "told late")
 
 	f.write()
@@ -48,15 +48,15 @@
 	f := newFixture(t, 1)
 	f.submit("j", tasks(1, 1000))
 	known := f.taskOf("j").id()
-	for _, change := range []func(*CrashNews){
-		func(n *CrashNews) { n.Task.Job = "none" },
-		func(n *CrashNews) { n.Task.Occurrence = 4 },
-		func(n *CrashNews) { n.Task.Step = -1 },
-		func(n *CrashNews) { n.Task.Index = 9 },
+	for _, change := range []func(*CrashReport){
+		func(n *CrashReport) { n.Task.Job = "none" },
+		func(n *CrashReport) { n.Task.Occurrence = 4 },
+		func(n *CrashReport) { n.Task.Step = -1 },
+		func(n *CrashReport) { n.Task.Index = 9 },
 	} {
-		n := CrashNews{Task: known, Run: 3, VM: "vm00"}
+		n := CrashReport{Task: known, Run: 3, VM: "vm00"}
 		change(&n)
-		f.s.LearnCrashes(f.now, []CrashNews{n})
+		f.s.AcceptCrashReports(f.now, []CrashReport{n})
 	}
 	require.Empty(t, f.taskOf("j").crashes)
 }
@@ -70,30 +70,30 @@
 	vm := f.startFirst()
 	news := f.s.UnrecordedCrashes()
 	require.Len(t, news, 1)
-	require.EqualValues(t, crashStarted, news[0].Kind)
+	require.EqualValues(t, crashUnloggedStart, news[0].Kind)
 
 	t.Run("its VM has ended", func(t *testing.T) {
 		next := newSuccessorFixture(t, 3)
-		next.s.Expect([]string{vm}, next.now+awaitDuration)
+		next.s.AwaitInstances([]string{vm}, next.now+awaitDuration)
 		next.submit("j", tasks(1, 1000))
-		next.s.LearnCrashes(next.now, news)
-		require.False(t, next.taskOf("j").suspect())
-		next.s.Gone(next.now, vm, "machine ended it")
-		require.True(t, next.taskOf("j").suspect())
+		next.s.AcceptCrashReports(next.now, news)
+		require.False(t, next.taskOf("j").isSuspect())
+		next.s.RemoveInstance(next.now, vm, "machine ended it")
+		require.True(t, next.taskOf("j").isSuspect())
 	})
 	t.Run("its VM had ended", func(t *testing.T) {
 		next := newSuccessorFixture(t, 3)
-		next.s.Expect([]string{vm}, next.now+awaitDuration)
+		next.s.AwaitInstances([]string{vm}, next.now+awaitDuration)
 		next.submit("j", tasks(1, 1000))
-		next.s.Gone(next.now, vm, "machine ended it")
-		next.s.LearnCrashes(next.now, news)
+		next.s.RemoveInstance(next.now, vm, "machine ended it")
+		next.s.AcceptCrashReports(next.now, news)
 		require.Equal(t, crashUnseen, next.taskOf("j").crashes[0].kind)
 	})
 	t.Run("its VM lives", func(t *testing.T) {
 		next := newSuccessorFixture(t, 3)
 		next.submit("j", tasks(1, 1000))
 		next.reportAll(nil)
-		next.s.LearnCrashes(next.now, news)
+		next.s.AcceptCrashReports(next.now, news)
 		require.Empty(t, next.taskOf("j").crashes)
 	})
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -37,7 +37,7 @@
 func newFixture(t *testing.T, vms int) *fixture {
 	f := &fixture{t: t, fence: 1, now: time.Second, started: map[string][]Order{}}
 	f.s = New(Settings{MaxLease: 10 * time.Second}, f.fence, func(d Decision) { f.log = append(f.log, d) })
-	f.s.Led(distantFuture)
+	f.s.ConfirmLeadership(distantFuture)
 	f.s.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{
 		{Name: testQueue, Pool: "pool", Attempts: testAttempts, Stretch: 2, Slack: time.Second},
 	}})
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -14,33 +14,33 @@
 // then live is the run, if its VM has it, and noted the task whose record has to tell, if it may have
 // ended its VM.
 type inheritedStart struct {
-	task    batch.TaskID
-	run     int64
-	vm      vmStart
-	settled bool
-	live    *run
-	noted   *task
+	task        batch.TaskID
+	run         int64
+	vm          vmIncarnation
+	resolved    bool
+	adopted     *run
+	crashedTask *task
 }
 
-// accounted reports whether a successor needs the log no more to know of the start.
-func (i *inheritedStart) accounted() bool {
+// isAccountedFor reports whether a successor needs the log no more to know of the start.
+func (i *inheritedStart) isAccountedFor() bool {
 	switch {
-	case !i.settled:
+	case !i.resolved:
 		return false
-	case i.live != nil:
-		return i.live.accounted()
-	case i.noted != nil:
-		j := i.noted.step.occ.job
-		return j.state.Final() || j.writtenVersion >= i.noted.crashVersion
+	case i.adopted != nil:
+		return i.adopted.isAccountedFor()
+	case i.crashedTask != nil:
+		j := i.crashedTask.step.occ.job
+		return j.state.Final() || j.writtenVersion >= i.crashedTask.crashVersion
 	}
 	return true
 }
 
-// settleAlive takes in that the VM has told what it runs.
-func (i *inheritedStart) settleAlive(v *vm) {
-	i.settled = true
+// resolveAlive takes in that the VM has told what it runs.
+func (i *inheritedStart) resolveAlive(v *vm) {
+	i.resolved = true
 	if r := v.runs[i.task]; r != nil && r.number == i.run {
-		i.live = r
+		i.adopted = r
 	}
 }
 
@@ -53,27 +53,27 @@
 		s.startLog.segments = append(s.startLog.segments, g)
 		count += len(g.inherited)
 		for _, start := range g.inherited {
-			s.inherit(now, start)
+			s.inheritStart(now, start)
 		}
 	}
 	return count
 }
 
-// inherit takes a start by an earlier leader over.
-func (s *Scheduler) inherit(now Time, i *inheritedStart) {
+// inheritStart takes a start by an earlier leader over.
+func (s *Scheduler) inheritStart(now Time, i *inheritedStart) {
 	v := s.vms[i.vm.id]
 	switch {
 	case s.hasEnded(i.vm):
-		s.noteInherited(now, i, crashUnseen)
+		s.recordInheritedCrash(now, i, crashUnseen)
 	case v == nil:
-		s.noteInherited(now, i, crashDoubted)
-	case !v.hasReported || s.awaited(i.vm.id):
+		s.recordInheritedCrash(now, i, crashUnconfirmed)
+	case !v.hasReported || s.isAwaited(i.vm.id):
 		s.startLog.inherited[i.vm] = append(s.startLog.inherited[i.vm], i)
-	case v.mayBe(i.vm.born):
+	case v.matchesBirth(i.vm.born):
 		// It has seen this leader's fencing token, and begins nothing of an earlier one any more.
-		i.settleAlive(v)
+		i.resolveAlive(v)
 	default:
-		s.noteInherited(now, i, crashUnseen)
+		s.recordInheritedCrash(now, i, crashUnseen)
 	}
 }
 
@@ -88,7 +88,7 @@
 			}
 			out = append(out, &inheritedStart{
 				task: batch.TaskID{Job: st.Job, Occurrence: st.Occurrence, Step: st.Step, Index: int(index)},
-				run:  g.ID.Fence<<runNumberBits | number, vm: vmStart{g.VMs[vm].ID, g.VMs[vm].Born},
+				run:  g.ID.Fence<<runNumberBits | number, vm: vmIncarnation{g.VMs[vm].ID, g.VMs[vm].Born},
 			})
 		}
 	}
@@ -96,103 +96,103 @@
 }
 
 // inheritedOn returns the starts of a VM to which earlier leaders gave something, by birth.
-func (s *Scheduler) inheritedOn(id string) []vmStart {
-	var on []vmStart
+func (s *Scheduler) inheritedOn(id string) []vmIncarnation {
+	var on []vmIncarnation
 	for start := range s.startLog.inherited {
 		if start.id == id {
 			on = append(on, start)
 		}
 	}
-	slices.SortFunc(on, func(a, b vmStart) int { return cmp.Compare(a.born, b.born) })
+	slices.SortFunc(on, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
 	return on
 }
 
-// settleHeard takes in a VM's first whole report: what it tells of is known from now on, and
+// resolveFromReport takes in a VM's first whole report: what it tells of is known from now on, and
 // what it does not tell of has never begun there. Its earlier starts have ended.
-func (s *Scheduler) settleHeard(now Time, v *vm, rep *batch.Report) {
+func (s *Scheduler) resolveFromReport(now Time, v *vm, rep *batch.Report) {
 	if rep.MoreEnded || len(s.startLog.inherited) == 0 {
 		return
 	}
-	told := toldRuns(rep)
+	told := reportedRuns(rep)
 	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.takeInherited(start) {
-			if v.mayBe(start.born) || told[runKey{i.task, i.run}] {
-				i.settleAlive(v)
+		for _, i := range s.removeInherited(start) {
+			if v.matchesBirth(start.born) || told[runKey{i.task, i.run}] {
+				i.resolveAlive(v)
 				continue
 			}
-			s.noteInherited(now, i, crashUnseen)
+			s.recordInheritedCrash(now, i, crashUnseen)
 		}
 	}
 }
 
-// settleGone takes in that a VM has ended. One that was to end was ended by nothing there.
-func (s *Scheduler) settleGone(now Time, v *vm) {
+// resolveEndedVM takes in that a VM has ended. One that was to end was ended by nothing there.
+func (s *Scheduler) resolveEndedVM(now Time, v *vm) {
 	if !v.inst.Draining && !v.closed {
-		s.settleInherited(now, v.inst.ID, crashUnseen)
+		s.resolveInherited(now, v.inst.ID, crashUnseen)
 		return
 	}
 	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.takeInherited(start) {
-			i.settled = true
+		for _, i := range s.removeInherited(start) {
+			i.resolved = true
 		}
 	}
 }
 
-// settleInherited notes what is to be thought of all that earlier leaders started on a VM.
-func (s *Scheduler) settleInherited(now Time, id string, kind crashKind) {
+// resolveInherited notes what is to be thought of all that earlier leaders started on a VM.
+func (s *Scheduler) resolveInherited(now Time, id string, kind crashKind) {
 	for _, start := range s.inheritedOn(id) {
-		for _, i := range s.takeInherited(start) {
-			s.noteInherited(now, i, kind)
+		for _, i := range s.removeInherited(start) {
+			s.recordInheritedCrash(now, i, kind)
 		}
 	}
 }
 
-func (s *Scheduler) takeInherited(start vmStart) []*inheritedStart {
+func (s *Scheduler) removeInherited(start vmIncarnation) []*inheritedStart {
 	taken := s.startLog.inherited[start]
 	delete(s.startLog.inherited, start)
 	return taken
 }
 
-// noteInherited records what the end of a VM says of a start by an earlier leader.
-func (s *Scheduler) noteInherited(now Time, i *inheritedStart, kind crashKind) {
-	i.settled = true
+// recordInheritedCrash records what the end of a VM says of a start by an earlier leader.
+func (s *Scheduler) recordInheritedCrash(now Time, i *inheritedStart, kind crashKind) {
+	i.resolved = true
 	s.openReported(now, i.task)
 	t := s.task(i.task)
 	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(i.run) || slices.Contains(t.failedRuns, i.run) {
 		return
 	}
-	i.noted = t
+	i.crashedTask = t
 	if t.crash(i.run) != nil {
 		return
 	}
 	t.setCrash(crash{run: i.run, kind: kind, vm: i.vm})
 	switch kind {
-	case crashDoubted:
-		s.doubt(i.vm, t, i.run)
+	case crashUnconfirmed:
+		s.addUnconfirmed(i.vm, t, i.run)
 	case crashUnseen:
-		s.noteUnseen(i)
+		s.recordUnseenEnd(i)
 		kind = t.crash(i.run).kind
-	case crashShared, crashAlone, crashMass, crashStorm, crashStarted:
+	case crashShared, crashIsolated, crashMass, crashStorm, crashUnloggedStart:
 	}
-	s.touchCrashes(t)
+	s.markCrashesChanged(t)
 	s.logf(Decision{Event: EventCrashNoted, Task: i.task, VM: i.vm.id, Run: i.run, Reason: "inherited: " + crashKindNames[kind], Value: float64(len(t.crashes)), Born: i.vm.born})
-	s.judgeCrashes(now, t)
+	s.evaluateCrashes(now, t)
 }
 
-// noteUnseen takes in that a VM has ended with a start of an earlier leader. Where several have, with
+// recordUnseenEnd takes in that a VM has ended with a start of an earlier leader. Where several have, with
 // more starts than there are trials at one time, a rack or power was lost with that leader: as where a
 // leader lives to see it, the first such end is no ground for suspicion.
-func (s *Scheduler) noteUnseen(i *inheritedStart) {
+func (s *Scheduler) recordUnseenEnd(i *inheritedStart) {
 	l := &s.startLog
-	l.unseen = append(l.unseen, i)
+	l.unseenStarts = append(l.unseenStarts, i)
 	l.lostVMs[i.vm.id] = true
-	if len(l.lostVMs) <= massVMs || len(l.unseen) <= suspectsAtOnce {
+	if len(l.lostVMs) <= minMassEnds || len(l.unseenStarts) <= maxSuspectsPerPass {
 		return
 	}
-	for _, u := range l.unseen {
-		if c := u.noted.crash(u.run); c != nil && c.kind == crashUnseen && len(u.noted.crashes) == 1 {
+	for _, u := range l.unseenStarts {
+		if c := u.crashedTask.crash(u.run); c != nil && c.kind == crashUnseen && len(u.crashedTask.crashes) == 1 {
 			c.kind = crashMass
-			s.touchCrashes(u.noted)
+			s.markCrashesChanged(u.crashedTask)
 		}
 	}
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -36,12 +36,12 @@
 // Submit takes a job on. A job that is known is left as it is.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	if j := s.jobs[sub.Job.ID]; j != nil {
-		j.predatesLeader = j.predatesLeader && (sub.PredatesLeader || s.mayBeOlder(sub.CreatedRevision))
+		j.predatesLeader = j.predatesLeader && (sub.PredatesLeader || s.mayPredateTenure(sub.CreatedRevision))
 		return
 	}
 	j := &job{
 		spec: sub.Job, queue: sub.Queue, pool: sub.Pool, submittedAt: now - sub.Age, state: batch.Queued,
-		predatesLeader: sub.PredatesLeader || s.mayBeOlder(sub.CreatedRevision), occs: map[int]*occurrence{}, doneOccs: map[int]bool{}, recordRevision: sub.RecordRevision,
+		predatesLeader: sub.PredatesLeader || s.mayPredateTenure(sub.CreatedRevision), occs: map[int]*occurrence{}, doneOccs: map[int]bool{}, recordRevision: sub.RecordRevision,
 		criticalPath: sub.Job.Chain(), work: sub.Job.Work(), maxAttempts: 1,
 	}
 	j.objective = j.criticalPath
@@ -170,7 +170,7 @@
 	}
 	if j.restoredProgress != nil {
 		j.restoredProgress.apply(o)
-		s.restoreDoubts(o)
+		s.restoreUnconfirmed(o)
 	}
 	for i := range o.steps {
 		if o.steps[i].tasksLeft == 0 {
@@ -213,7 +213,7 @@
 
 func (s *Scheduler) occurrenceDone(now Time, o *occurrence) {
 	j := o.job
-	j.noteCounted(o)
+	j.recordCountedRuns(o)
 	delete(j.occs, o.number)
 	j.doneOccs[o.number] = true
 	for j.doneOccs[j.doneLow] {
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -13,9 +13,9 @@
 // taskOf is the first task of a job of the fixture's.
 func (f *fixture) taskOf(job string) *task { return &f.s.jobs[job].occs[0].steps[0].tasks[0] }
 
-// suspect has a job's first task be one that a VM has ended under before.
-func (f *fixture) suspect(job string) {
-	f.taskOf(job).setCrash(crash{run: 1, kind: crashShared, vm: vmStart{id: "earlier"}})
+// markSuspect has a job's first task be one that a VM has ended under before.
+func (f *fixture) markSuspect(job string) {
+	f.taskOf(job).setCrash(crash{run: 1, kind: crashShared, vm: vmIncarnation{id: "earlier"}})
 }
 
 // startFirst gives the start of j's first task and confirms it, and returns the VM.
@@ -35,10 +35,10 @@
 	return o.Instance.ID
 }
 
-// endsNow has holds to VMs fail as their processes have ended.
-func (f *fixture) endsNow(vms ...string) {
+// failHolds has holds to VMs fail as their processes have ended.
+func (f *fixture) failHolds(vms ...string) {
 	for _, id := range vms {
-		f.s.Unanswered(f.now, id, true)
+		f.s.HoldFailed(f.now, id, true)
 	}
 }
 
@@ -53,8 +53,8 @@
 	return others
 }
 
-// kinds are what is noted of the VMs of j's first task, but for those of suspect.
-func (f *fixture) kinds() []crashKind {
+// crashKinds are what is noted of the VMs of j's first task, but for those of suspect.
+func (f *fixture) crashKinds() []crashKind {
 	var kinds []crashKind
 	for _, c := range f.taskOf("j").crashes {
 		if c.vm.id != "earlier" {
@@ -70,18 +70,18 @@
 	f := newFixture(t, 5)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
-	f.suspect("j")
+	f.markSuspect("j")
 	vm := f.startFirst()
 	f.advance(100 * time.Millisecond)
-	f.endsNow(vm)
-	f.s.Gone(f.now, vm, "another instance answers")
-	require.NotContains(t, f.kinds(), crashAlone, "judged before the others could be seen to have ended")
+	f.failHolds(vm)
+	f.s.RemoveInstance(f.now, vm, "another instance answers")
+	require.NotContains(t, f.crashKinds(), crashIsolated, "judged before the others could be seen to have ended")
 	f.advance(600 * time.Millisecond)
-	for _, other := range f.othersOf(vm)[:massVMs] {
-		f.s.Unanswered(f.now, other, false)
+	for _, other := range f.othersOf(vm)[:minMassEnds] {
+		f.s.HoldFailed(f.now, other, false)
 	}
-	f.s.Tend(f.now)
-	require.Equal(t, []crashKind{crashMass}, f.kinds())
+	f.s.Tick(f.now)
+	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 }
 
 // Guards against waits that serve nothing: an end is judged as soon as all others are heard.
@@ -89,17 +89,17 @@
 	f := newFixture(t, 3)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
-	f.suspect("j")
+	f.markSuspect("j")
 	vm := f.startFirst()
 	f.advance(50 * time.Millisecond)
-	f.endsNow(vm)
-	f.s.Gone(f.now, vm, "another instance answers")
+	f.failHolds(vm)
+	f.s.RemoveInstance(f.now, vm, "another instance answers")
 	f.advance(50 * time.Millisecond)
 	for _, other := range f.othersOf(vm) {
 		f.report(other, batch.Report{})
 	}
-	f.s.Tend(f.now)
-	require.Equal(t, []crashKind{crashAlone}, f.kinds())
+	f.s.Tick(f.now)
+	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
 // Guards against a job that is given up though nothing of it has ended a VM: VMs that this
@@ -109,9 +109,9 @@
 	for _, inst := range f.list[:3] {
 		f.report(inst.ID, batch.Report{})
 	}
-	f.s.Gone(f.now, "vm03", "machine ended it")
-	f.s.Gone(f.now, "vm04", "machine ended it")
-	f.s.Gone(f.now, "vm05", "machine ended it")
+	f.s.RemoveInstance(f.now, "vm03", "machine ended it")
+	f.s.RemoveInstance(f.now, "vm04", "machine ended it")
+	f.s.RemoveInstance(f.now, "vm05", "machine ended it")
 	f.advance(5 * time.Second)
 	for _, inst := range f.list[:3] {
 		f.report(inst.ID, batch.Report{})
@@ -119,10 +119,10 @@
 	f.submit("j", tasks(1, 1000))
 	vm := f.startFirst()
 	f.advance(700 * time.Millisecond)
-	f.endsNow(vm)
-	f.advance(judgedAfter)
-	f.s.Gone(f.now, vm, "machine ended it")
-	require.Equal(t, []crashKind{crashStorm}, f.kinds())
+	f.failHolds(vm)
+	f.advance(classifyDelay)
+	f.s.RemoveInstance(f.now, vm, "machine ended it")
+	require.Equal(t, []crashKind{crashStorm}, f.crashKinds())
 }
 
 // Guards against both: four ends in storms do not give a job up, twice as many do.
@@ -131,10 +131,10 @@
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
-	for n := range int64(stormWeight * crashesInAll) {
+	for n := range int64(weakCrashDivisor * totalCrashLimit) {
 		require.Equal(t, batch.Queued, f.s.jobs["j"].state, "given up after %d", n)
-		first.setCrash(crash{run: n + 1, kind: crashStorm, vm: vmStart{id: fmt.Sprintf("gone%d", n)}})
-		f.s.judgeCrashes(f.now, first)
+		first.setCrash(crash{run: n + 1, kind: crashStorm, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
+		f.s.evaluateCrashes(f.now, first)
 	}
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
@@ -145,26 +145,26 @@
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
-	f.suspect("j")
+	f.markSuspect("j")
 	vm := f.startFirst()
 	// As where its patience was over: something else is new there.
 	f.s.vms[vm].runs[f.last("j.0.0.0").Task].isTrial = false
 	f.advance(50 * time.Millisecond)
-	f.endsNow(vm)
-	f.s.Gone(f.now, vm, "machine ended it")
-	f.advance(judgedAfter)
-	f.s.Tend(f.now)
-	require.Equal(t, []crashKind{crashAlone}, f.kinds())
+	f.failHolds(vm)
+	f.s.RemoveInstance(f.now, vm, "machine ended it")
+	f.advance(classifyDelay)
+	f.s.Tick(f.now)
+	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
 // Guards against a job that is given up for a VM that another's task ended: both had begun there in
 // one instant, while VMs ended one after the other, and the one that was started last was convicted.
 func TestOneOfTwoThatBeginInAStormIsNotTried(t *testing.T) {
-	for beside, want := range map[string]crashKind{"": crashAlone, "k": crashPaired} {
+	for beside, want := range map[string]crashKind{"": crashIsolated, "k": crashPaired} {
 		f := newFixture(t, 3)
 		f.report("vm00", batch.Report{})
-		f.s.Gone(f.now, "vm01", "machine ended it")
-		f.s.Gone(f.now, "vm02", "machine ended it")
+		f.s.RemoveInstance(f.now, "vm01", "machine ended it")
+		f.s.RemoveInstance(f.now, "vm02", "machine ended it")
 		f.advance(5 * time.Second)
 		f.report("vm00", batch.Report{})
 		f.submit("j", tasks(1, 1000))
@@ -180,15 +180,15 @@
 		// As where it is a suspect whose patience was over.
 		f.s.vms[vm].runs[f.last("j.0.0.0").Task].exclusive = true
 		f.advance(50 * time.Millisecond)
-		f.endsNow(vm)
-		f.s.Gone(f.now, vm, "machine ended it")
-		f.advance(judgedAfter)
-		f.s.Tend(f.now)
-		require.Equal(t, []crashKind{want}, f.kinds(), "beside %q", beside)
+		f.failHolds(vm)
+		f.s.RemoveInstance(f.now, vm, "machine ended it")
+		f.advance(classifyDelay)
+		f.s.Tick(f.now)
+		require.Equal(t, []crashKind{want}, f.crashKinds(), "beside %q", beside)
 		if beside != "" {
 			// The other one runs well elsewhere: then it was this one.
 			f.s.clearCrashesOnEnd(f.now, f.taskOf(beside), &batch.RunEnd{Kind: batch.EndDone})
-			require.Equal(t, []crashKind{crashAlone}, f.kinds())
+			require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 		}
 	}
 }
@@ -200,13 +200,13 @@
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
-	for n, kind := range []crashKind{crashShared, crashPaired, crashAlone} {
-		first.setCrash(crash{run: int64(n + 1), kind: kind, vm: vmStart{id: fmt.Sprintf("gone%d", n)}})
+	for n, kind := range []crashKind{crashShared, crashPaired, crashIsolated} {
+		first.setCrash(crash{run: int64(n + 1), kind: kind, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
 	}
-	f.s.judgeCrashes(f.now, first)
+	f.s.evaluateCrashes(f.now, first)
 	require.Equal(t, batch.Queued, f.s.jobs["j"].state)
-	first.setCrash(crash{run: 9, kind: crashUnseen, vm: vmStart{id: "unseen"}})
-	f.s.judgeCrashes(f.now, first)
+	first.setCrash(crash{run: 9, kind: crashUnseen, vm: vmIncarnation{id: "unseen"}})
+	f.s.evaluateCrashes(f.now, first)
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
@@ -232,7 +232,7 @@
 			}
 		}
 		c.play(30 * time.Second)
-		c.requireKept()
+		c.requireInvariants()
 	}
 }
 
@@ -245,22 +245,22 @@
 	f.plan()
 	vm := f.startFirst()
 	f.advance(50 * time.Millisecond)
-	f.endsNow(vm)
-	silent := f.othersOf(vm)[:massVMs]
+	f.failHolds(vm)
+	silent := f.othersOf(vm)[:minMassEnds]
 	for _, other := range silent {
-		f.s.Unanswered(f.now, other, false)
+		f.s.HoldFailed(f.now, other, false)
 	}
-	f.s.Gone(f.now, vm, "another instance answers")
-	require.Equal(t, []crashKind{crashMass}, f.kinds())
+	f.s.RemoveInstance(f.now, vm, "another instance answers")
+	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 	f.advance(300 * time.Millisecond)
 	f.report(silent[0], batch.Report{})
-	require.Equal(t, []crashKind{crashShared}, f.kinds())
+	require.Equal(t, []crashKind{crashShared}, f.crashKinds())
 }
 
 // Guards against an innocent job that is given up over take-overs: each successor took the loss of a
 // VM on which the job's task had worked for a while for a VM that the task had ended as it began.
 func TestDoubtAboutARunThatHadLivedCountsHalf(t *testing.T) {
-	for lived, kind := range map[time.Duration]crashKind{0: crashShared, begunJustBefore: crashUnseen} {
+	for lived, kind := range map[time.Duration]crashKind{0: crashShared, startCrashWindow: crashUnseen} {
 		f := newFixture(t, 2)
 		f.reportAll(nil)
 		f.submit("j", tasks(1, 1000))
@@ -268,8 +268,8 @@
 		vm := f.startFirst()
 		f.advance(lived)
 		f.report(vm, runningReport(f.last("j.0.0.0")))
-		for range doubtAfter {
-			f.s.Unanswered(f.now, vm, false)
+		for range failedHoldThreshold {
+			f.s.HoldFailed(f.now, vm, false)
 		}
 		news := f.s.UnrecordedCrashes()
 		records := f.write()
@@ -278,15 +278,15 @@
 		next.s.Submit(next.now, Submission{
 			Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{tasks(1, 1000)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: records["j"], RecordRevision: 1,
 		})
-		require.Equal(t, []crashKind{crashDoubted}, next.kinds())
-		next.s.Gone(next.now, vm, "machine ended it")
-		require.Equal(t, []crashKind{kind}, next.kinds(), "lived for %v", lived)
+		require.Equal(t, []crashKind{crashUnconfirmed}, next.crashKinds())
+		next.s.RemoveInstance(next.now, vm, "machine ended it")
+		require.Equal(t, []crashKind{kind}, next.crashKinds(), "lived for %v", lived)
 
 		told := newFixture(t, 2)
 		told.submit("j", tasks(1, 1000))
-		told.s.LearnCrashes(told.now, news)
-		told.s.Gone(told.now, vm, "machine ended it")
-		require.Equal(t, []crashKind{kind}, told.kinds(), "told by the leader before")
+		told.s.AcceptCrashReports(told.now, news)
+		told.s.RemoveInstance(told.now, vm, "machine ended it")
+		require.Equal(t, []crashKind{kind}, told.crashKinds(), "told by the leader before")
 	}
 }
 
@@ -297,14 +297,14 @@
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
-	for n := range int64(crashesInAll - 1) {
-		first.setCrash(crash{run: n + 1, kind: crashShared, vm: vmStart{id: fmt.Sprintf("gone%d", n)}})
+	for n := range int64(totalCrashLimit - 1) {
+		first.setCrash(crash{run: n + 1, kind: crashShared, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
 	}
-	first.setCrash(crash{run: 8, kind: crashShared, vm: vmStart{id: "gone0"}})
-	first.setCrash(crash{run: 9, kind: crashDoubted, vm: vmStart{id: "gone1"}})
-	f.s.judgeCrashes(f.now, first)
+	first.setCrash(crash{run: 8, kind: crashShared, vm: vmIncarnation{id: "gone0"}})
+	first.setCrash(crash{run: 9, kind: crashUnconfirmed, vm: vmIncarnation{id: "gone1"}})
+	f.s.evaluateCrashes(f.now, first)
 	require.Equal(t, batch.Queued, f.s.jobs["j"].state)
-	first.setCrash(crash{run: 10, kind: crashShared, vm: vmStart{id: "gone0", born: 7}})
-	f.s.judgeCrashes(f.now, first)
+	first.setCrash(crash{run: 10, kind: crashShared, vm: vmIncarnation{id: "gone0", born: 7}})
+	f.s.evaluateCrashes(f.now, first)
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state, "another start of the VM has ended")
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -14,21 +14,21 @@
 // another entry with its address: whoever writes entries may be wrong, and a new life
 // answers at once.
 
-// leaseMargin covers rounding and scheduling of the process when a lease is
+// leaseExpiryMargin covers rounding and scheduling of the process when a lease is
 // taken to be over.
-const leaseMargin = 300 * time.Millisecond
+const leaseExpiryMargin = 300 * time.Millisecond
 
 // leaseExpiry is how long after its start a lease of the given length is certainly
 // over: a VM's clock may be slow.
-func leaseOver(length time.Duration) time.Duration {
-	return time.Duration(float64(length)/minClockRate) + leaseMargin
+func leaseExpiryDelay(length time.Duration) time.Duration {
+	return time.Duration(float64(length)/minClockRate) + leaseExpiryMargin
 }
 
-// SilentFor is how long after its election a leader has to wait for an instance that
+// TakeoverWait is how long after its election a leader has to wait for an instance that
 // it does not hear, where an earlier one may have renewed leases for so long since. A VM
 // that has started again may have taken an order of its for the longest lease that it grants.
-func (s Settings) SilentFor(renewedSince time.Duration) time.Duration {
-	return renewedSince + leaseOver(s.MaxLease)
+func (s Settings) TakeoverWait(renewedSince time.Duration) time.Duration {
+	return renewedSince + leaseExpiryDelay(s.MaxLease)
 }
 
 // drainingLease is the lease of an instance that leaves: what it held can be started
@@ -50,22 +50,22 @@
 // what a successor waits.
 func (v *vm) renew(now Time, length time.Duration) time.Duration {
 	v.leaseUntil = max(v.leaseUntil, v.clock.value+(now-v.clock.gotAt)+length)
-	over := v.clock.gotAt + leaseOver(v.leaseUntil-v.clock.value)
+	over := v.clock.gotAt + leaseExpiryDelay(v.leaseUntil-v.clock.value)
 	v.leaseExpiry = max(v.leaseExpiry, over)
 	return v.leaseUntil
 }
 
-// DeposedWithin is how long a leader whose key is gone may go on taking new jobs
+// DeposedAdmissionTimeout is how long a leader whose key is gone may go on taking new jobs
 // up: it renews its lease each 0.35 s, and a renewal that reaches the store tells
 // it within 0.4 s. Both leaders would start a job that comes in this time.
-const DeposedWithin = 1500 * time.Millisecond
+const DeposedAdmissionTimeout = 1500 * time.Millisecond
 
-// Expect names the instances that earlier leaders may have given work to. Until
+// AwaitInstances names the instances that earlier leaders may have given work to. Until
 // each is heard, or its moment has passed, a task of a job that an earlier leader may
 // have known is not started anywhere: it may run there. That is each job that is older
 // than this leader, or comes before an earlier leader that still follows new jobs has
 // certainly learned that it is one. Jobs that come later than that need not wait.
-func (s *Scheduler) Expect(ids []string, until Time) {
+func (s *Scheduler) AwaitInstances(ids []string, until Time) {
 	for _, id := range ids {
 		if v := s.vms[id]; v == nil || !v.hasReported {
 			s.awaitedVMs[id] = until
@@ -74,48 +74,48 @@
 	s.planNeeded = true
 }
 
-// Led notes that no other leader can have been elected before a moment: a renewal of
+// ConfirmLeadership notes that no other leader can have been elected before a moment: a renewal of
 // the leader's key that was sent then has succeeded. What was given up until then may
 // be started again. A leader that is cut off from the store must not conclude that a
 // VM's lease is over: a successor may have heard the VM and renewed it, or have
 // acknowledged what ended there.
-func (s *Scheduler) Led(at Time) {
+func (s *Scheduler) ConfirmLeadership(at Time) {
 	if at > s.leadConfirmedAt {
 		s.leadConfirmedAt = at
 		s.planNeeded = true
 	}
 }
 
-// startable reports whether the task may be started as far as its earlier runs go.
-func (s *Scheduler) startable(now Time, t *task) bool {
-	return now >= t.notBefore && t.lostAt <= s.leadConfirmedAt && t.crashesDurable() && !s.awaitsJudgement(t)
+// isStartable reports whether the task may be started as far as its earlier runs go.
+func (s *Scheduler) isStartable(now Time, t *task) bool {
+	return now >= t.notBefore && t.lostAt <= s.leadConfirmedAt && t.hasDurableCrashes() && !s.awaitsClassification(t)
 }
 
-// NewSince notes a revision of the store that was read DeposedWithin after the election
+// SetHandoverRevision notes a revision of the store that was read DeposedAdmissionTimeout after the election
 // or later: an earlier leader takes up no job that was created after it.
-func (s *Scheduler) NewSince(revision int64) { s.newJobsRevision = revision }
+func (s *Scheduler) SetHandoverRevision(revision int64) { s.newJobsRevision = revision }
 
-// mayBeOlder reports whether an earlier leader may have taken a job up that was created
+// mayPredateTenure reports whether an earlier leader may have taken a job up that was created
 // at a revision of the store. The time of day does not tell: clocks differ by seconds.
-func (s *Scheduler) mayBeOlder(created int64) bool {
+func (s *Scheduler) mayPredateTenure(created int64) bool {
 	return s.newJobsRevision == 0 || created == 0 || created <= s.newJobsRevision
 }
 
-// ExpectUntil shortens the wait for silent instances: all earlier leaders have told
+// ShortenWaits shortens the wait for silent instances: all earlier leaders have told
 // until when leases of theirs may last. What they do not name has none.
-func (s *Scheduler) ExpectUntil(until map[string]Time) {
+func (s *Scheduler) ShortenWaits(until map[string]Time) {
 	for id, latest := range s.awaitedVMs {
 		s.awaitedVMs[id] = min(latest, until[id])
 	}
 	s.planNeeded = true
 }
 
-// LeasesOver returns when the leases on each instance are certainly over, be they this
+// LeaseDeadlines returns when the leases on each instance are certainly over, be they this
 // leader's or those of earlier ones that are waited for.
-func (s *Scheduler) LeasesOver() map[string]Time {
+func (s *Scheduler) LeaseDeadlines() map[string]Time {
 	over := make(map[string]Time, len(s.vms))
 	for id, v := range s.vms {
-		over[id] = s.leasesOver(v)
+		over[id] = s.vmLeaseExpiry(v)
 	}
 	for id, until := range s.awaitedVMs {
 		over[id] = max(over[id], until)
@@ -123,12 +123,12 @@
 	return over
 }
 
-// mostLapsed bounds what is kept of VMs that were forgotten: on an ordinary day some
+// maxExpiredLeases bounds what is kept of VMs that were forgotten: on an ordinary day some
 // hundred are replaced.
-const mostLapsed = 1000
+const maxExpiredLeases = 1000
 
-// Lapsed says that all leases on a VM were over at some moment.
-type Lapsed struct {
+// ExpiredLease says that all leases on a VM were over at some moment.
+type ExpiredLease struct {
 	// Run is the highest number that a run had by then.
 	Run int64 `json:"run"`
 	// Born is the start of the VM that it holds for, 0 for any: no start was heard.
@@ -136,56 +136,56 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler. A bare number is a run, for any start.
-func (l *Lapsed) UnmarshalJSON(raw []byte) error {
+func (l *ExpiredLease) UnmarshalJSON(raw []byte) error {
 	if err := json.Unmarshal(raw, &l.Run); err == nil {
 		l.Born = 0
 		return nil
 	}
-	type plain Lapsed
+	type plain ExpiredLease
 	return json.Unmarshal(raw, (*plain)(l))
 }
 
-// LapsedRuns returns what is known of VMs whose leases were all over at some moment. A
+// ExpiredLeases returns what is known of VMs whose leases were all over at some moment. A
 // successor needs it to tell the ends that such a VM tells later from those of runs that
 // count.
-func (s *Scheduler) LapsedRuns() map[string]Lapsed {
+func (s *Scheduler) ExpiredLeases() map[string]ExpiredLease {
 	all := maps.Clone(s.expiredLeases)
 	for id, v := range s.vms {
 		if v.maxExpiredRun > 0 {
-			all[id] = Lapsed{Run: v.maxExpiredRun, Born: v.born}
+			all[id] = ExpiredLease{Run: v.maxExpiredRun, Born: v.born}
 		}
 	}
 	return all
 }
 
-// RestoreLapsed takes over what an earlier leader returned from LapsedRuns.
-func (s *Scheduler) RestoreLapsed(lapsed map[string]Lapsed) {
+// RestoreExpiredLeases takes over what an earlier leader returned from ExpiredLeases.
+func (s *Scheduler) RestoreExpiredLeases(lapsed map[string]ExpiredLease) {
 	for id, l := range lapsed {
-		s.keepLapsed(id, l)
+		s.retainExpiredLease(id, l)
 		if v := s.vms[id]; v != nil && v.hasReported {
-			s.recallLapsed(v)
+			s.applyExpiredLease(v)
 		}
 	}
 }
 
-// recallLapsed takes what was kept of a VM that is heard. What was known of another start
+// applyExpiredLease takes what was kept of a VM that is heard. What was known of another start
 // of it does not hold.
-func (s *Scheduler) recallLapsed(v *vm) {
+func (s *Scheduler) applyExpiredLease(v *vm) {
 	l, kept := s.expiredLeases[v.inst.ID]
 	if !kept {
 		return
 	}
 	delete(s.expiredLeases, v.inst.ID)
-	if v.mayBe(l.Born) {
+	if v.matchesBirth(l.Born) {
 		v.maxExpiredRun = max(v.maxExpiredRun, l.Run)
 	}
 }
 
-// keepLapsed keeps the maxExpiredRun of an instance that is not known, or not heard, instead of
+// retainExpiredLease keeps the maxExpiredRun of an instance that is not known, or not heard, instead of
 // the oldest one where there are too many.
-func (s *Scheduler) keepLapsed(id string, l Lapsed) {
+func (s *Scheduler) retainExpiredLease(id string, l ExpiredLease) {
 	s.expiredLeases[id] = l
-	if len(s.expiredLeases) <= mostLapsed {
+	if len(s.expiredLeases) <= maxExpiredLeases {
 		return
 	}
 	oldest := id
@@ -197,24 +197,24 @@
 	delete(s.expiredLeases, oldest)
 }
 
-// lapse counts what runs on v as ended: every lease there is over.
-func (s *Scheduler) lapse(now Time, v *vm) {
+// expireLeases counts what runs on v as ended: every lease there is over.
+func (s *Scheduler) expireLeases(now Time, v *vm) {
 	if v.expiredLeaseEnd != v.leaseExpiry {
 		// Nothing can have begun there since.
 		v.expiredLeaseEnd, v.maxExpiredRun = v.leaseExpiry, s.nextRun
-		s.doubtNewRuns(now, v)
+		s.recordRecentRuns(now, v)
 		s.clearUnwanted(v)
 	}
 	for _, r := range v.runList {
-		if now > s.overAt(r) {
+		if now > s.runExpiry(r) {
 			s.dropRun(now, r, "lease over")
 		}
 	}
 }
 
-// waitOutSilent stops waiting for the instances of earlier leaders that have
+// expireAwaited stops waiting for the instances of earlier leaders that have
 // certainly ended what they ran.
-func (s *Scheduler) waitOutSilent(now Time) {
+func (s *Scheduler) expireAwaited(now Time) {
 	var over []string
 	for id, until := range s.awaitedVMs {
 		if min(now, s.leadConfirmedAt) > until {
@@ -228,19 +228,19 @@
 		d := Decision{Event: EventVMWaitedOut, VM: id}
 		if v := s.vms[id]; v != nil {
 			v.maxExpiredRun = s.nextRun
-			d = v.lifeDecision(now, EventVMWaitedOut, "")
+			d = v.lifecycleDecision(now, EventVMWaitedOut, "")
 		}
 		s.logf(d)
-		s.settleInherited(now, id, crashDoubted)
+		s.resolveInherited(now, id, crashUnconfirmed)
 	}
 }
 
-// awaited reports whether an instance may still run what an earlier leader started.
-func (s *Scheduler) awaited(id string) bool {
+// isAwaited reports whether an instance may still run what an earlier leader started.
+func (s *Scheduler) isAwaited(id string) bool {
 	_, ok := s.awaitedVMs[id]
 	return ok
 }
 
-// forgetAfter is how long an unlisted instance without runs is kept: entries
+// unlistedRetention is how long an unlisted instance without runs is kept: entries
 // that lapsed with the store are back about 2 s after its return.
-const forgetAfter = 10 * time.Second
+const unlistedRetention = 10 * time.Second
--- a/internal/scheduler/lifetimes_test.go
+++ b/internal/scheduler/lifetimes_test.go
@@ -22,10 +22,10 @@
 	f.plan()
 	f.confirm(f.last("new.0.0.0"))
 	f.advance(13 * time.Millisecond)
-	f.s.Unanswered(f.now, "vm00", true)
+	f.s.HoldFailed(f.now, "vm00", true)
 	f.advance(2 * time.Second)
-	f.s.Unanswered(f.now, "vm00", true)
-	f.s.Gone(f.now, "vm00", "machine ended it")
+	f.s.HoldFailed(f.now, "vm00", true)
+	f.s.RemoveInstance(f.now, "vm00", "machine ended it")
 
 	lost := map[string]Decision{}
 	for _, d := range f.log {
@@ -49,11 +49,11 @@
 	f.submit("j", tasks(1, 1000))
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
-	f.s.Unanswered(f.now, "vm00", true)
+	f.s.HoldFailed(f.now, "vm00", true)
 	f.advance(time.Second)
 	f.report("vm00", runningReport(f.last("j.0.0.0")))
 	f.advance(time.Second)
-	f.s.Gone(f.now, "vm00", "machine ended it")
+	f.s.RemoveInstance(f.now, "vm00", "machine ended it")
 	last := f.log[len(f.log)-1]
 	require.Equal(t, EventRunLost, last.Event)
 	require.Equal(t, 2*time.Second, last.MaxLifetime)
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -18,12 +18,14 @@
 	return list
 }
 
-// lives tells the scheduler what the machine service says now.
-func (f *fixture) lives(ids ...string) { f.s.SetLives(f.now, f.now, machinesOf(ids...)) }
+// setLiveInstances tells the scheduler what the machine service says now.
+func (f *fixture) setLiveInstances(ids ...string) {
+	f.s.SetLiveInstances(f.now, f.now, machinesOf(ids...))
+}
 
-// unheardVM is a fixture with three VMs, of which the one that runs a task is not heard
+// unresponsiveVM is a fixture with three VMs, of which the one that runs a task is not heard
 // for a while.
-func unheardVM(t *testing.T) (f *fixture, first Order, others []string) {
+func unresponsiveVM(t *testing.T) (f *fixture, first Order, others []string) {
 	f = newFixture(t, 3)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
@@ -35,7 +37,7 @@
 			others = append(others, inst.ID)
 		}
 	}
-	f.advance(livesAfter + time.Millisecond)
+	f.advance(livenessCheckDelay + time.Millisecond)
 	for _, id := range others {
 		f.report(id, batch.Report{})
 	}
@@ -45,31 +47,31 @@
 // What ran on a VM that has crashed was away for the whole of its lease, 8.5 s. The
 // machine service knows at once: two of its lists lack the VM's life.
 func TestVMThatItsMachineEndedIsGone(t *testing.T) {
-	f, first, others := unheardVM(t)
-	require.True(t, f.s.Doubtful(f.now))
-	f.lives(others...)
+	f, first, others := unresponsiveVM(t)
+	require.True(t, f.s.NeedsLivenessCheck(f.now))
+	f.setLiveInstances(others...)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1, "one list may lack a machine that lives")
-	f.advance(missedFor)
-	f.lives(others...)
+	f.advance(minMissingDuration)
+	f.setLiveInstances(others...)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 	require.NotEqual(t, first.Instance.ID, f.last("j.0.0.0").Instance.ID)
-	require.False(t, f.s.Doubtful(f.now))
+	require.False(t, f.s.NeedsLivenessCheck(f.now))
 }
 
 // A VM that is cut off lives, and the machine service says so, whatever the store's list
 // says: its lease counts.
 func TestVMThatIsCutOffLives(t *testing.T) {
-	f, first, others := unheardVM(t)
+	f, first, others := unresponsiveVM(t)
 	f.s.SetInstances(f.now, []batch.Instance{})
 	for range 8 {
-		f.lives(append(others, first.Instance.ID)...)
-		f.advance(missedFor)
+		f.setLiveInstances(append(others, first.Instance.ID)...)
+		f.advance(minMissingDuration)
 		for _, id := range others {
 			f.report(id, batch.Report{})
 		}
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 	}
 	require.Len(t, f.started["j.0.0.0"], 1)
@@ -79,22 +81,22 @@
 // that are heard, and an empty one say nothing.
 func TestListsOfMachinesThatSayNothing(t *testing.T) {
 	for name, tell := range map[string]func(f *fixture, first Order, others []string){
-		"empty":       func(f *fixture, _ Order, _ []string) { f.lives() },
-		"mostly else": func(f *fixture, _ Order, _ []string) { f.lives("vm77", "vm78") },
+		"empty":       func(f *fixture, _ Order, _ []string) { f.setLiveInstances() },
+		"mostly else": func(f *fixture, _ Order, _ []string) { f.setLiveInstances("vm77", "vm78") },
 		"one lacks it": func(f *fixture, first Order, others []string) {
-			f.lives(others...)
-			f.lives(append(others, first.Instance.ID)...)
+			f.setLiveInstances(others...)
+			f.setLiveInstances(append(others, first.Instance.ID)...)
 		},
 		"old": func(f *fixture, first Order, others []string) {
 			v := f.s.vms[first.Instance.ID]
-			f.s.SetLives(f.now, v.lastReportAt-time.Millisecond, machinesOf(others...))
+			f.s.SetLiveInstances(f.now, v.lastReportAt-time.Millisecond, machinesOf(others...))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, first, others := unheardVM(t)
+			f, first, others := unresponsiveVM(t)
 			for range 4 {
 				tell(f, first, others)
-				f.advance(missedFor)
+				f.advance(minMissingDuration)
 			}
 			f.plan()
 			require.Len(t, f.started["j.0.0.0"], 1)
@@ -106,13 +108,13 @@
 // have VMs of earlier leaders that a new one has yet to hear.
 func TestEarlierLifeOfAMachineIsNotWaitedFor(t *testing.T) {
 	f := newCutOffFixture(t)
-	f.advance(livesAfter + time.Millisecond)
+	f.advance(livenessCheckDelay + time.Millisecond)
 	f.report("vm00", batch.Report{})
 	list := append(machinesOf("vm00", "new life"), batch.Machine{Name: "m-cut", State: batch.MachineDown, Instance: "cut"})
-	f.s.SetLives(f.now, f.now, list)
-	f.advance(missedFor)
-	f.s.SetLives(f.now, f.now, list)
-	require.Empty(t, f.s.Silent())
+	f.s.SetLiveInstances(f.now, f.now, list)
+	f.advance(minMissingDuration)
+	f.s.SetLiveInstances(f.now, f.now, list)
+	require.Empty(t, f.s.AwaitedInstances())
 	f.plan()
 	require.Len(t, f.started, 1)
 }
@@ -124,9 +126,9 @@
 	f.reportAll(nil)
 	f.reportAll(nil)
 	f.s.SetInstances(f.now, f.list[:1])
-	require.Contains(t, f.s.Recorded(f.now), "vm01", "its lease may live")
-	f.advance(leaseOver(f.s.settings.Lease()) + time.Second)
+	require.Contains(t, f.s.RecordedInstances(f.now), "vm01", "its lease may live")
+	f.advance(leaseExpiryDelay(f.s.settings.Lease()) + time.Second)
 	f.report("vm00", batch.Report{})
-	require.NotContains(t, f.s.Recorded(f.now), "vm01")
-	require.Contains(t, f.s.Recorded(f.now), "vm00")
+	require.NotContains(t, f.s.RecordedInstances(f.now), "vm01")
+	require.Contains(t, f.s.RecordedInstances(f.now), "vm00")
 }
--- a/internal/scheduler/nextstart_test.go
+++ b/internal/scheduler/nextstart_test.go
@@ -27,7 +27,7 @@
 	if f.s.vms[vm].fenced {
 		return
 	}
-	if f.s.WantsToken() {
+	if f.s.NeedsToken() {
 		f.s.RaiseToken(f.s.maxToken + 1)
 	}
 	_, ok := f.s.Hold(f.now, vm, time.Second)
@@ -64,7 +64,7 @@
 	f.answer("vm00", batch.Report{Born: 2, Clock: 110 * time.Millisecond})
 	f.advance(time.Second)
 	f.answer("vm00", batch.Report{Born: 2, Clock: 1110 * time.Millisecond})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2, "never started again")
 }
@@ -87,7 +87,7 @@
 	for f.now < given+f.s.settings.MaxLease {
 		f.advance(100 * time.Millisecond)
 		f.report(other, batch.Report{Born: 1})
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], 1, "started again %v after the order", f.now-given)
 	}
@@ -101,10 +101,10 @@
 	f.list[0].Address = "10.0.9.9:1"
 	f.reborn(2)
 	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
-	f.s.Replaced(f.now, &old)
+	f.s.RemoveReplaced(f.now, &old)
 	require.Contains(t, f.s.Instances(), "vm00")
 	present, _ := f.s.Instance("vm00")
-	f.s.Replaced(f.now, &present)
+	f.s.RemoveReplaced(f.now, &present)
 	require.NotContains(t, f.s.Instances(), "vm00")
 }
 
@@ -133,7 +133,7 @@
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	require.Empty(t, f.started)
-	f.s.Led(f.now)
+	f.s.ConfirmLeadership(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1)
 }
@@ -144,20 +144,20 @@
 	f := bornFixture(t, 1)
 	f.s.vms["vm00"].maxExpiredRun = 9
 	next := newFixture(t, 1)
-	next.s.RestoreLapsed(f.s.LapsedRuns())
+	next.s.RestoreExpiredLeases(f.s.ExpiredLeases())
 	next.report("vm00", batch.Report{Born: 2})
 	require.Zero(t, next.s.vms["vm00"].maxExpiredRun)
 	same := newFixture(t, 1)
-	same.s.RestoreLapsed(f.s.LapsedRuns())
+	same.s.RestoreExpiredLeases(f.s.ExpiredLeases())
 	same.report("vm00", batch.Report{Born: 1})
 	require.EqualValues(t, 9, same.s.vms["vm00"].maxExpiredRun)
 }
 
 // What earlier versions kept of lapsed leases is a bare number.
 func TestLapsedIsReadAsItWasWritten(t *testing.T) {
-	var read map[string]Lapsed
+	var read map[string]ExpiredLease
 	require.NoError(t, json.Unmarshal([]byte(`{"a":7,"b":{"run":8,"born":3}}`), &read))
-	require.Equal(t, map[string]Lapsed{"a": {Run: 7}, "b": {Run: 8, Born: 3}}, read)
+	require.Equal(t, map[string]ExpiredLease{"a": {Run: 7}, "b": {Run: 8, Born: 3}}, read)
 }
 
 // Guards against work that runs twice: an order that was taken by a VM's start before is carried
@@ -170,7 +170,7 @@
 	f.advance(time.Second)
 	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.reborn(2)
-	require.True(t, f.s.WantsToken())
+	require.True(t, f.s.NeedsToken())
 	f.submit("second", tasks(1, 100))
 	f.plan()
 	require.Empty(t, f.started["second.0.0.0"], "started where the order may come late")
@@ -219,7 +219,7 @@
 	orders := f.plan()
 	require.Len(t, orders, 1)
 	require.Equal(t, "vm01", orders[0].Instance.ID, "its ID is that of one start")
-	f.s.Led(f.now)
+	f.s.ConfirmLeadership(f.now)
 	orders = f.plan()
 	require.Len(t, orders, 1)
 	require.Equal(t, "vm00", orders[0].Instance.ID)
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -19,7 +19,7 @@
 	// leastEffect is the effect, as a logarithm, below which a filler is left alone:
 	// to slow it would not show.
 	leastEffect = 0.02
-	// overAt is the share of its target from which a tail counts as over: the
+	// runExpiry is the share of its target from which a tail counts as over: the
 	// figure is rough.
 	overAt = 0.97
 	// moveProgress: a run that cannot resume is moved only below this progress,
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -136,9 +136,9 @@
 	switch {
 	case v.inst.Pool != t.step.occ.job.pool || !v.inst.HasLabel(spec.Label):
 		return obstaclePool
-	case !v.hasReported || !v.listed || v.silent(now) || v.firstUnansweredAt > 0 || len(v.unknownRuns) > 0:
+	case !v.hasReported || !v.listed || v.isUnresponsive(now) || v.firstUnansweredAt > 0 || len(v.unknownRuns) > 0:
 		return obstacleUnheard
-	case !v.entryIsOfThisStart(), !v.fenced, v.otherIncarnation, s.beganUnled(v):
+	case !v.entryMatchesIncarnation(), !v.fenced, v.otherIncarnation, s.startedSinceConfirmedTenure(v):
 		return obstacleRestarted
 	case v.inst.Draining || v.closed || v.ackLimit > 0 || v.processedSeq-v.durableSeq > mostUnacked:
 		return obstacleDraining
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -293,13 +293,13 @@
 	var list *candidates
 	for k := range st.tasks {
 		t := &st.tasks[k]
-		if t.done || len(t.runs) > 0 || !s.startable(r.now, t) {
+		if t.done || len(t.runs) > 0 || !s.isStartable(r.now, t) {
 			continue
 		}
 		if !s.mayStart(st) {
 			return
 		}
-		if t.suspect() {
+		if t.isSuspect() {
 			// What it starts is in no list of candidates.
 			if r.admitsSuspect(t) {
 				s.startSuspect(r.now, t)
@@ -345,13 +345,13 @@
 // without making progress.
 func (s *Scheduler) startGang(r *round, st *step) {
 	for k := range st.tasks {
-		if len(st.tasks[k].runs) > 0 || !s.startable(r.now, &st.tasks[k]) {
+		if len(st.tasks[k].runs) > 0 || !s.isStartable(r.now, &st.tasks[k]) {
 			return
 		}
 	}
 	var held []*run
-	if st.suspect() {
-		held = s.holdSuspects(r.now, st)
+	if st.isSuspect() {
+		held = s.reserveGangTrial(r.now, st)
 	} else {
 		held = s.holdGang(r.now, st, s.number(), s.choose)
 	}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -166,7 +166,7 @@
 	}
 	for _, c := range p.Crashes {
 		if c.Task >= 0 && c.Task < len(st.tasks) && !st.tasks[c.Task].done {
-			st.tasks[c.Task].setCrash(crash{run: c.Run, kind: crashKind(c.Kind), vm: vmStart{c.VM, c.Born}, lived: c.Lived})
+			st.tasks[c.Task].setCrash(crash{run: c.Run, kind: crashKind(c.Kind), vm: vmIncarnation{c.VM, c.Born}, lived: c.Lived})
 		}
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -19,25 +19,25 @@
 		return false
 	}
 	if now-sentAt > v.holdWait+holdResponseTimeout {
-		s.Unanswered(now, id, false)
+		s.HoldFailed(now, id, false)
 		return false
 	}
-	if !v.mayBe(rep.Born) {
-		v = s.restarted(now, sentAt, v, &rep)
+	if !v.matchesBirth(rep.Born) {
+		v = s.handleRestart(now, sentAt, v, &rep)
 	}
 	if rep.Born != 0 {
 		v.born = rep.Born
 	}
-	s.noteGuarded(v)
+	s.recordGuarded(v)
 	v.setClock(sentAt, now, rep.Clock)
 	v.otherIncarnation = false
 	if !v.hasReported {
 		v.hasReported, v.firstReportAt = true, now
 		// An earlier leader may have renewed the leases there until now, or have given orders
 		// that were meant for the start before.
-		v.leaseExpiry = max(v.leaseExpiry, now+leaseOver(s.settings.firstLease(rep.Clock)))
-		s.recallLapsed(v)
-		s.endedUnreported = s.endedUnreported || (rep.Born != 0 && s.awaited(id) && s.settings.startedOfLate(rep.Clock))
+		v.leaseExpiry = max(v.leaseExpiry, now+leaseExpiryDelay(s.settings.maxInitialLease(rep.Clock)))
+		s.applyExpiredLease(v)
+		s.endedUnreported = s.endedUnreported || (rep.Born != 0 && s.isAwaited(id) && s.settings.recentlyStarted(rep.Clock))
 		s.planNeeded = true
 		s.logf(Decision{Event: EventVMHeard, VM: id, Value: float64(len(rep.Running)), Born: rep.Born})
 	}
@@ -46,7 +46,7 @@
 	}
 	v.lastReportAt = now
 	if v.firstUnansweredAt > 0 {
-		s.answersAgain(now, v.thisStart())
+		s.confirmAlive(now, v.incarnation())
 	}
 	v.holdUnanswered, v.firstUnansweredAt, v.unansweredHolds = false, 0, 0
 	v.missingSince = 0
@@ -67,10 +67,10 @@
 			s.handleUnlistedRun(now, sentAt, r)
 		}
 	}
-	s.settleHeard(now, v, &rep)
-	s.concludeEarlierDoubts(now, v)
+	s.resolveFromReport(now, v, &rep)
+	s.resolveEarlierIncarnations(now, v)
 	if !rep.MoreEnded {
-		s.clearDoubts(v.thisStart())
+		s.clearUnconfirmed(v.incarnation())
 	}
 	v.tailsStale = true
 	s.observeTails(now, v)
@@ -159,8 +159,8 @@
 	s.logf(Decision{Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: "not listed", Age: now - r.orderedAt, Born: r.vm.born, Acked: r.vm.ackableSeq()})
 	if r.previousEnd != nil {
 		// The VM's start before had it, if any.
-		s.undoubt(r.vm.thisStart(), r.task)
-		s.doubtEarlier(now, r, r.previousEnd)
+		s.removeUnconfirmed(r.vm.incarnation(), r.task)
+		s.recordEarlierCrash(now, r, r.previousEnd)
 	}
 	s.releaseLostRun(now, r)
 }
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -13,78 +13,78 @@
 // there: between the end of one and the first report of the next they may be carried out by
 // either, so that what was ordered in that time is settled with the next one.
 
-// vmStart names one start of a VM; born is 0 where it is not told.
-type vmStart struct {
+// vmIncarnation names one start of a VM; born is 0 where it is not told.
+type vmIncarnation struct {
 	id   string
 	born int64
 }
 
-// thisStart is which start of its VM v is: the one that has reported, or else that of the
+// incarnation is which start of its VM v is: the one that has reported, or else that of the
 // entry on the list.
-func (v *vm) thisStart() vmStart {
+func (v *vm) incarnation() vmIncarnation {
 	if v.born != 0 {
-		return vmStart{v.inst.ID, v.born}
+		return vmIncarnation{v.inst.ID, v.born}
 	}
-	return vmStart{v.inst.ID, v.inst.Born}
+	return vmIncarnation{v.inst.ID, v.inst.Born}
 }
 
-// mayBe reports whether a report with the given birth may come from this start.
-func (v *vm) mayBe(born int64) bool { return born == 0 || v.born == 0 || v.born == born }
+// matchesBirth reports whether a report with the given birth may come from this start.
+func (v *vm) matchesBirth(born int64) bool { return born == 0 || v.born == 0 || v.born == born }
 
 // mayRestart reports whether the VM may start again under its ID: those that may tell their
 // births.
 func (v *vm) mayRestart() bool { return v.born != 0 }
 
-// beganUnled reports whether the start may have begun after another leader was elected: that one
+// startedSinceConfirmedTenure reports whether the start may have begun after another leader was elected: that one
 // may have heard the start before, whose fencing token this one has not seen.
-func (s *Scheduler) beganUnled(v *vm) bool {
+func (s *Scheduler) startedSinceConfirmedTenure(v *vm) bool {
 	return v.mayRestart() && v.firstReportAt > s.leadConfirmedAt
 }
 
-// entryIsOfThisStart reports whether the entry on the list is that of the start that
+// entryMatchesIncarnation reports whether the entry on the list is that of the start that
 // reports. Pool, labels and capacity of another one say nothing of it.
-func (v *vm) entryIsOfThisStart() bool { return v.mayBe(v.inst.Born) }
+func (v *vm) entryMatchesIncarnation() bool { return v.matchesBirth(v.inst.Born) }
 
 const (
-	// orderTravel bounds the time from a try of a start to its arrival: it is given up after
+	// maxOrderDelay bounds the time from a try of a start to its arrival: it is given up after
 	// half a second, and a relay carries out none that was under way for longer than 0.6 s.
-	orderTravel = 1100 * time.Millisecond
-	// learnedWithin bounds the time from a start of a VM until what is sent there is meant for
+	maxOrderDelay = 1100 * time.Millisecond
+	// maxRestartDetectionDelay bounds the time from a start of a VM until what is sent there is meant for
 	// it: before, nothing is sent to a VM that has left a hold without an answer.
-	learnedWithin = 2 * time.Second
+	maxRestartDetectionDelay = 2 * time.Second
 )
 
-// firstLease is the longest lease that there may be on a VM that is heard for the first
+// maxInitialLease is the longest lease that there may be on a VM that is heard for the first
 // time, by its clock. On one that has started of late, orders that were meant for the
 // start before may have been granted the longest one that VMs grant.
-func (s Settings) firstLease(clock time.Duration) time.Duration {
-	if s.startedOfLate(clock) {
+func (s Settings) maxInitialLease(clock time.Duration) time.Duration {
+	if s.recentlyStarted(clock) {
 		return s.MaxLease
 	}
 	return s.Lease()
 }
 
-// startedOfLate reports whether orders that were meant for the start before may have left
+// recentlyStarted reports whether orders that were meant for the start before may have left
 // something on a VM whose clock tells so much.
-func (s Settings) startedOfLate(clock time.Duration) bool {
-	return clock < learnedWithin+orderTravel+s.MaxLease
+func (s Settings) recentlyStarted(clock time.Duration) bool {
+	return clock < maxRestartDetectionDelay+maxOrderDelay+s.MaxLease
 }
 
-// overAt is when the run has certainly ended, unless its lease is renewed. A run that no
+// runExpiry is when the run has certainly ended, unless its lease is renewed. A run that no
 // report has listed may be on a later start of the VM, which took the order's deadline for
 // one on its own clock, and granted as much of it as it does at most.
-func (s *Scheduler) overAt(r *run) Time {
+func (s *Scheduler) runExpiry(r *run) Time {
 	if !r.vm.mayRestart() || !r.startSent || r.listedAt > 0 {
 		return r.vm.leaseExpiry
 	}
-	return max(r.vm.leaseExpiry, r.startSentAt+orderTravel+leaseOver(s.settings.MaxLease))
+	return max(r.vm.leaseExpiry, r.startSentAt+maxOrderDelay+leaseExpiryDelay(s.settings.MaxLease))
 }
 
-// leasesOver is when everything on the VM has certainly ended, unless a lease is renewed.
-func (s *Scheduler) leasesOver(v *vm) Time {
+// vmLeaseExpiry is when everything on the VM has certainly ended, unless a lease is renewed.
+func (s *Scheduler) vmLeaseExpiry(v *vm) Time {
 	over := v.leaseExpiry
 	for _, r := range v.runList {
-		over = max(over, s.overAt(r))
+		over = max(over, s.runExpiry(r))
 	}
 	return over
 }
@@ -92,8 +92,8 @@
 // reasonRestarted: a VM has started again under its ID.
 const reasonRestarted = "started again"
 
-// restarted takes in that a later start of a VM has reported, and returns it.
-func (s *Scheduler) restarted(now, sentAt Time, old *vm, rep *batch.Report) *vm {
+// handleRestart takes in that a later start of a VM has reported, and returns it.
+func (s *Scheduler) handleRestart(now, sentAt Time, old *vm, rep *batch.Report) *vm {
 	v := newVM(now, old.inst)
 	v.born = rep.Born
 	v.token, v.needsToken = max(s.maxToken, old.token), s.maxToken <= old.token
@@ -101,16 +101,16 @@
 	s.vms[v.inst.ID] = v
 	s.sortVMs()
 	s.planNeeded = true
-	d := old.lifeDecision(now, EventVMRestarted, "")
+	d := old.lifecycleDecision(now, EventVMRestarted, "")
 	d.Born, d.Acked = rep.Born, old.ackableSeq()
 	s.logf(d)
-	end := s.noteEnd(now, old)
-	told := toldRuns(rep)
+	end := s.recordEnd(now, old)
+	told := reportedRuns(rep)
 	for _, r := range old.runList {
-		if s.mayBeOn(sentAt, r, rep, told) {
+		if s.mayRunOnIncarnation(sentAt, r, rep, told) {
 			s.moveRun(now, r, v, end)
 		} else {
-			s.doubtEarlier(now, r, end)
+			s.recordEarlierCrash(now, r, end)
 		}
 	}
 	s.dropRuns(now, old, reasonRestarted)
@@ -136,8 +136,8 @@
 	}
 }
 
-// WantsToken reports whether a VM has started again and waits for a higher token.
-func (s *Scheduler) WantsToken() bool {
+// NeedsToken reports whether a VM has started again and waits for a higher token.
+func (s *Scheduler) NeedsToken() bool {
 	return slices.ContainsFunc(s.vmList, func(v *vm) bool { return v.needsToken })
 }
 
@@ -149,8 +149,8 @@
 	return s.fence
 }
 
-// noteGuarded takes in that the VM has answered its last hold.
-func (s *Scheduler) noteGuarded(v *vm) {
+// recordGuarded takes in that the VM has answered its last hold.
+func (s *Scheduler) recordGuarded(v *vm) {
 	if !v.fenced && !v.needsToken && v.lastHoldToken == v.token {
 		v.fenced, s.planNeeded = true, true
 	}
@@ -162,8 +162,8 @@
 	number int64
 }
 
-// toldRuns are the runs that a report tells of.
-func toldRuns(rep *batch.Report) map[runKey]bool {
+// reportedRuns are the runs that a report tells of.
+func reportedRuns(rep *batch.Report) map[runKey]bool {
 	told := make(map[runKey]bool, len(rep.Running)+len(rep.Ended))
 	for i := range rep.Running {
 		told[runKey{rep.Running[i].Task, rep.Running[i].Run}] = true
@@ -174,10 +174,10 @@
 	return told
 }
 
-// mayBeOn reports whether a run that was ordered from an earlier start may be on the one
+// mayRunOnIncarnation reports whether a run that was ordered from an earlier start may be on the one
 // that reports: its order was given, and neither has the earlier one listed it, nor was it
 // confirmed before a report was asked for that does not tell of it.
-func (s *Scheduler) mayBeOn(sentAt Time, r *run, rep *batch.Report, told map[runKey]bool) bool {
+func (s *Scheduler) mayRunOnIncarnation(sentAt Time, r *run, rep *batch.Report, told map[runKey]bool) bool {
 	if told[runKey{r.task.id(), r.number}] {
 		return true
 	}
@@ -189,7 +189,7 @@
 
 // moveRun has a run count on a later start of its VM. A stop is ordered again: the later
 // start knows nothing of the first.
-func (s *Scheduler) moveRun(now Time, r *run, to *vm, end *judgedEnd) {
+func (s *Scheduler) moveRun(now Time, r *run, to *vm, end *vmEndRecord) {
 	t := r.task
 	s.detachRun(now, r)
 	moved := &run{
@@ -201,9 +201,9 @@
 	if r.exclusive {
 		to.trialRun = moved
 	}
-	if c := t.crash(r.number); c != nil && c.kind == crashDoubted {
-		s.undoubt(r.vm.thisStart(), t)
-		s.recordCrash(moved, to.thisStart(), crashDoubted)
+	if c := t.crash(r.number); c != nil && c.kind == crashUnconfirmed {
+		s.removeUnconfirmed(r.vm.incarnation(), t)
+		s.recordCrash(moved, to.incarnation(), crashUnconfirmed)
 	}
 	if moved.state == stopping {
 		s.orderStop(to, t.id(), moved.number)
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -11,23 +11,23 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// restartJudge looks at what VMs see that start again under their IDs.
-type restartJudge struct {
+// restartChecker looks at what VMs see that start again under their IDs.
+type restartChecker struct {
 	// failFirst is how many runs of each task of a job fail.
 	failFirst map[string]int
 	ran       map[batch.TaskID]int
 	// done are the tasks whose end was acknowledged, failed counts their failed ends that were.
-	done   map[batch.TaskID]bool
-	failed map[batch.TaskID]int
-	broken []string
+	done       map[batch.TaskID]bool
+	failed     map[batch.TaskID]int
+	violations []string
 }
 
-func newRestartJudge() *restartJudge {
-	return &restartJudge{failFirst: map[string]int{}, ran: map[batch.TaskID]int{}, done: map[batch.TaskID]bool{}, failed: map[batch.TaskID]int{}}
+func newRestartChecker() *restartChecker {
+	return &restartChecker{failFirst: map[string]int{}, ran: map[batch.TaskID]int{}, done: map[batch.TaskID]bool{}, failed: map[batch.TaskID]int{}}
 }
 
 // endOf is how the next run of a task ends.
-func (j *restartJudge) endOf(task batch.TaskID) batch.EndKind {
+func (j *restartChecker) endOf(task batch.TaskID) batch.EndKind {
 	if j == nil {
 		return batch.EndDone
 	}
@@ -37,7 +37,7 @@
 	return batch.EndDone
 }
 
-func (j *restartJudge) acknowledged(e batch.RunEnd) {
+func (j *restartChecker) acknowledged(e batch.RunEnd) {
 	if j == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // started judges a start of a task on a VM.
-func (j *restartJudge) started(c *crashFleet, task batch.TaskID) {
+func (j *restartChecker) started(c *crashFleet, task batch.TaskID) {
 	if j == nil {
 		return
 	}
@@ -61,17 +61,17 @@
 	}
 	for _, id := range c.ids() {
 		if _, there := c.living[id].runs[task]; there {
-			j.broken = append(j.broken, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
+			j.violations = append(j.violations, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
 		}
 	}
 	if spec.Lasting {
 		return
 	}
 	if j.done[task] {
-		j.broken = append(j.broken, fmt.Sprintf("%v: %s started after its end was acknowledged", c.now, task))
+		j.violations = append(j.violations, fmt.Sprintf("%v: %s started after its end was acknowledged", c.now, task))
 	}
 	if j.failed[task] >= testAttempts {
-		j.broken = append(j.broken, fmt.Sprintf("%v: %s started after %d failed ends were acknowledged", c.now, task, j.failed[task]))
+		j.violations = append(j.violations, fmt.Sprintf("%v: %s started after %d failed ends were acknowledged", c.now, task, j.failed[task]))
 	}
 }
 
@@ -82,20 +82,20 @@
 // newRestartFleet returns a fleet whose VMs start again under their IDs.
 func newRestartFleet(t *testing.T, vms int, seed uint64) *crashFleet {
 	c := newCrashFleet(t, 0, seed)
-	c.polled, c.restarts, c.judge = false, true, newRestartJudge()
+	c.polled, c.restarts, c.judge = false, true, newRestartChecker()
 	for i := range vms {
 		c.addVM(i)
 	}
 	for _, id := range c.ids() {
 		v := c.living[id]
-		v.bornAt, v.inst.Born = c.now, c.birth()
+		v.bornAt, v.inst.Born = c.now, c.nextBirth()
 		c.relist(v)
 	}
 	return c
 }
 
-// birth is the time of day of a start, by a clock that jumps.
-func (c *crashFleet) birth() int64 {
+// nextBirth is the time of day of a start, by a clock that jumps.
+func (c *crashFleet) nextBirth() int64 {
 	c.lives++
 	return (1_000_000+c.now.Milliseconds()+int64(c.rng.IntN(5000)))<<10 + int64(c.lives)
 }
@@ -123,7 +123,7 @@
 	id := old.inst.ID
 	fail := func() {
 		if _, ok := c.s.Hold(c.now, id, hearEvery); ok {
-			c.s.Unanswered(c.now, id, !c.darkDeaths)
+			c.s.HoldFailed(c.now, id, !c.darkDeaths)
 		}
 	}
 	for at := first; at <= max(first, down); at += 100 * time.Millisecond {
@@ -131,7 +131,7 @@
 	}
 	c.after(down, func() {
 		v := &fleetVM{inst: old.inst, runs: map[batch.TaskID]fleetRun{}, bornAt: c.now, hearAt: c.now + max(0, first-down) + 100*time.Millisecond}
-		v.inst.Born = c.birth()
+		v.inst.Born = c.nextBirth()
 		c.living[id] = v
 		c.after(time.Duration(c.rng.IntN(800))*time.Millisecond, func() {
 			if c.living[id] == v {
@@ -191,12 +191,12 @@
 	return c
 }
 
-// requireKept fails where a rule was broken, or work that could be done was not.
-func (c *crashFleet) requireKept() {
-	require.Empty(c.t, c.judge.broken[:min(len(c.judge.broken), 3)], "seed %d", c.seed)
+// requireInvariants fails where a rule was broken, or work that could be done was not.
+func (c *crashFleet) requireInvariants() {
+	require.Empty(c.t, c.judge.violations[:min(len(c.judge.violations), 3)], "seed %d", c.seed)
 	for _, job := range c.jobs {
 		if job.Steps[0].Lasting {
-			c.requireAtWork(job)
+			c.requireRunning(job)
 			continue
 		}
 		want := batch.Completed
@@ -216,8 +216,8 @@
 	}
 }
 
-// requireAtWork fails unless each task of a lasting job runs on a VM.
-func (c *crashFleet) requireAtWork(job *batch.Job) {
+// requireRunning fails unless each task of a lasting job runs on a VM.
+func (c *crashFleet) requireRunning(job *batch.Job) {
 	for k := range job.Steps[0].Tasks {
 		task := batch.TaskID{Job: job.ID, Index: k}
 		require.True(c.t, slices.ContainsFunc(c.ids(), func(id string) bool {
@@ -233,7 +233,7 @@
 	t.Parallel()
 	eachKind(t, "take-overs", func(t *testing.T, kind string, takeOvers bool) {
 		for seed := range 12 * *exploreScale {
-			playRestarts(t, kind, seed, takeOvers).requireKept()
+			playRestarts(t, kind, seed, takeOvers).requireInvariants()
 		}
 	})
 }
@@ -261,9 +261,9 @@
 	return f
 }
 
-// runOnNewStart gives the VM a task while nobody has heard its new start, and lets the hold
+// runOnNewIncarnation gives the VM a task while nobody has heard its new start, and lets the hold
 // to the old one fail.
-func (f *fixture) runOnNewStart(job string) Order {
+func (f *fixture) runOnNewIncarnation(job string) Order {
 	_, ok := f.s.Hold(f.now, "vm00", time.Second)
 	require.True(f.t, ok)
 	f.submit(job, tasks(1, 100))
@@ -272,7 +272,7 @@
 	require.True(f.t, f.s.PrepareStart(f.now, o))
 	f.s.Started(f.now, f.now, o, 50*time.Millisecond, "", false)
 	f.advance(time.Second)
-	f.s.Unanswered(f.now, "vm00", false)
+	f.s.HoldFailed(f.now, "vm00", false)
 	return o
 }
 
@@ -280,7 +280,7 @@
 // the VM forgets it, and the task runs again.
 func TestEndsOfANewStartAreNotAcknowledgedUntold(t *testing.T) {
 	f := beforeRestart(t)
-	f.runOnNewStart("second")
+	f.runOnNewIncarnation("second")
 	require.Zero(t, f.acked("vm00"))
 }
 
@@ -288,7 +288,7 @@
 // many ends: the task is started beyond its attempts.
 func TestFailuresOfANewStartAreCounted(t *testing.T) {
 	f := beforeRestart(t)
-	o := f.runOnNewStart("second")
+	o := f.runOnNewIncarnation("second")
 	f.list[0].Born = 2
 	f.s.SetInstances(f.now, f.list)
 	for n := int64(1); n <= testAttempts; n++ {
--- a/internal/scheduler/startlog.go
+++ b/internal/scheduler/startlog.go
@@ -12,12 +12,12 @@
 // successor knows what may have ended a VM that it does not find again.
 
 const (
-	// mostObsolete bounds the segments that are removed by one write.
-	mostObsolete = 8
-	// obsoletePatience is how long segments wait for a write to be removed by.
-	obsoletePatience = time.Second
-	// lateWrite bounds how late the store may carry a write out that had no answer.
-	lateWrite = 5 * time.Second
+	// maxObsoleteRemovals bounds the segments that are removed by one write.
+	maxObsoleteRemovals = 8
+	// obsoleteRemovalDelay is how long segments wait for a write to be removed by.
+	obsoleteRemovalDelay = time.Second
+	// lateWriteWindow bounds how late the store may carry a write out that had no answer.
+	lateWriteWindow = 5 * time.Second
 )
 
 // SegmentID names a segment of the log: the leader's fencing token and its number there.
@@ -79,25 +79,25 @@
 	// tail has the runs that are in no write that is under way or was answered. sent is under
 	// way, segments may be in the store.
 	tail     []*run
-	sent     *segment
+	inFlight *segment
 	segments []*segment
 	next     int64
 	// obsoleteSince is when the first of the segments became obsolete; 0 for none.
 	obsoleteSince Time
 	// inherited are the starts of earlier leaders on VMs of which nothing is known yet.
-	inherited map[vmStart][]*inheritedStart
-	// unseen are those of them whose VMs have ended, lostVMs these VMs.
-	unseen  []*inheritedStart
-	lostVMs map[string]bool
+	inherited map[vmIncarnation][]*inheritedStart
+	// unseenStarts are those of them whose VMs have ended, lostVMs these VMs.
+	unseenStarts []*inheritedStart
+	lostVMs      map[string]bool
 }
 
 // segment is a part of the log that is written and removed as a whole.
 type segment struct {
 	id SegmentID
 	// reservedUntil is set where its write had no answer: it may be carried out until then.
-	keptUntil Time
-	runs      []*run
-	inherited []*inheritedStart
+	retainUntil Time
+	runs        []*run
+	inherited   []*inheritedStart
 }
 
 // logStart has a successor know of a run that this leader has ordered.
@@ -107,9 +107,9 @@
 	}
 }
 
-// accounted reports whether a successor needs the log no more to know of the run: it has
+// isAccountedFor reports whether a successor needs the log no more to know of the run: it has
 // ended or lived, or the store has what its VM's end says of it.
-func (r *run) accounted() bool {
+func (r *run) isAccountedFor() bool {
 	j := r.task.step.occ.job
 	switch {
 	case r.task.done || j.state.Final():
@@ -123,11 +123,11 @@
 	return true
 }
 
-// obsolete drops what is accounted for, and reports whether nothing is left.
-func (g *segment) obsolete(now Time) bool {
-	g.runs = slices.DeleteFunc(g.runs, (*run).accounted)
-	g.inherited = slices.DeleteFunc(g.inherited, (*inheritedStart).accounted)
-	return len(g.runs) == 0 && len(g.inherited) == 0 && now >= g.keptUntil
+// prune drops what is accounted for, and reports whether nothing is left.
+func (g *segment) prune(now Time) bool {
+	g.runs = slices.DeleteFunc(g.runs, (*run).isAccountedFor)
+	g.inherited = slices.DeleteFunc(g.inherited, (*inheritedStart).isAccountedFor)
+	return len(g.runs) == 0 && len(g.inherited) == 0 && now >= g.retainUntil
 }
 
 // PendingStarts returns what has to be written of the log of starts, nil for nothing. otherWrites
@@ -136,21 +136,21 @@
 func (s *Scheduler) PendingStarts(now Time, otherWrites bool) *StartLogChange {
 	l := &s.startLog
 	c := &StartLogChange{}
-	l.tail = slices.DeleteFunc(l.tail, (*run).accounted)
+	l.tail = slices.DeleteFunc(l.tail, (*run).isAccountedFor)
 	if len(l.tail) > 0 {
 		l.next++
-		l.sent, l.tail = &segment{id: SegmentID{s.fence, l.next}, runs: l.tail}, nil
-		c.Segment = l.sent.encode()
+		l.inFlight, l.tail = &segment{id: SegmentID{s.fence, l.next}, runs: l.tail}, nil
+		c.Segment = l.inFlight.encode()
 	}
 	for _, g := range l.segments {
-		if len(c.Obsolete) < mostObsolete && g.obsolete(now) {
+		if len(c.Obsolete) < maxObsoleteRemovals && g.prune(now) {
 			c.Obsolete = append(c.Obsolete, g.id)
 		}
 	}
 	if len(c.Obsolete) > 0 && l.obsoleteSince == 0 {
 		l.obsoleteSince = now
 	}
-	due := c.Segment != nil || len(c.Obsolete) == mostObsolete || (len(c.Obsolete) > 0 && (otherWrites || now-l.obsoleteSince >= obsoletePatience))
+	due := c.Segment != nil || len(c.Obsolete) == maxObsoleteRemovals || (len(c.Obsolete) > 0 && (otherWrites || now-l.obsoleteSince >= obsoleteRemovalDelay))
 	if !due {
 		return nil
 	}
@@ -165,10 +165,10 @@
 		l.obsoleteSince = 0
 	}
 	if c.Segment != nil {
-		for _, r := range l.sent.runs {
+		for _, r := range l.inFlight.runs {
 			r.inStartLog = true
 		}
-		l.segments, l.sent = append(l.segments, l.sent), nil
+		l.segments, l.inFlight = append(l.segments, l.inFlight), nil
 	}
 }
 
@@ -180,9 +180,9 @@
 		return
 	}
 	if unknown {
-		l.segments = append(l.segments, &segment{id: l.sent.id, keptUntil: now + lateWrite})
+		l.segments = append(l.segments, &segment{id: l.inFlight.id, retainUntil: now + lateWriteWindow})
 	}
-	l.tail, l.sent = append(l.sent.runs, l.tail...), nil
+	l.tail, l.inFlight = append(l.inFlight.runs, l.tail...), nil
 }
 
 // encode returns the segment as it is written.
@@ -192,9 +192,9 @@
 		occurrence, step int
 	}
 	out := &StartSegment{ID: g.id}
-	vms, steps := map[vmStart]int{}, map[stepKey]int{}
+	vms, steps := map[vmIncarnation]int{}, map[stepKey]int{}
 	for _, r := range g.runs {
-		start, id := r.vm.thisStart(), r.task.id()
+		start, id := r.vm.incarnation(), r.task.id()
 		vm, known := vms[start]
 		if !known {
 			vm = len(out.VMs)
--- a/internal/scheduler/startlog_test.go
+++ b/internal/scheduler/startlog_test.go
@@ -17,12 +17,12 @@
 	if c == nil {
 		return
 	}
-	apply(store, c)
+	applyChange(store, c)
 	f.s.StartsWritten(c)
 }
 
-// logged starts a task of the job "old", and returns what the store has of that and the VM.
-func logged(t *testing.T) (store map[SegmentID]StartSegment, vm string) {
+// loggedStart starts a task of the job "old", and returns what the store has of that and the VM.
+func loggedStart(t *testing.T) (store map[SegmentID]StartSegment, vm string) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.s.Submit(f.now, oldJob(nil))
@@ -33,10 +33,10 @@
 	return store, f.last("old.0.0.0").Instance.ID
 }
 
-// inheriting is the fixture of a successor that waits for two VMs.
-func inheriting(t *testing.T, store map[SegmentID]StartSegment) *fixture {
+// successorWithLog is the fixture of a successor that waits for two VMs.
+func successorWithLog(t *testing.T, store map[SegmentID]StartSegment) *fixture {
 	f := newSuccessorFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.s.Submit(f.now, oldJob(nil))
 	var log []StartSegment
 	for id, g := range store {
@@ -55,25 +55,25 @@
 // start and the moment at which it would have noted that the VM had ended.
 func TestSuccessorSuspectsAStartWhoseVMHasEnded(t *testing.T) {
 	for name, end := range map[string]func(*fixture, string){
-		"the machine service names it": func(f *fixture, vm string) { f.s.Gone(f.now, vm, "machine ended it") },
+		"the machine service names it": func(f *fixture, vm string) { f.s.RemoveInstance(f.now, vm, "machine ended it") },
 		"it has started again": func(f *fixture, vm string) {
 			f.s.vms[vm].inst.Born = 4
 			f.report(vm, batch.Report{Born: 5})
 		},
-		"it is waited out": func(f *fixture, _ string) { f.advance(2 * awaitDuration); f.s.Tend(f.now) },
+		"it is waited out": func(f *fixture, _ string) { f.advance(2 * awaitDuration); f.s.Tick(f.now) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			store, vm := logged(t)
+			store, vm := loggedStart(t)
 			if name == "it has started again" {
 				for id, g := range store {
 					g.VMs[0].Born = 4
 					store[id] = g
 				}
 			}
-			f := inheriting(t, store)
-			require.False(t, f.taskOf("old").suspect())
+			f := successorWithLog(t, store)
+			require.False(t, f.taskOf("old").isSuspect())
 			end(f, vm)
-			require.True(t, f.taskOf("old").suspect())
+			require.True(t, f.taskOf("old").isSuspect())
 			f.writeStarts(store)
 			require.Len(t, store, 1, "removed before the job's record tells")
 			f.write()
@@ -93,8 +93,8 @@
 		"on a later life": {Born: 7, Running: []batch.RunStatus{running}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			store, vm := logged(t)
-			f := inheriting(t, store)
+			store, vm := loggedStart(t)
+			f := successorWithLog(t, store)
 			f.report(vm, report)
 			require.Empty(t, f.taskOf("old").crashes)
 			f.advance(recentRunDuration + time.Millisecond)
@@ -108,22 +108,22 @@
 
 // A VM that was to end was ended by nothing that had begun there.
 func TestStartOnADrainedVMIsNoCrash(t *testing.T) {
-	store, vm := logged(t)
-	f := inheriting(t, store)
+	store, vm := loggedStart(t)
+	f := successorWithLog(t, store)
 	f.s.vms[vm].inst.Draining = true
-	f.s.Gone(f.now, vm, "machine ended it")
+	f.s.RemoveInstance(f.now, vm, "machine ended it")
 	require.Empty(t, f.taskOf("old").crashes)
 }
 
 // A VM that nobody knows any more may live, or may have ended under the task.
 func TestStartOnAnUnknownVMIsDoubted(t *testing.T) {
-	store, vm := logged(t)
+	store, vm := loggedStart(t)
 	f := newSuccessorFixture(t, 0)
 	f.s.Submit(f.now, oldJob(nil))
 	for _, g := range store {
 		f.s.RestoreStarts(f.now, []StartSegment{g})
 	}
-	require.Equal(t, crashDoubted, f.taskOf("old").crashes[0].kind)
+	require.Equal(t, crashUnconfirmed, f.taskOf("old").crashes[0].kind)
 	f.s.SetInstances(f.now, []batch.Instance{{ID: vm, Pool: "pool", Address: "10.0.0.0:1"}})
 	f.report(vm, batch.Report{})
 	require.Empty(t, f.taskOf("old").crashes)
@@ -145,14 +145,14 @@
 	f.advance(recentRunDuration + time.Millisecond)
 	f.report("vm00", runningReport(orders...))
 	require.Nil(t, f.s.PendingStarts(f.now, false), "a removal waits for another write")
-	f.advance(obsoletePatience)
+	f.advance(obsoleteRemovalDelay)
 	require.NotNil(t, f.s.PendingStarts(f.now, false), "but not for long")
 	f.writeStarts(store)
 	require.Empty(t, store)
 }
 
-// apply is what the store does with a change.
-func apply(store map[SegmentID]StartSegment, c *StartLogChange) {
+// applyChange is what the store does with a change.
+func applyChange(store map[SegmentID]StartSegment, c *StartLogChange) {
 	if c.Segment != nil {
 		store[c.Segment.ID] = *c.Segment
 	}
@@ -177,13 +177,13 @@
 	vm := f.last("old.0.0.0").Instance.ID
 	second := f.s.PendingStarts(f.now, false)
 	require.Equal(t, 2, second.Len())
-	apply(store, second)
+	applyChange(store, second)
 	f.s.StartsWritten(second)
-	apply(store, late)
+	applyChange(store, late)
 
-	next := inheriting(t, store)
-	next.s.Gone(next.now, vm, "machine ended it")
-	require.True(t, next.taskOf("old").suspect())
+	next := successorWithLog(t, store)
+	next.s.RemoveInstance(next.now, vm, "machine ended it")
+	require.True(t, next.taskOf("old").isSuspect())
 }
 
 // Guards against a segment that stays in the store: its write had no answer, and is carried out
@@ -202,8 +202,8 @@
 	f.report("vm00", runningReport(o))
 	f.writeStarts(store)
 	require.Nil(t, f.s.PendingStarts(f.now, true))
-	f.advance(lateWrite - recentRunDuration - 2*time.Millisecond)
-	apply(store, late)
+	f.advance(lateWriteWindow - recentRunDuration - 2*time.Millisecond)
+	applyChange(store, late)
 	f.writeStarts(store)
 	require.Len(t, store, 1, "it may come later still")
 	f.advance(2 * time.Millisecond)
@@ -231,7 +231,7 @@
 	f := newFixture(t, 3)
 	f.reportAll(nil)
 	f.s.Submit(f.now, oldJob(nil))
-	f.suspect("old")
+	f.markSuspect("old")
 	store := map[SegmentID]StartSegment{}
 	for range 10 {
 		f.plan()
@@ -256,15 +256,15 @@
 // Guards against a start that a third leader does not know of: the second has adopted the run, and
 // ends before the run has lived for long under it.
 func TestAdoptedRunStaysInTheLogWhileItIsNew(t *testing.T) {
-	store, vm := logged(t)
-	f := inheriting(t, store)
+	store, vm := loggedStart(t)
+	f := successorWithLog(t, store)
 	status := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
 	f.report(vm, batch.Report{Running: []batch.RunStatus{status}})
 	f.writeStarts(store)
 	require.Len(t, store, 1)
 	f.advance(recentRunDuration + time.Millisecond)
 	f.report(vm, batch.Report{Running: []batch.RunStatus{status}})
-	f.advance(obsoletePatience)
+	f.advance(obsoleteRemovalDelay)
 	f.writeStarts(store)
 	require.Empty(t, store)
 }
@@ -272,10 +272,10 @@
 // Guards against a segment that goes before its job's record tells: a predecessor's process has
 // told of the end already.
 func TestSegmentWaitsForTheRecordOfWhatWasTold(t *testing.T) {
-	store, vm := logged(t)
-	f := inheriting(t, store)
-	f.s.LearnCrashes(f.now, []CrashNews{{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1, Kind: int64(crashDoubted), VM: vm}})
-	f.s.Gone(f.now, vm, "machine ended it")
+	store, vm := loggedStart(t)
+	f := successorWithLog(t, store)
+	f.s.AcceptCrashReports(f.now, []CrashReport{{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1, Kind: int64(crashUnconfirmed), VM: vm}})
+	f.s.RemoveInstance(f.now, vm, "machine ended it")
 	f.writeStarts(store)
 	require.Len(t, store, 1)
 	f.write()
@@ -290,11 +290,11 @@
 	for name, c := range map[string]struct {
 		jobs    int
 		suspect bool
-	}{"a rack": {suspectsAtOnce + 1, false}, "three tasks": {massVMs + 1, true}} {
+	}{"a rack": {maxSuspectsPerPass + 1, false}, "three tasks": {minMassEnds + 1, true}} {
 		t.Run(name, func(t *testing.T) {
-			f := newSuccessorFixture(t, massVMs+2)
+			f := newSuccessorFixture(t, minMassEnds+2)
 			g := StartSegment{ID: SegmentID{1, 1}}
-			for i := range massVMs + 1 {
+			for i := range minMassEnds + 1 {
 				g.VMs = append(g.VMs, StartVM{ID: f.list[i].ID})
 			}
 			for i := range c.jobs {
@@ -302,13 +302,13 @@
 				f.submit(id, tasks(1, 100))
 				g.Steps = append(g.Steps, StepStarts{Job: id, Runs: [][3]int64{{0, int64(i + 1), int64(i % len(g.VMs))}}})
 			}
-			f.s.Expect([]string{"vm00", "vm01", "vm02"}, f.now+awaitDuration)
+			f.s.AwaitInstances([]string{"vm00", "vm01", "vm02"}, f.now+awaitDuration)
 			f.s.RestoreStarts(f.now, []StartSegment{g})
 			for _, vm := range g.VMs {
-				f.s.Gone(f.now, vm.ID, "machine ended it")
+				f.s.RemoveInstance(f.now, vm.ID, "machine ended it")
 			}
 			for i := range c.jobs {
-				require.Equal(t, c.suspect, f.taskOf(fmt.Sprintf("j%02d", i)).suspect())
+				require.Equal(t, c.suspect, f.taskOf(fmt.Sprintf("j%02d", i)).isSuspect())
 			}
 		})
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -81,7 +81,7 @@
 	// exclusive is set where nothing else is started on the VM while the run is new.
 	exclusive bool
 	// previousEnd is the end of its VM's start before, which may have had the run; nil for none.
-	previousEnd *judgedEnd
+	previousEnd *vmEndRecord
 	// inStartLog is set once the run is in the log of starts.
 	inStartLog bool
 	// released is set when the run no longer counts on its VM.
@@ -359,9 +359,9 @@
 	listReadAt Time
 	// recentVMEnds are the VMs that ended of late, doubts the runs that may have ended a VM.
 	// classifiedVMEnds are the ends of VMs that are being judged, or were of late.
-	recentVMEnds       map[vmStart]vmEnd
-	unconfirmedCrashes map[vmStart]map[*task]int64
-	classifiedVMEnds   []*judgedEnd
+	recentVMEnds       map[vmIncarnation]vmEnd
+	unconfirmedCrashes map[vmIncarnation]map[*task]int64
+	classifiedVMEnds   []*vmEndRecord
 	startLog           startLog
 	// endedUnreported is set once a VM that an earlier leader may have used has ended, or was
 	// waited out, before it was heard.
@@ -374,7 +374,7 @@
 	// that have not been heard, with the moment when they need not be waited for.
 	awaitedVMs map[string]Time
 	// expiredLeases is what was known of the leases of VMs that were forgotten and may come back.
-	expiredLeases map[string]Lapsed
+	expiredLeases map[string]ExpiredLease
 	// unknownJobsSince are the jobs that VMs tell of and that are not known, with the moment
 	// when they were first told of; absent those that the store does not have.
 	unknownJobsSince map[string]Time
@@ -425,7 +425,7 @@
 	return &Scheduler{
 		startBudget: Unthrottled,
 		settings:    settings, policy: policy, fence: fence, maxToken: fence, nextRun: fence << runNumberBits, vms: map[string]*vm{}, jobs: map[string]*job{},
-		timedJobs: map[string]*job{}, dirtyJobs: map[string]*job{}, waves: map[int64]*wave{}, awaitedVMs: map[string]Time{}, recentVMEnds: map[vmStart]vmEnd{}, unconfirmedCrashes: map[vmStart]map[*task]int64{}, startLog: startLog{inherited: map[vmStart][]*inheritedStart{}, lostVMs: map[string]bool{}}, expiredLeases: map[string]Lapsed{}, unknownJobsSince: map[string]Time{}, absentJobs: map[string]Time{}, images: newImages(), meanWork: map[string]float64{}, logf: log,
+		timedJobs: map[string]*job{}, dirtyJobs: map[string]*job{}, waves: map[int64]*wave{}, awaitedVMs: map[string]Time{}, recentVMEnds: map[vmIncarnation]vmEnd{}, unconfirmedCrashes: map[vmIncarnation]map[*task]int64{}, startLog: startLog{inherited: map[vmIncarnation][]*inheritedStart{}, lostVMs: map[string]bool{}}, expiredLeases: map[string]ExpiredLease{}, unknownJobsSince: map[string]Time{}, absentJobs: map[string]Time{}, images: newImages(), meanWork: map[string]float64{}, logf: log,
 	}
 }
 
--- a/internal/scheduler/straggler_test.go
+++ b/internal/scheduler/straggler_test.go
@@ -72,7 +72,7 @@
 	}
 	f.advance(f.s.vms[first.Instance.ID].holdWait + copySlack + time.Millisecond)
 	f.report(other, batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 	second := f.last("j.0.0.0")
@@ -94,7 +94,7 @@
 	o := f.last("j.0.0.0")
 	f.confirm(o)
 	silent := o.Instance.ID
-	deadline := f.now + time.Duration(float64(f.s.settings.Lease())/minClockRate) + leaseMargin
+	deadline := f.now + time.Duration(float64(f.s.settings.Lease())/minClockRate) + leaseExpiryMargin
 	for f.now < deadline-time.Second {
 		f.advance(500 * time.Millisecond)
 		for _, inst := range f.list {
@@ -104,7 +104,7 @@
 		}
 		// Retries of the hold must not prolong the lease.
 		_, _ = f.s.Hold(f.now, silent, 0)
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 	}
 	require.Len(t, f.started["j.0.0.0"], 1, "started while the VM may run it")
@@ -114,7 +114,7 @@
 			f.report(inst.ID, batch.Report{})
 		}
 	}
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 }
@@ -139,7 +139,7 @@
 		other = f.list[1].ID
 	}
 	f.report(other, batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	second := f.last("j.0.0.0")
 	require.NotEqual(t, first.Run, second.Run, "no copy was ordered")
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -10,9 +10,9 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// suspectsStartWithin is how long a suspect that fits may wait beside free room: its patience,
+// suspectStartTimeout is how long a suspect that fits may wait beside free room: its patience,
 // and the time that the others of as many take to be looked at.
-const suspectsStartWithin = 2 * trialPatience
+const suspectStartTimeout = 2 * maxTrialWait
 
 // Guards against suspects that wait for each other: while the first few of the queue waited
 // for VMs on which nothing is new, nobody looked at those behind them, beside a fleet that was
@@ -40,10 +40,10 @@
 			held = append(held, id)
 			c.lasts[id] = 300 * time.Millisecond
 			c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
-			c.suspect(id)
+			c.markSuspect(id)
 		}
 		handed := c.now
-		for c.now < handed+suspectsStartWithin {
+		for c.now < handed+suspectStartTimeout {
 			c.play(400 * time.Millisecond)
 			busy()
 		}
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -17,7 +17,7 @@
 // Cause: only jobs older than the new leader waited for the VMs to be heard.
 func TestNewJobsWaitForVMsAfterTakeover(t *testing.T) {
 	f := newFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
 	f.report("vm00", batch.Report{})
 	f.submit("new", tasks(1, 100))
 	f.plan()
@@ -29,10 +29,10 @@
 
 func TestNewJobsDoNotWaitForSilentVMsForLong(t *testing.T) {
 	f := newFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
-	f.advance(DeposedWithin + time.Millisecond)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
+	f.advance(DeposedAdmissionTimeout + time.Millisecond)
 	f.report("vm00", batch.Report{})
-	f.s.NewSince(50)
+	f.s.SetHandoverRevision(50)
 	for created, id := range map[int64]string{0: "unknown", 50: "overlap", 51: "new"} {
 		job := &batch.Job{ID: id, Steps: []batch.Step{tasks(1, 100)}}
 		f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", CreatedRevision: created})
@@ -52,19 +52,19 @@
 // Sequence: the old leader started it on a VM that the new one does not reach.
 func TestOldJobsWaitOutSilentVMs(t *testing.T) {
 	f := newFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+12*time.Second)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
 	s := Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true}
 	f.s.Submit(f.now, s)
 	for range 11 {
 		f.advance(time.Second)
 		f.report("vm00", batch.Report{})
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 	}
 	require.Empty(t, f.started)
 	f.advance(1100 * time.Millisecond)
 	f.report("vm00", batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started, 1)
 }
@@ -72,7 +72,7 @@
 // A run that a VM lists is taken on, not started again.
 func TestRunningTasksAreAdopted(t *testing.T) {
 	f := newFixture(t, 1)
-	f.s.Expect([]string{"vm00"}, f.now+12*time.Second)
+	f.s.AwaitInstances([]string{"vm00"}, f.now+12*time.Second)
 	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(2, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	id := batch.TaskID{Job: "old"}
 	f.report("vm00", batch.Report{Running: []batch.RunStatus{{Task: id, Run: 3}}})
@@ -138,17 +138,17 @@
 // off together with it.
 func TestUnlistedVMsAreWaitedForUntilTheirLeasesAreOver(t *testing.T) {
 	f := newFixture(t, 1)
-	f.s.Expect([]string{"vm00", "left"}, f.now+12*time.Second)
+	f.s.AwaitInstances([]string{"vm00", "left"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "left", Address: "10.9.9.9:1"})
 	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	f.advance(12*time.Second - 100*time.Millisecond)
 	f.report("vm00", batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Empty(t, f.started)
 	f.advance(200 * time.Millisecond)
 	f.report("vm00", batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started, 1)
 }
@@ -156,7 +156,7 @@
 // One that only lost the store is heard, and what it runs is taken over.
 func TestUnlistedVMThatAnswersIsHeard(t *testing.T) {
 	f := newFixture(t, 1)
-	f.s.Expect([]string{"vm00", "cut"}, f.now+12*time.Second)
+	f.s.AwaitInstances([]string{"vm00", "cut"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "cut", Address: "10.9.9.9:1"})
 	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true})
 	f.report("cut", batch.Report{Running: []batch.RunStatus{{Task: batch.TaskID{Job: "old"}, Run: 3}}})
@@ -184,7 +184,7 @@
 	_, _ = f.s.Hold(f.now, first.Instance.ID, 0)
 	f.advance(9 * time.Second)
 	f.report(other, batch.Report{})
-	f.s.Tend(f.now)
+	f.s.Tick(f.now)
 	f.plan()
 	second := f.last("j.0.0.0")
 	require.Equal(t, other, second.Instance.ID)
--- a/internal/scheduler/trials.go
+++ b/internal/scheduler/trials.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// trialPatience is how long a suspect waits for a VM of its own: a VM that takes
+	// maxTrialWait is how long a suspect waits for a VM of its own: a VM that takes
 	// nothing new has nothing new after two reports. Then it is started beside others; a
 	// task whose turn has come may not wait for much longer.
-	trialPatience = 2200 * time.Millisecond
-	// reservedFor is how long a VM is kept for a suspect, which starts there as soon as
+	maxTrialWait = 2200 * time.Millisecond
+	// trialReservationDuration is how long a VM is kept for a suspect, which starts there as soon as
 	// nothing is new.
-	reservedFor = trialPatience + 300*time.Millisecond
-	// mostTrials is the share of the VMs that may be in use for trials at one time: the
+	trialReservationDuration = maxTrialWait + 300*time.Millisecond
+	// maxTrialShare is the share of the VMs that may be in use for trials at one time: the
 	// others go on taking what is new.
-	mostTrials = 0.25
-	// trialCandidates bounds the VMs that are compared for one trial, suspectsAtOnce the
+	maxTrialShare = 0.25
+	// maxTrialCandidates bounds the VMs that are compared for one trial, maxSuspectsPerPass the
 	// suspects that are looked at in one pass: a thousand VMs are many, and suspects few.
-	trialCandidates = 64
-	suspectsAtOnce  = 16
+	maxTrialCandidates = 64
+	maxSuspectsPerPass = 16
 )
 
 // trialUnit is what is on trial together: a gang, or a task.
@@ -43,8 +43,8 @@
 	return v.reservedTask != nil && now < v.reservedUntil && v.reservedTask.unit() != t.unit()
 }
 
-// newOfOthers reports whether something is new on the VM beside the task.
-func (v *vm) newOfOthers(t *task) bool {
+// hasRecentRunsOfOthers reports whether something is new on the VM beside the task.
+func (v *vm) hasRecentRunsOfOthers(t *task) bool {
 	for _, r := range v.runList {
 		if r.isRecent() && r.task.unit() != t.unit() {
 			return true
@@ -69,8 +69,8 @@
 	s.planNeeded = true
 }
 
-// trials counts the VMs that are in use or kept for trials.
-func (s *Scheduler) trials(now Time) int {
+// countTrials counts the VMs that are in use or kept for trials.
+func (s *Scheduler) countTrials(now Time) int {
 	n := 0
 	for _, v := range s.vmList {
 		if v.trialRun != nil || (v.reservedTask != nil && now < v.reservedUntil) {
@@ -80,11 +80,11 @@
 	return n
 }
 
-// answering counts the VMs that are heard: the entry of one that has ended stays for seconds.
-func (s *Scheduler) answering(now Time) int {
+// countResponding counts the VMs that are heard: the entry of one that has ended stays for seconds.
+func (s *Scheduler) countResponding(now Time) int {
 	n := 0
 	for _, v := range s.vmList {
-		if v.hasReported && v.firstUnansweredAt == 0 && !v.silent(now) {
+		if v.hasReported && v.firstUnansweredAt == 0 && !v.isUnresponsive(now) {
 			n++
 		}
 	}
@@ -98,59 +98,59 @@
 		t.suspectSince = r.now
 	}
 	count := &r.suspects
-	if t.overdue(r.now) {
+	if t.isOverdue(r.now) {
 		count = &r.overdue
 	}
 	*count++
-	return *count <= suspectsAtOnce
+	return *count <= maxSuspectsPerPass
 }
 
-// overdue reports whether a suspect has waited for a VM of its own for long enough.
-func (t *task) overdue(now Time) bool { return now-t.suspectSince > trialPatience }
+// isOverdue reports whether a suspect has waited for a VM of its own for long enough.
+func (t *task) isOverdue(now Time) bool { return now-t.suspectSince > maxTrialWait }
 
 // startSuspect starts a suspect in a trial, or keeps a VM for it. Of the VMs on which
 // nothing is new it takes the one that runs least: all that is lost if it ends.
 func (s *Scheduler) startSuspect(now Time, t *task) {
-	s.clearIntents(t)
-	s.judgeCrashes(now, t)
+	s.clearStaleIntents(t)
+	s.evaluateCrashes(now, t)
 	if t.step.occ.job.state.Final() {
 		return
 	}
 	best, free := s.trialVM(now, t)
 	switch {
-	case free && s.intend(t):
-		s.startClosed(now, t, best, true)
+	case free && s.recordIntent(t):
+		s.startExclusive(now, t, best, true)
 	case free:
-		s.keep(now, best, t)
-	case t.overdue(now) && s.intend(t):
+		s.reserveForTrial(now, best, t)
+	case t.isOverdue(now) && s.recordIntent(t):
 		v := s.choose(now, t)
 		if v == nil && s.starves(now, t) {
 			v = s.leastPressed(now, t)
 		}
 		if v != nil {
-			s.startClosed(now, t, v, false)
+			s.startExclusive(now, t, v, false)
 		}
-	case best != nil && best.reservedTask != t && float64(s.trials(now)) < max(1, mostTrials*float64(s.answering(now))):
-		s.keep(now, best, t)
+	case best != nil && best.reservedTask != t && float64(s.countTrials(now)) < max(1, maxTrialShare*float64(s.countResponding(now))):
+		s.reserveForTrial(now, best, t)
 	}
 }
 
-// suspect reports whether a member of the gang is.
-func (st *step) suspect() bool {
+// isSuspect reports whether a member of the gang is.
+func (st *step) isSuspect() bool {
 	for k := range st.tasks {
-		if st.tasks[k].suspect() {
+		if st.tasks[k].isSuspect() {
 			return true
 		}
 	}
 	return false
 }
 
-// holdSuspects takes room for a gang in a trial: on VMs where nothing else is new.
-func (s *Scheduler) holdSuspects(now Time, st *step) []*run {
+// reserveGangTrial takes room for a gang in a trial: on VMs where nothing else is new.
+func (s *Scheduler) reserveGangTrial(now Time, st *step) []*run {
 	first := &st.tasks[0]
 	for k := range st.tasks {
-		s.clearIntents(&st.tasks[k])
-		s.judgeCrashes(now, &st.tasks[k])
+		s.clearStaleIntents(&st.tasks[k])
+		s.evaluateCrashes(now, &st.tasks[k])
 	}
 	if st.occ.job.state.Final() {
 		return nil
@@ -161,19 +161,19 @@
 	if first.intendedRun == 0 {
 		number := s.number()
 		for k := range st.tasks {
-			s.intendRun(&st.tasks[k], number)
+			s.setIntendedRun(&st.tasks[k], number)
 		}
 		return nil
 	}
 	held := s.holdGang(now, st, first.intendedRun, s.chooseForTrial)
 	trial := held != nil
-	if !trial && now-first.suspectSince > trialPatience {
+	if !trial && now-first.suspectSince > maxTrialWait {
 		held = s.holdGang(now, st, first.intendedRun, s.choose)
 	}
 	for _, h := range held {
 		h.isTrial, h.exclusive, h.vm.trialRun = trial, true, h
 		h.task.suspectSince, h.task.intendedRun = 0, 0
-		s.recordCrash(h, h.vm.thisStart(), crashDoubted)
+		s.recordCrash(h, h.vm.incarnation(), crashUnconfirmed)
 	}
 	return held
 }
@@ -187,20 +187,20 @@
 	return nil
 }
 
-// keep keeps a VM for a suspect.
-func (s *Scheduler) keep(now Time, v *vm, t *task) {
-	v.reservedTask, v.reservedUntil, t.reservedVM = t, now+reservedFor, v
+// reserveForTrial keeps a VM for a suspect.
+func (s *Scheduler) reserveForTrial(now Time, v *vm, t *task) {
+	v.reservedTask, v.reservedUntil, t.reservedVM = t, now+trialReservationDuration, v
 }
 
 // trialVM returns the best VM for a trial of the task among some that have room, and
 // whether nothing else is new there. One that is kept for the task stays the choice.
 func (s *Scheduler) trialVM(now Time, t *task) (best *vm, free bool) {
 	if v := t.reservedVM; v != nil && s.vms[v.inst.ID] == v && v.reservedTask == t && now < v.reservedUntil && s.fitsTrial(now, v, t) {
-		return v, !v.newOfOthers(t)
+		return v, !v.hasRecentRunsOfOthers(t)
 	}
 	looked := 0
 	for i := range s.vmList {
-		if looked == trialCandidates {
+		if looked == maxTrialCandidates {
 			break
 		}
 		v := s.vmList[(s.trialCursor+i)%len(s.vmList)]
@@ -208,7 +208,7 @@
 			continue
 		}
 		looked++
-		isFree := !v.newOfOthers(t)
+		isFree := !v.hasRecentRunsOfOthers(t)
 		if best == nil || (isFree && !free) || (isFree == free && len(v.runs) < len(best.runs)) {
 			best, free = v, isFree
 		}
@@ -226,44 +226,44 @@
 	return ok
 }
 
-// startClosed starts a suspect on a VM that takes nothing else while the run is new. It is
+// startExclusive starts a suspect on a VM that takes nothing else while the run is new. It is
 // a trial where nothing else is new there now.
-func (s *Scheduler) startClosed(now Time, t *task, v *vm, trial bool) {
+func (s *Scheduler) startExclusive(now Time, t *task, v *vm, trial bool) {
 	r := s.start(now, t, v, t.intendedRun)
 	r.isTrial, r.exclusive, v.trialRun = trial, true, r
 	t.suspectSince, t.intendedRun, t.reservedVM, v.reservedTask = 0, 0, nil, nil
-	s.recordCrash(r, r.vm.thisStart(), crashDoubted)
+	s.recordCrash(r, r.vm.incarnation(), crashUnconfirmed)
 }
 
-// intend records a suspect's next run as doubted, and reports whether it may be started:
+// recordIntent records a suspect's next run as doubted, and reports whether it may be started:
 // from the second crash on the store must have the record, or a leader that dies as the VM
 // ends takes the count with it.
-func (s *Scheduler) intend(t *task) bool {
+func (s *Scheduler) recordIntent(t *task) bool {
 	if t.intendedRun == 0 {
-		s.intendRun(t, s.number())
+		s.setIntendedRun(t, s.number())
 	}
-	return t.crashesDurable()
+	return t.hasDurableCrashes()
 }
 
-// clearIntents takes the runs back that earlier leaders intended and that never began: a
+// clearStaleIntents takes the runs back that earlier leaders intended and that never began: a
 // task's next start waits until all VMs are heard that they may have used, so that such a run
 // has begun only where one of these has ended instead.
-func (s *Scheduler) clearIntents(t *task) {
+func (s *Scheduler) clearStaleIntents(t *task) {
 	if s.endedUnreported {
 		return
 	}
 	before := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool {
-		return c.kind == crashDoubted && c.vm.id == "" && c.run>>runNumberBits < s.fence
+		return c.kind == crashUnconfirmed && c.vm.id == "" && c.run>>runNumberBits < s.fence
 	})
 	if len(t.crashes) < before {
-		s.touchCrashes(t)
+		s.markCrashesChanged(t)
 	}
 }
 
-func (s *Scheduler) intendRun(t *task, number int64) {
+func (s *Scheduler) setIntendedRun(t *task, number int64) {
 	t.intendedRun = number
-	t.setCrash(crash{run: number, kind: crashDoubted})
-	s.touchCrashes(t)
+	t.setCrash(crash{run: number, kind: crashUnconfirmed})
+	s.markCrashesChanged(t)
 	s.planNeeded = true
 }
--- a/internal/scheduler/twice_test.go
+++ b/internal/scheduler/twice_test.go
@@ -32,7 +32,7 @@
 	f := newFixture(t, vms)
 	f.fence = 9
 	f.s = New(Settings{MaxLease: 10 * time.Second}, f.fence, func(d Decision) { f.log = append(f.log, d) })
-	f.s.Led(distantFuture)
+	f.s.ConfirmLeadership(distantFuture)
 	f.s.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	f.s.SetInstances(f.now, f.list)
 	return f
@@ -71,7 +71,7 @@
 	for range d / tick {
 		f.advance(tick)
 		f.report(heard, batch.Report{})
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 		if len(f.started[task.String()]) >= starts {
 			return
@@ -83,7 +83,7 @@
 // used and that is off the list, "cut".
 func newCutOffFixture(t *testing.T) *fixture {
 	f := newSuccessorFixture(t, 1)
-	f.s.Expect([]string{"vm00", "cut"}, f.now+awaitDuration)
+	f.s.AwaitInstances([]string{"vm00", "cut"}, f.now+awaitDuration)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "cut", Pool: "pool", Address: "10.9.9.9:1"})
 	f.s.Submit(f.now, oldJob(nil))
 	f.report("vm00", batch.Report{})
@@ -111,7 +111,7 @@
 // that its leases lasted until 22 s. 243 tasks ran twice.
 func TestLeaseOutlivesListEntry(t *testing.T) {
 	f := newCutOffFixture(t)
-	f.advanceUntilStarted(forgetAfter-200*time.Millisecond, "vm00", oldTask, 1)
+	f.advanceUntilStarted(unlistedRetention-200*time.Millisecond, "vm00", oldTask, 1)
 	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+awaitDuration)
 }
 
@@ -173,7 +173,7 @@
 	for range 8 {
 		f.advance(time.Second)
 		f.report("vm00", batch.Report{})
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 		require.Empty(t, f.started, "started again at %v", f.now)
 	}
@@ -201,7 +201,7 @@
 	f.s.leadConfirmedAt = f.now + 5*time.Second
 	f.advanceUntilStarted(12*time.Second, other, first.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 1, "started again by a leader that is cut off")
-	f.s.Led(f.now)
+	f.s.ConfirmLeadership(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2, "not started again though it led all the while")
 }
@@ -212,7 +212,7 @@
 	f.s.leadConfirmedAt = f.now + awaitDuration - time.Millisecond
 	f.advanceUntilStarted(2*awaitDuration, "vm00", oldTask, 1)
 	require.Empty(t, f.started)
-	f.s.Led(f.now)
+	f.s.ConfirmLeadership(f.now)
 	f.advanceUntilStarted(time.Second, "vm00", oldTask, 1)
 	require.Len(t, f.started, 1)
 }
@@ -230,7 +230,7 @@
 	records := f.write()
 
 	next := newSuccessorFixture(t, 1)
-	next.s.RestoreLapsed(f.s.LapsedRuns())
+	next.s.RestoreExpiredLeases(f.s.ExpiredLeases())
 	next.s.Submit(next.now, oldJob(records["old"]))
 	next.report("vm00", batch.Report{})
 	next.relist()
@@ -249,7 +249,7 @@
 // A job that came while it may still have followed new ones is as good as an old one.
 func TestJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.advance(100 * time.Millisecond)
 	f.submit("new", tasks(1, 100))
 	f.advanceUntilStarted(awaitDuration-500*time.Millisecond, "vm00", batch.TaskID{Job: "new"}, 1)
@@ -262,7 +262,7 @@
 // Sequence: the job came in the same time, and the next leader's watch tells it late.
 func TestLateJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
-	f.s.Expect([]string{"vm00", "vm01"}, f.now+awaitDuration)
+	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.advance(4 * time.Second)
 	f.s.Submit(f.now, Submission{
 		Job: &batch.Job{ID: "new", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", Age: 3900 * time.Millisecond,
--- a/internal/scheduler/vmends.go
+++ b/internal/scheduler/vmends.go
@@ -10,19 +10,19 @@
 // end from one that a task has brought about, the ends of late are compared.
 
 const (
-	// massVMs is how many other VMs have to end together with one for their end to have
+	// minMassEnds is how many other VMs have to end together with one for their end to have
 	// a cause of its own.
-	massVMs = 2
-	// endedTogether is how far apart VMs may be seen to end that end together, closedWithin
+	minMassEnds = 2
+	// simultaneousWindow is how far apart VMs may be seen to end that end together, maxCloseDetectionDelay
 	// how long before a connection is found closed the VM may have ended.
-	endedTogether = 100 * time.Millisecond
-	closedWithin  = 200 * time.Millisecond
-	// begunJustBefore is how long before a VM's end is noticed a run has to have begun
+	simultaneousWindow     = 100 * time.Millisecond
+	maxCloseDetectionDelay = 200 * time.Millisecond
+	// startCrashWindow is how long before a VM's end is noticed a run has to have begun
 	// there to be likely to have ended it: a hold may wait for 0.15 s before it is sent.
-	begunJustBefore = 300 * time.Millisecond
-	// endsKept is how long the ends of VMs are kept to be compared: longer than it takes
+	startCrashWindow = 300 * time.Millisecond
+	// endRetention is how long the ends of VMs are kept to be compared: longer than it takes
 	// to conclude that another VM has ended, by its lease at the latest.
-	endsKept = 15 * time.Second
+	endRetention = 15 * time.Second
 )
 
 // vmEnd is the end of a VM, or of its answers.
@@ -32,10 +32,10 @@
 	// byTask is set where a task may have ended it: it had begun just before. bySuspect is set
 	// where that was a suspect: on a busy fleet something has just begun on each VM.
 	byTask, bySuspect bool
-	// fresh are the tasks that had just begun.
-	fresh []*task
-	// closed is set where noticedAt is when it ended, but for a moment: a connection was closed.
-	closed bool
+	// recent are the tasks that had just begun.
+	recent []*task
+	// momentKnown is set where noticedAt is when it ended, but for a moment: a connection was closed.
+	momentKnown bool
 }
 
 // end describes the VM's end if it has ended.
@@ -45,39 +45,39 @@
 		e.noticedAt = v.firstUnansweredAt
 	}
 	if v.firstUnansweredAt > 0 && v.connectionClosed {
-		e.aliveAt, e.closed = max(e.aliveAt, e.noticedAt-closedWithin), true
+		e.aliveAt, e.momentKnown = max(e.aliveAt, e.noticedAt-maxCloseDetectionDelay), true
 	}
 	for _, r := range v.runList {
 		e.aliveAt = max(e.aliveAt, r.confirmedAt)
-		if r.confirmedAt > 0 && r.mayHaveCrashed() && e.noticedAt-r.confirmedAt < begunJustBefore {
+		if r.confirmedAt > 0 && r.mayHaveCrashed() && e.noticedAt-r.confirmedAt < startCrashWindow {
 			e.byTask, e.bySuspect = true, e.bySuspect || r.isTrial || r.exclusive
-			e.fresh = append(e.fresh, r.task)
+			e.recent = append(e.recent, r.task)
 		}
 	}
 	return e
 }
 
-// freshBeside are the tasks other than this one, and its gang, that had just begun on the VM.
-func (e *vmEnd) freshBeside(t *task) []*task {
-	return slices.DeleteFunc(slices.Clone(e.fresh), func(o *task) bool { return o.unit() == t.unit() })
+// recentBeside are the tasks other than this one, and its gang, that had just begun on the VM.
+func (e *vmEnd) recentBeside(t *task) []*task {
+	return slices.DeleteFunc(slices.Clone(e.recent), func(o *task) bool { return o.unit() == t.unit() })
 }
 
-// together reports whether two VMs may have ended at the same moment. Two of which the moment
+// isSimultaneous reports whether two VMs may have ended at the same moment. Two of which the moment
 // is known, and that tasks may have ended, have to agree closely.
-func (e *vmEnd) together(other *vmEnd) bool {
-	if e.byTask && other.byTask && e.closed && other.closed {
-		return (e.noticedAt - other.noticedAt).Abs() <= endedTogether
+func (e *vmEnd) isSimultaneous(other *vmEnd) bool {
+	if e.byTask && other.byTask && e.momentKnown && other.momentKnown {
+		return (e.noticedAt - other.noticedAt).Abs() <= simultaneousWindow
 	}
-	return e.aliveAt <= other.noticedAt+endedTogether && e.noticedAt >= other.aliveAt-endedTogether
+	return e.aliveAt <= other.noticedAt+simultaneousWindow && e.noticedAt >= other.aliveAt-simultaneousWindow
 }
 
-// endedWith counts the VMs other than the one that ended, or stopped to answer, about when
+// countSimultaneousEnds counts the VMs other than the one that ended, or stopped to answer, about when
 // it did, and that no suspect is likely to have ended. busy are those of them on which
 // something else had just begun, unsure those that only do not answer: they may live.
-func (s *Scheduler) endedWith(now Time, ended vmStart, end *vmEnd) (others, busy int, unsure []vmStart) {
-	maps.DeleteFunc(s.recentVMEnds, func(_ vmStart, e vmEnd) bool { return now-e.noticedAt > endsKept })
+func (s *Scheduler) countSimultaneousEnds(now Time, ended vmIncarnation, end *vmEnd) (others, busy int, unsure []vmIncarnation) {
+	maps.DeleteFunc(s.recentVMEnds, func(_ vmIncarnation, e vmEnd) bool { return now-e.noticedAt > endRetention })
 	count := func(e *vmEnd) bool {
-		if e.bySuspect || !e.together(end) {
+		if e.bySuspect || !e.isSimultaneous(end) {
 			return false
 		}
 		others++
@@ -92,36 +92,36 @@
 		}
 	}
 	for _, other := range s.vms {
-		if other.inst.ID == ended.id || !other.hasReported || other.firstUnansweredAt == 0 || other.inst.Draining || other.closed || s.hasEnded(other.thisStart()) {
+		if other.inst.ID == ended.id || !other.hasReported || other.firstUnansweredAt == 0 || other.inst.Draining || other.closed || s.hasEnded(other.incarnation()) {
 			continue
 		}
 		if e := other.end(now); count(&e) {
-			unsure = append(unsure, other.thisStart())
+			unsure = append(unsure, other.incarnation())
 		}
 	}
 	return others, busy, unsure
 }
 
-func (s *Scheduler) hasEnded(start vmStart) bool {
+func (s *Scheduler) hasEnded(start vmIncarnation) bool {
 	_, ended := s.recentVMEnds[start]
 	return ended
 }
 
-// storm reports whether as many VMs ended of late by no task as there are others that
+// inStorm reports whether as many VMs ended of late by no task as there are others that
 // answer: whatever ends them may have ended this one as well.
-func (s *Scheduler) storm(now Time, of vmStart) bool {
+func (s *Scheduler) inStorm(now Time, of vmIncarnation) bool {
 	ended := 0
 	for start, e := range s.recentVMEnds {
 		if start != of && !e.byTask {
 			ended++
 		}
 	}
-	if ended < massVMs {
+	if ended < minMassEnds {
 		return false
 	}
 	living := 0
 	for _, o := range s.vms {
-		if o.inst.ID != of.id && o.hasReported && !o.silent(now) && o.firstUnansweredAt == 0 {
+		if o.inst.ID != of.id && o.hasReported && !o.isUnresponsive(now) && o.firstUnansweredAt == 0 {
 			living++
 		}
 	}
--- a/internal/scheduler/vms.go
+++ b/internal/scheduler/vms.go
@@ -9,13 +9,13 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// silentSlack is how much longer than a hold waits an instance may be unheard
+// unresponsiveMargin is how much longer than a hold waits an instance may be unheard
 // before it gets no new work and no longer leases: a call travels a few
 // milliseconds, and one lost packet is sent again within 0.3 s.
-const silentSlack = 900 * time.Millisecond
+const unresponsiveMargin = 900 * time.Millisecond
 
-// silent reports whether the instance has been unheard for too long to be given work.
-func (v *vm) silent(now Time) bool { return now-v.lastReportAt > v.holdWait+silentSlack }
+// isUnresponsive reports whether the instance has been unheard for too long to be given work.
+func (v *vm) isUnresponsive(now Time) bool { return now-v.lastReportAt > v.holdWait+unresponsiveMargin }
 
 // SetInstances takes the store's list over.
 func (s *Scheduler) SetInstances(now Time, list []batch.Instance) {
@@ -29,7 +29,7 @@
 		if v.listed && !listed[v.inst.ID] {
 			v.listed = false
 			v.unlistedAt = now
-			s.logf(v.lifeDecision(now, EventVMUnlisted, ""))
+			s.logf(v.lifecycleDecision(now, EventVMUnlisted, ""))
 		}
 	}
 }
@@ -83,16 +83,16 @@
 	sort.Slice(s.vmList, func(i, k int) bool { return s.vmList[i].inst.ID < s.vmList[k].inst.ID })
 }
 
-// Silent returns the instances that are still waited for, by ID.
-func (s *Scheduler) Silent() []string { return slices.Sorted(maps.Keys(s.awaitedVMs)) }
+// AwaitedInstances returns the instances that are still waited for, by ID.
+func (s *Scheduler) AwaitedInstances() []string { return slices.Sorted(maps.Keys(s.awaitedVMs)) }
 
-// Recorded returns the instances that a successor has to hear or to wait for, by ID:
+// RecordedInstances returns the instances that a successor has to hear or to wait for, by ID:
 // those that may be given work, and those where a lease may live. One that has left and
 // whose lease is over would keep a successor waiting for nothing.
-func (s *Scheduler) Recorded(now Time) map[string]batch.Instance {
+func (s *Scheduler) RecordedInstances(now Time) map[string]batch.Instance {
 	out := make(map[string]batch.Instance, len(s.vms))
 	for id, v := range s.vms {
-		if v.listed || len(v.runs) > 0 || now <= s.leasesOver(v) || s.awaited(id) {
+		if v.listed || len(v.runs) > 0 || now <= s.vmLeaseExpiry(v) || s.isAwaited(id) {
 			out[id] = v.inst
 		}
 	}
@@ -120,9 +120,9 @@
 	return out
 }
 
-// lifeDecision is a log line on a VM's life, with what is known of its lease. Value
+// lifecycleDecision is a log line on a VM's life, with what is known of its lease. Value
 // is how many runs it had.
-func (v *vm) lifeDecision(now Time, event, reason string) Decision {
+func (v *vm) lifecycleDecision(now Time, event, reason string) Decision {
 	d := Decision{Event: event, VM: v.inst.ID, Reason: reason, Value: float64(len(v.runs)), RecentRuns: v.recentRuns(), SinceReport: now - v.lastReportAt}
 	if v.leaseExpiry > 0 {
 		d.LeaseLeft = v.leaseExpiry - now
@@ -134,29 +134,29 @@
 // certain. It may live.
 const reasonUnlisted = "unlisted"
 
-// Replaced takes a VM out at whose address another VM answers: the start that was there, as
+// RemoveReplaced takes a VM out at whose address another VM answers: the start that was there, as
 // Instance told it, has ended. A later one may be elsewhere.
-func (s *Scheduler) Replaced(now Time, inst *batch.Instance) {
-	if v := s.vms[inst.ID]; v != nil && v.mayBe(inst.Born) && v.inst.Address == inst.Address {
-		s.Gone(now, inst.ID, "another instance answers")
+func (s *Scheduler) RemoveReplaced(now Time, inst *batch.Instance) {
+	if v := s.vms[inst.ID]; v != nil && v.matchesBirth(inst.Born) && v.inst.Address == inst.Address {
+		s.RemoveInstance(now, inst.ID, "another instance answers")
 	}
 }
 
-// Gone takes an instance out whose life has certainly ended, or that runs nothing.
-func (s *Scheduler) Gone(now Time, id, reason string) {
-	awaited := s.awaited(id)
+// RemoveInstance takes an instance out whose life has certainly ended, or that runs nothing.
+func (s *Scheduler) RemoveInstance(now Time, id, reason string) {
+	awaited := s.isAwaited(id)
 	delete(s.awaitedVMs, id)
 	v := s.vms[id]
 	if v == nil {
 		return
 	}
-	s.logf(v.lifeDecision(now, EventVMGone, reason))
+	s.logf(v.lifecycleDecision(now, EventVMGone, reason))
 	if reason == reasonUnlisted {
 		// What was in doubt there stays so.
-		delete(s.unconfirmedCrashes, v.thisStart())
+		delete(s.unconfirmedCrashes, v.incarnation())
 	} else {
-		s.crashedUnder(now, v, awaited)
-		s.settleGone(now, v)
+		s.handleVMEnd(now, v, awaited)
+		s.resolveEndedVM(now, v)
 	}
 	s.dropRuns(now, v, reason)
 	delete(s.vms, id)
@@ -176,16 +176,16 @@
 func (s *Scheduler) dropRun(now Time, r *run, reason string) {
 	s.logf(Decision{
 		Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: reason, Age: now - r.orderedAt,
-		MinLifetime: r.minLifetime(), MaxLifetime: r.maxLifetime(now), SinceReport: now - r.vm.lastReportAt, LeaseLeft: s.overAt(r) - now,
+		MinLifetime: r.minLifetime(), MaxLifetime: r.maxLifetime(now), SinceReport: now - r.vm.lastReportAt, LeaseLeft: s.runExpiry(r) - now,
 	})
 	s.releaseLostRun(now, r)
 }
 
-// ackWithin is how long after a report its ends may be acknowledged. A later start of the
+// maxAckDelay is how long after a report its ends may be acknowledged. A later start of the
 // VM that takes the acknowledgement for its own forgets ends that it has not told; within
 // this time it can't have begun and ended a run. The client of the VMs sees to it that the
 // acknowledgement is not held up on its way for longer.
-const ackWithin = 500 * time.Millisecond
+const maxAckDelay = 500 * time.Millisecond
 
 // Hold returns the order that renews an instance's lease, given that it is sent
 // now. While the last hold has no answer the lease is not renewed: it must be
@@ -198,7 +198,7 @@
 	}
 	v.holdWait = wait
 	o := batch.HoldOrder{Fence: v.token, Acked: v.ackableSeq(), Wait: wait}
-	if v.mayRestart() && (v.holdUnanswered || now-v.lastReportAt > ackWithin) {
+	if v.mayRestart() && (v.holdUnanswered || now-v.lastReportAt > maxAckDelay) {
 		o.Acked = 0
 	}
 	if v.clock.known && !v.holdUnanswered {
@@ -208,57 +208,57 @@
 	return o, true
 }
 
-// Unacked reports whether an instance has told ends that may not be
+// HasUnackedEnds reports whether an instance has told ends that may not be
 // acknowledged yet, since their effect is not durable.
-func (s *Scheduler) Unacked(id string) bool {
+func (s *Scheduler) HasUnackedEnds(id string) bool {
 	v := s.vms[id]
 	return v != nil && v.processedSeq > v.ackableSeq()
 }
 
-// Tend does what is due by time alone; call it before each plan.
-func (s *Scheduler) Tend(now Time) {
+// Tick does what is due by time alone; call it before each plan.
+func (s *Scheduler) Tick(now Time) {
 	s.logLoad(now)
 	s.logInterference(now)
-	s.waitOutSilent(now)
+	s.expireAwaited(now)
 	s.expireAbsentJobs(now)
-	s.judgeEnds(now)
+	s.classifyEnds(now)
 	for _, v := range slices.Clone(s.vmList) {
-		s.tendVM(now, v.inst.ID, v)
+		s.tickVM(now, v.inst.ID, v)
 	}
 }
 
 // logInterference logs what was learned, now and then.
 func (s *Scheduler) logInterference(now Time) {
-	if now-s.interferenceLoggedAt > describeEvery && len(s.images.pairs) > 0 {
+	if now-s.interferenceLoggedAt > interferenceLogInterval && len(s.images.pairs) > 0 {
 		s.interferenceLoggedAt = now
 		s.logf(Decision{Event: EventInterference, Reason: s.images.describe()})
 	}
 }
 
-// tendVM counts what an unheard instance held as ended once its lease is over,
+// tickVM counts what an unheard instance held as ended once its lease is over,
 // starts copies of it where that is allowed, empties one that leaves, and takes
 // out one whose life has ended.
-func (s *Scheduler) tendVM(now Time, id string, v *vm) {
+func (s *Scheduler) tickVM(now Time, id string, v *vm) {
 	s.copyUnheard(now, v)
 	if v.hasReported && now > v.leaseExpiry {
-		s.lapse(now, v)
+		s.expireLeases(now, v)
 	}
-	if v.inst.Draining && v.listed && v.entryIsOfThisStart() && s.policy.Evacuate {
-		s.emptyDraining(now, v)
+	if v.inst.Draining && v.listed && v.entryMatchesIncarnation() && s.policy.Evacuate {
+		s.evacuateDraining(now, v)
 	}
-	if !v.listed && len(v.runs) == 0 && now-v.unlistedAt > forgetAfter && now > s.leasesOver(v) && !s.awaited(id) {
+	if !v.listed && len(v.runs) == 0 && now-v.unlistedAt > unlistedRetention && now > s.vmLeaseExpiry(v) && !s.isAwaited(id) {
 		lapsed := v.maxExpiredRun
-		s.Gone(now, id, reasonUnlisted)
+		s.RemoveInstance(now, id, reasonUnlisted)
 		if lapsed > 0 {
-			s.keepLapsed(id, Lapsed{Run: lapsed, Born: v.born})
+			s.retainExpiredLease(id, ExpiredLease{Run: lapsed, Born: v.born})
 		}
 	}
 }
 
-// emptyDraining moves what lasts off a VM that leaves, one task of a step at a
+// evacuateDraining moves what lasts off a VM that leaves, one task of a step at a
 // time: each is away for its stop and its startup only, not until the VM is known
 // to have left.
-func (s *Scheduler) emptyDraining(now Time, v *vm) {
+func (s *Scheduler) evacuateDraining(now Time, v *vm) {
 	for _, r := range v.runList {
 		if r.task.step.spec.Lasting {
 			s.moveLasting(now, r)
@@ -266,5 +266,5 @@
 	}
 }
 
-// describeEvery is how often the learned interference is logged.
-const describeEvery = 5 * time.Second
+// interferenceLogInterval is how often the learned interference is logged.
+const interferenceLogInterval = 5 * time.Second
--- a/internal/scheduler/waves.go
+++ b/internal/scheduler/waves.go
@@ -135,7 +135,7 @@
 		delete(w.accepted, name)
 		// It may come back under the same ID.
 		delete(w.lives, name)
-		s.Gone(now, life, "maintenance")
+		s.RemoveInstance(now, life, "maintenance")
 	case m.State == batch.MachineUp && age > settleAfter:
 		s.giveBack(w, name)
 	}
--- a/internal/scheduler/waves_test.go
+++ b/internal/scheduler/waves_test.go
@@ -25,7 +25,7 @@
 func untilMaintained(f *fixture, reports map[string]batch.Report) Order {
 	for range 150 {
 		work(f, reports)
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		if m := maintenances(f.plan()); len(m) > 0 {
 			return m[0]
 		}
@@ -58,7 +58,7 @@
 	for range 30 {
 		work(f, reports)
 		f.s.SetMachines(f.now, f.now, machines)
-		f.s.Tend(f.now)
+		f.s.Tick(f.now)
 		f.plan()
 	}
 	require.Len(t, f.started["j.0.0.0"], 1, "started again while it runs")
