--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -237,11 +237,11 @@
 			}
 		}
 	}
-	p.sched.Throttle(p.backlog.Room(p.now, 0))
+	p.sched.SetStartBudget(p.backlog.Budget(p.now, 0))
 	p.sched.Tick(p.now)
 	orders := p.sched.Plan(p.now)
 	p.busy += time.Since(began)
-	given := p.backlog.Decided(p.now, scheduler.CountStarts(orders), p.sched.RoomLeft())
+	given := p.backlog.RecordPlan(p.now, scheduler.CountStarts(orders), p.sched.StartBudgetLeft())
 	for _, o := range orders {
 		p.carryOut(o, given)
 	}
@@ -302,7 +302,7 @@
 	case scheduler.OrderPace:
 		p.out.PaceOrders++
 		p.f.pace(o)
-		p.sched.Paced(o, true)
+		p.sched.HandlePaceResult(o, true)
 	case scheduler.OrderAdvise, scheduler.OrderMaintain:
 		// No scenario has an adviser or waves of maintenance.
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -295,16 +295,16 @@
 		t.config = c
 		t.sched.SetConfig(c)
 	}
-	t.sched.Throttle(t.startRoom(now, late))
+	t.sched.SetStartBudget(t.startRoom(now, late))
 	t.sched.ConfirmLeadership(t.tenure.RenewedAt())
 	t.sched.Tick(now)
 	t.sched.OpenDue(now, t.WallMS())
 	orders := t.sched.Plan(now)
-	left := t.sched.RoomLeft()
+	left := t.sched.StartBudgetLeft()
 	t.mu.Unlock()
 	t.observeDelay(DelayPlan, steady.Now()-now)
 	decidedAt := steady.Now()
-	given := t.backlog.Decided(decidedAt, scheduler.CountStarts(orders), left)
+	given := t.backlog.RecordPlan(decidedAt, scheduler.CountStarts(orders), left)
 	for i := range orders {
 		o := orders[i]
 		t.work.Go(func() {
@@ -317,11 +317,11 @@
 }
 
 // startRoom is how many starts may be decided now, by a process that is so late.
-func (t *term) startRoom(now, late time.Duration) scheduler.Room {
+func (t *term) startRoom(now, late time.Duration) scheduler.StartBudget {
 	if t.starts.full() {
-		return scheduler.Room{}
+		return scheduler.StartBudget{}
 	}
-	return t.backlog.Room(now, late)
+	return t.backlog.Budget(now, late)
 }
 
 // Delay is what of a leader's work waits, or takes time: where its processor is full, all
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -216,7 +216,7 @@
 	defer cancel()
 	err := t.Agents.Pace(callCtx, &o.Instance, o.Task, o.Run, o.Percent, t.token(o.Instance.ID))
 	t.mu.Lock()
-	t.sched.Paced(o, err == nil)
+	t.sched.HandlePaceResult(o, err == nil)
 	t.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
 		t.log.Warn("pace_failed", err, eventlog.Fields{"vm": o.Instance.ID, "task": o.Task.String()})
--- a/internal/leader/waves.go
+++ b/internal/leader/waves.go
@@ -56,7 +56,7 @@
 		open = open || !written[w.Number].Completed
 	}
 	t.mu.Lock()
-	open = open || t.sched.Unsettled()
+	open = open || t.sched.HasUnsettledMaintenance()
 	t.mu.Unlock()
 	if !open {
 		return
@@ -128,7 +128,7 @@
 func (t *term) maintain(ctx context.Context, o scheduler.Order) {
 	if !t.tenure.Confirmed() {
 		t.mu.Lock()
-		t.sched.Maintained(steady.Now(), o, false, batch.RefusedUnreached)
+		t.sched.HandleMaintenanceResult(steady.Now(), o, false, batch.RefusedUnreached)
 		t.mu.Unlock()
 		return
 	}
@@ -144,7 +144,7 @@
 		t.log.Warn("maintenance_not_begun", err, eventlog.Fields{"machine": o.Machine, "wave": o.Wave})
 	}
 	t.mu.Lock()
-	t.sched.Maintained(steady.Now(), o, err == nil, refusal)
+	t.sched.HandleMaintenanceResult(steady.Now(), o, err == nil, refusal)
 	t.mu.Unlock()
 	t.awake()
 }
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -92,7 +92,7 @@
 	t := &st.tasks[0]
 	for _, v := range s.vmList {
 		born, refused := a.refused[v.inst.ID]
-		if o := s.fits(now, v, t); (refused && v.matchesBirth(born)) || (o != obstacleNone && o != obstacleAdvice) {
+		if o := s.placementObstacle(now, v, t); (refused && v.matchesBirth(born)) || (o != obstacleNone && o != obstacleAdvice) {
 			continue
 		}
 		old, known := a.tickets[v.inst.ID]
--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against starts that are decided seconds before they can be given.
-func TestBacklogFollowsWhatIsGiven(t *testing.T) {
+func TestBacklogAdaptsToSendRate(t *testing.T) {
 	const perSecond = 100
 	b, now := NewBacklog(), Time(0)
 	var longest Time
@@ -20,8 +20,8 @@
 	}
 	var queue []waiting
 	for ; now < 10*time.Second; now += time.Second / perSecond {
-		room := b.Room(now, 0).Starts
-		given := b.Decided(now, room, Room{})
+		room := b.Budget(now, 0).Starts
+		given := b.RecordPlan(now, room, StartBudget{})
 		for range room {
 			queue = append(queue, waiting{now, given})
 		}
@@ -34,54 +34,54 @@
 		queue[0].given(now)
 		queue = queue[1:]
 	}
-	size, left := b.Figures()
+	size, left := b.Stats()
 	require.Len(t, queue, left)
-	require.Equal(t, leastBacklog, size)
+	require.Equal(t, minBacklog, size)
 	// A whole batch of the least size, and what was decided just before it.
-	require.LessOrEqual(t, longest, backlogTarget+2*leastBacklog*time.Second/perSecond)
+	require.LessOrEqual(t, longest, maxStartDelay+2*minBacklog*time.Second/perSecond)
 }
 
-func TestBacklogGrowsWhileStartsAreGivenAtOnce(t *testing.T) {
+func TestBacklogGrowsWhileStartsAreSentAtOnce(t *testing.T) {
 	b := NewBacklog()
 	for now := Time(0); now < time.Second; now += 20 * time.Millisecond {
-		room := b.Room(now, 0).Starts
-		given := b.Decided(now, room, Room{})
+		room := b.Budget(now, 0).Starts
+		given := b.RecordPlan(now, room, StartBudget{})
 		for range room {
 			given(now + time.Millisecond)
 		}
 	}
-	size, waiting := b.Figures()
-	require.Equal(t, mostBacklog, size)
+	size, waiting := b.Stats()
+	require.Equal(t, maxBacklog, size)
 	require.Zero(t, waiting)
 }
 
 // Guards against a leader that decides on while what it decided isn't given at all.
-func TestNothingIsDecidedBehindAStartThatIsNotGiven(t *testing.T) {
+func TestNoStartsAreDecidedBehindAnUnsentStart(t *testing.T) {
 	b := NewBacklog()
-	given := b.Decided(0, 1, Unthrottled)
-	require.Positive(t, b.Room(batchTarget, 0).Batch)
-	require.Positive(t, b.Room(backlogTarget, 0).Starts)
-	require.Equal(t, Room{}, b.Room(backlogTarget+1, 0))
-	given(backlogTarget + 1)
-	require.Positive(t, b.Room(backlogTarget+1, 0).Starts)
+	given := b.RecordPlan(0, 1, UnlimitedStarts)
+	require.Positive(t, b.Budget(maxBatchLag, 0).Batch)
+	require.Positive(t, b.Budget(maxStartDelay, 0).Starts)
+	require.Equal(t, StartBudget{}, b.Budget(maxStartDelay+1, 0))
+	given(maxStartDelay + 1)
+	require.Positive(t, b.Budget(maxStartDelay+1, 0).Starts)
 }
 
 // Guards against batch work that keeps a leader late for urgent work, which passes it several
 // times.
-func TestBatchWaitsForALeaderThatIsLate(t *testing.T) {
+func TestLateLeaderDefersBatchStarts(t *testing.T) {
 	b := NewBacklog()
-	require.Equal(t, firstBacklog, b.Room(0, batchTarget).Batch)
-	late := b.Room(0, batchTarget+1)
+	require.Equal(t, initialBacklog, b.Budget(0, maxBatchLag).Batch)
+	late := b.Budget(0, maxBatchLag+1)
 	require.Zero(t, late.Batch)
-	require.Equal(t, firstBacklog, late.Starts)
-	require.Less(t, b.Room(0, 0).Batch, firstBacklog)
+	require.Equal(t, initialBacklog, late.Starts)
+	require.Less(t, b.Budget(0, 0).Batch, initialBacklog)
 
 	s := mixedFleet(1)
 	s.Submit(planAt, Submission{Job: &batch.Job{ID: "urgent", Steps: []batch.Step{{Tasks: 1, Need: batch.Resources{MilliCPU: 500, MemoryMB: 10}, Estimate: time.Second}}}, Queue: "q", Pool: "pool"})
-	s.Throttle(late)
-	require.Empty(t, placesOf(s, filling("crunch", 200), false))
+	s.SetStartBudget(late)
+	require.Empty(t, placements(s, fillerStep("crunch", 200), false))
 	require.Len(t, s.jobs["urgent"].occs[0].steps[0].tasks[0].runs, 1)
-	s.Throttle(Unthrottled)
+	s.SetStartBudget(UnlimitedStarts)
 	require.Equal(t, 1, CountStarts(s.Plan(planAt+time.Millisecond)))
 }
 
@@ -91,42 +91,42 @@
 	b := NewBacklog()
 	batches := 0
 	for now := Time(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		room := b.Room(now, time.Second)
+		room := b.Budget(now, time.Second)
 		require.Positive(t, room.Starts)
 		if room.Batch > 0 {
 			batches++
 		}
 	}
-	require.GreaterOrEqual(t, batches, int(10*time.Second/batchWaits)-2)
+	require.GreaterOrEqual(t, batches, int(10*time.Second/maxBatchWait)-2)
 }
 
-func TestPlanDecidesNoMoreThanItMay(t *testing.T) {
+func TestPlanKeepsStartBudget(t *testing.T) {
 	s := mixedFleet(1)
-	s.Throttle(Room{Starts: 3, Batch: 3})
-	require.Len(t, placesOf(s, filling("crunch", 200), false), 1)
-	step := filling("crunch", 200)
+	s.SetStartBudget(StartBudget{Starts: 3, Batch: 3})
+	require.Len(t, placements(s, fillerStep("crunch", 200), false), 1)
+	step := fillerStep("crunch", 200)
 	step.Tasks = 10
 	s.Submit(planAt, Submission{Job: &batch.Job{ID: "wide", Steps: []batch.Step{step}}, Queue: "q", Pool: "pool"})
-	s.Throttle(Room{Starts: 3, Batch: 3})
+	s.SetStartBudget(StartBudget{Starts: 3, Batch: 3})
 	require.Equal(t, 3, CountStarts(s.Plan(planAt+time.Millisecond)))
-	s.Throttle(Unthrottled)
+	s.SetStartBudget(UnlimitedStarts)
 	require.Equal(t, 7, CountStarts(s.Plan(planAt+2*time.Millisecond)))
 }
 
 // Guards against an order by work where starts are short: jobs of many small tasks took the
 // starts of those that earn more by each.
-func TestStartsThatEarnMostGoFirstWhereStartsAreShort(t *testing.T) {
+func TestMostValuePerStartGoesFirstWhenStartsAreLimited(t *testing.T) {
 	s := mixedFleet(1)
-	wide, narrow := filling("crunch", 100), filling("crunch", 1000)
+	wide, narrow := fillerStep("crunch", 100), fillerStep("crunch", 1000)
 	wide.Tasks, narrow.Tasks = 20, 4
 	submit := func(id string, step batch.Step) {
 		s.Submit(planAt, Submission{Job: &batch.Job{ID: id, Steps: []batch.Step{step}}, Queue: "q", Pool: "pool"})
 	}
 	submit("wide", wide)
 	submit("narrow", narrow)
-	s.Throttle(Room{})
+	s.SetStartBudget(StartBudget{})
 	require.Zero(t, CountStarts(s.Plan(planAt)))
-	s.Throttle(Room{Starts: 4, Batch: 4})
+	s.SetStartBudget(StartBudget{Starts: 4, Batch: 4})
 	for _, o := range s.Plan(planAt + time.Millisecond) {
 		require.Equal(t, "narrow", o.Task.Job)
 	}
@@ -134,13 +134,13 @@
 
 // Guards against checks that are given up for their declared duration: most of what is taken
 // for late by it can still be in time.
-func TestShortTasksTakenForLateGoBeforeBatch(t *testing.T) {
+func TestLateShortTasksPrecedeBatch(t *testing.T) {
 	s := mixedFleet(1)
 	submit := func(id string, step batch.Step, age time.Duration) {
 		s.Submit(planAt, Submission{Job: &batch.Job{ID: id, Steps: []batch.Step{step}}, Queue: "q", Pool: "pool", Age: age})
 	}
 	check := batch.Step{Tasks: 2, Need: batch.Resources{MilliCPU: 500, MemoryMB: 10}, Estimate: time.Second}
-	submit("batch", filling("crunch", 200), 0)
+	submit("batch", fillerStep("crunch", 200), 0)
 	submit("late", check, 1500*time.Millisecond)
 	submit("hopeless", check, time.Minute)
 	submit("check", check, 0)
--- a/internal/scheduler/baseline_test.go
+++ b/internal/scheduler/baseline_test.go
@@ -11,17 +11,17 @@
 // The load of a step is what most of its tasks tell: one that something unknown
 // presses on, and one on a VM without processors left, do not raise it.
 func TestLoadIsTheMedianOfSiblings(t *testing.T) {
-	p := newImages()
-	pair := p.pair("web")
-	var f figureLog
+	p := newEffectModel()
+	pair := p.slopesOf("web")
+	var f tailSamples
 	for i := range 7 {
 		y := -1.0
 		if i < 2 {
 			y = 1.5
 		}
-		f.add(figure{vm: &vm{}, y: y, doubtful: i == 1})
+		f.add(tailSample{vm: &vm{}, logRatio: y, unreliable: i == 1})
 	}
-	require.InDelta(t, -1, f.load(pair), 0.01)
+	require.InDelta(t, -1, f.loadLevel(pair), 0.01)
 }
 
 // Symptom: a load that rises is taken for lower than it is, so that fillers are
@@ -38,7 +38,7 @@
 }
 
 // A load that swings is known by its peak and trough, and use follows it between.
-func TestUseFollowsTheSwing(t *testing.T) {
+func TestUseFollowsAPeriodicLoad(t *testing.T) {
 	var b baseline
 	at := func(now Time) float64 { return -1 + 0.7*math.Sin(2*math.Pi*now.Seconds()/10) }
 	now := time.Second
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -29,10 +29,10 @@
 				s.HandleReport(now, now, inst.ID, batch.Report{Clock: time.Hour})
 			}
 			for i := range vms {
-				s.Submit(now, Submission{Job: &batch.Job{ID: fmt.Sprintf("s%d", i), Steps: []batch.Step{serving(fmt.Sprint("web", i%5), 4000)}}, Queue: "q", Pool: "pool"})
+				s.Submit(now, Submission{Job: &batch.Job{ID: fmt.Sprintf("s%d", i), Steps: []batch.Step{servingStep(fmt.Sprint("web", i%5), 4000)}}, Queue: "q", Pool: "pool"})
 			}
 			for i := range 10_000 / 16 {
-				step := filling(fmt.Sprint("crunch", i%9), int64(3000+i%7*100))
+				step := fillerStep(fmt.Sprint("crunch", i%9), int64(3000+i%7*100))
 				step.Tasks = 16
 				s.Submit(now, Submission{Job: &batch.Job{ID: fmt.Sprintf("f%d", i), Steps: []batch.Step{step}}, Queue: "q", Pool: "pool"})
 			}
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -10,13 +10,13 @@
 type candidate struct {
 	vm    *vm
 	score float64
-	// place is its place in the scheduler's order, which decides between equal scores.
-	place int
+	// index is its place in the scheduler's order, which decides between equal scores.
+	index int
 }
 
 // before reports whether c is the better choice.
 func (c *candidate) before(d *candidate) bool {
-	return c.score > d.score || (c.score == d.score && c.place < d.place)
+	return c.score > d.score || (c.score == d.score && c.index < d.index)
 }
 
 // candidates are those of a step within one pass, the best first, as a heap.
@@ -31,48 +31,48 @@
 	c.heap = c.heap[:0]
 	spec := t.step.spec
 	for i, v := range s.vmList {
-		if !s.hasRoom(now, v, spec) || s.fits(now, v, t) != obstacleNone {
+		if !s.hasCapacity(now, v, spec) || s.placementObstacle(now, v, t) != obstacleNone {
 			continue
 		}
 		if score, ok := s.score(now, v, spec); ok {
-			c.heap = append(c.heap, candidate{vm: v, score: score, place: i})
+			c.heap = append(c.heap, candidate{vm: v, score: score, index: i})
 		}
 	}
 	for i := len(c.heap)/2 - 1; i >= 0; i-- {
-		c.down(i)
+		c.siftDown(i)
 	}
 	return c
 }
 
-// hasRoom reports whether a VM has what the step's tasks ask for. It is the cheaper part
+// hasCapacity reports whether a VM has what the step's tasks ask for. It is the cheaper part
 // of fits, and rules most VMs of a full fleet out.
-func (s *Scheduler) hasRoom(now Time, v *vm, spec *batch.Step) bool {
+func (s *Scheduler) hasCapacity(now Time, v *vm, spec *batch.Step) bool {
 	capacity := &v.inst.Capacity
 	if spec.Need.MemoryMB > capacity.MemoryMB-v.used.MemoryMB || spec.Need.Accelerators > capacity.Accelerators-v.used.Accelerators {
 		return false
 	}
 	if spec.Filler {
-		return s.spare(now, v) >= declaredUse*float64(spec.Need.MilliCPU)
+		return s.fillerHeadroom(now, v) >= fillerUseShare*float64(spec.Need.MilliCPU)
 	}
 	return spec.Need.MilliCPU <= capacity.MilliCPU-v.used.MilliCPU
 }
 
-// take returns the best VM for a task of the step, or nil. What was started since the
+// takeBest returns the best VM for a task of the step, or nil. What was started since the
 // list was made has only made VMs worse: the first is rated anew, and is the best if it
 // still comes before the next.
-func (s *Scheduler) take(now Time, c *candidates, t *task) *vm {
+func (s *Scheduler) takeBest(now Time, c *candidates, t *task) *vm {
 	for len(c.heap) > 0 {
 		first := &c.heap[0]
-		score, ok := 0.0, s.fits(now, first.vm, t) == obstacleNone
+		score, ok := 0.0, s.placementObstacle(now, first.vm, t) == obstacleNone
 		if ok {
 			score, ok = s.score(now, first.vm, t.step.spec)
 		}
 		switch {
 		case !ok:
-			c.dropFirst()
+			c.removeFirst()
 		case score < first.score:
 			first.score = score
-			c.down(0)
+			c.siftDown(0)
 		default:
 			return first.vm
 		}
@@ -80,15 +80,15 @@
 	return nil
 }
 
-func (c *candidates) dropFirst() {
+func (c *candidates) removeFirst() {
 	last := len(c.heap) - 1
 	c.heap[0] = c.heap[last]
 	c.heap = c.heap[:last]
-	c.down(0)
+	c.siftDown(0)
 }
 
-// down restores the heap's order below a place.
-func (c *candidates) down(i int) {
+// siftDown restores the heap's order below a place.
+func (c *candidates) siftDown(i int) {
 	for {
 		best := i
 		for _, child := range [2]int{2*i + 1, 2*i + 2} {
@@ -104,8 +104,8 @@
 	}
 }
 
-// shared reports whether a task may be placed from its step's list of candidates: those
+// usesCandidateList reports whether a task may be placed from its step's list of candidates: those
 // that are drawn to a rack, or kept from a VM, are rated by themselves.
-func (s *Scheduler) shared(t *task) bool {
+func (s *Scheduler) usesCandidateList(t *task) bool {
 	return !t.step.spec.SameRack && t.lastFailedOn == "" && s.policy.Placement != PlacementFirst
 }
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -32,14 +32,14 @@
 		s.HandleReport(time.Second, time.Second, inst.ID, batch.Report{Clock: time.Hour})
 	}
 	for i := range 20 {
-		s.Submit(time.Second, Submission{Job: &batch.Job{ID: fmt.Sprint("s", i), Steps: []batch.Step{serving(fmt.Sprint("web", i%3), int64(1000+500*rng.IntN(5)))}}, Queue: "q", Pool: "pool"})
+		s.Submit(time.Second, Submission{Job: &batch.Job{ID: fmt.Sprint("s", i), Steps: []batch.Step{servingStep(fmt.Sprint("web", i%3), int64(1000+500*rng.IntN(5)))}}, Queue: "q", Pool: "pool"})
 	}
 	s.Plan(time.Second)
 	return s
 }
 
-// placesOf are the VMs on which the tasks of a step are started, in order.
-func placesOf(s *Scheduler, step batch.Step, apart bool) []string {
+// placements are the VMs on which the tasks of a step are started, in order.
+func placements(s *Scheduler, step batch.Step, apart bool) []string {
 	s.Submit(planAt, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "q", Pool: "pool"})
 	if apart {
 		// A task that failed somewhere is rated by itself.
@@ -59,24 +59,24 @@
 
 // VMs that are rated once a step are the same, in the same order, as VMs that are rated
 // for each of its tasks.
-func TestRatingOnceAStepChoosesTheSame(t *testing.T) {
+func TestCandidateListMatchesPerTaskPlacement(t *testing.T) {
 	for seed := range uint64(20) {
 		for name, step := range map[string]batch.Step{
-			"filling": filling("crunch", 1500), "serving": serving("web1", 1500), "short": {Need: batch.Resources{MilliCPU: 1500, MemoryMB: 10}, Estimate: time.Second},
+			"filling": fillerStep("crunch", 1500), "serving": servingStep("web1", 1500), "short": {Need: batch.Resources{MilliCPU: 1500, MemoryMB: 10}, Estimate: time.Second},
 			"apart": {Need: batch.Resources{MilliCPU: 500, MemoryMB: 10}, Estimate: time.Second, MaxPerVM: 1},
 		} {
 			step.Tasks = 30
-			once, each := placesOf(mixedFleet(seed), step, false), placesOf(mixedFleet(seed), step, true)
+			once, each := placements(mixedFleet(seed), step, false), placements(mixedFleet(seed), step, true)
 			require.NotEmpty(t, once, "%s, seed %d", name, seed)
 			require.Equal(t, each, once, "%s, seed %d", name, seed)
 		}
 	}
 }
 
-func TestNothingIsStartedWhileThrottled(t *testing.T) {
+func TestNoStartsWithoutStartBudget(t *testing.T) {
 	s := mixedFleet(1)
-	s.Throttle(Room{})
-	require.Empty(t, placesOf(s, filling("crunch", 1500), false))
-	s.Throttle(Unthrottled)
+	s.SetStartBudget(StartBudget{})
+	require.Empty(t, placements(s, fillerStep("crunch", 1500), false))
+	s.SetStartBudget(UnlimitedStarts)
 	require.NotEmpty(t, s.Plan(planAt+time.Millisecond))
 }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -13,38 +13,38 @@
 // the list has not been read, or the VM has not written there, for some time, such VMs get
 // nothing new.
 
-// listFresh is how old the list of VMs may be for work to be given to VMs that do not guard
+// listMaxAge is how old the list of VMs may be for work to be given to VMs that do not guard
 // their capacity: it is read twice a second, and a call or two may fail.
-const listFresh = 2 * time.Second
+const listMaxAge = 2 * time.Second
 
-// notePools notes whether there are VMs that do not guard their capacity: mostly there are
+// updateUnguarded notes whether there are VMs that do not guard their capacity: mostly there are
 // none, and no VM need be looked at.
-func (s *Scheduler) notePools() {
+func (s *Scheduler) updateUnguarded() {
 	s.hasUnguardedPools = false
 	for _, pool := range s.config.Pools {
 		s.hasUnguardedPools = s.hasUnguardedPools || !pool.GuardsCapacity
 	}
 }
 
-// guarded reports whether the VM refuses what it has no room for.
-func (s *Scheduler) guarded(v *vm) bool {
+// guardsCapacity reports whether the VM refuses what it has no room for.
+func (s *Scheduler) guardsCapacity(v *vm) bool {
 	pool, known := s.config.Pools[v.inst.Pool]
 	return !known || pool.GuardsCapacity
 }
 
-// mayOverfill reports whether a start might bring a VM that does not guard its capacity
+// mayExceedCapacity reports whether a start might bring a VM that does not guard its capacity
 // over it: more is in use already, by runs that are being stopped as well, or what it has
 // is not known any more.
-func (s *Scheduler) mayOverfill(now Time, v *vm) bool {
-	return s.hasUnguardedPools && !s.guarded(v) && (v.inst.Stale || now-s.listReadAt > listFresh || exceeds(v.used, v.inst.Capacity))
+func (s *Scheduler) mayExceedCapacity(now Time, v *vm) bool {
+	return s.hasUnguardedPools && !s.guardsCapacity(v) && (v.inst.Stale || now-s.listReadAt > listMaxAge || exceeds(v.used, v.inst.Capacity))
 }
 
 func exceeds(used, capacity batch.Resources) bool {
 	return used.MilliCPU > capacity.MilliCPU || used.MemoryMB > capacity.MemoryMB || used.Accelerators > capacity.Accelerators
 }
 
-// noteCapacity takes a changed capacity into account.
-func (s *Scheduler) noteCapacity(v *vm, before batch.Resources) {
+// recordCapacity takes a changed capacity into account.
+func (s *Scheduler) recordCapacity(v *vm, before batch.Resources) {
 	if v.inst.Capacity == before {
 		return
 	}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -13,8 +13,8 @@
 // shrank while starts waited for their turn, and while the list of VMs could not be read:
 // the starts were given all the same, and brought them over it.
 
-// unguarded makes the fixture's VMs begin whatever they are told to.
-func (f *fixture) unguarded() {
+// disableCapacityGuard makes the fixture's VMs begin whatever they are told to.
+func (f *fixture) disableCapacityGuard() {
 	c := *f.s.config
 	c.Pools = map[string]batch.Pool{"pool": {Name: "pool"}}
 	f.s.SetConfig(&c)
@@ -28,9 +28,9 @@
 	f.s.SetInstances(f.now, f.list)
 }
 
-func TestStartIsNotGivenWhereCapacityShrank(t *testing.T) {
+func TestStartIsNotSentAfterCapacityShrank(t *testing.T) {
 	f := newFixture(t, 1)
-	f.unguarded()
+	f.disableCapacityGuard()
 	f.reportAll(nil)
 	f.submit("j", tasks(2, 4000))
 	f.plan()
@@ -47,7 +47,7 @@
 }
 
 // A VM that guards its capacity refuses by itself, and knows best.
-func TestGuardedVMDecidesItself(t *testing.T) {
+func TestGuardedVMGetsStartsAfterCapacityShrank(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(2, 4000))
@@ -59,7 +59,7 @@
 // What is being stopped takes its room until its end is told.
 func TestStoppingRunsCountAgainstAShrunkCapacity(t *testing.T) {
 	f := newFixture(t, 1)
-	f.unguarded()
+	f.disableCapacityGuard()
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 6000))
 	f.plan()
@@ -79,7 +79,7 @@
 // Fillers declare no processors, but what they use is not there either.
 func TestNothingStartsOnAVMOverItsCapacity(t *testing.T) {
 	f := newFixture(t, 1)
-	f.unguarded()
+	f.disableCapacityGuard()
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 6000))
 	f.plan()
@@ -93,16 +93,16 @@
 	require.Empty(t, f.started["k.0.0.0"])
 }
 
-func TestNothingStartsUnguardedWhileTheListIsOld(t *testing.T) {
+func TestNothingStartsOnUnguardedVMsWhileTheListIsOld(t *testing.T) {
 	for _, unguarded := range []bool{false, true} {
 		f := newFixture(t, 1)
 		if unguarded {
-			f.unguarded()
+			f.disableCapacityGuard()
 		}
 		f.reportAll(nil)
 		f.submit("early", tasks(1, 1000))
 		f.plan()
-		f.advance(listFresh + time.Millisecond)
+		f.advance(listMaxAge + time.Millisecond)
 		f.reportAll(map[string]batch.Report{})
 		f.submit("j", tasks(1, 1000))
 		f.plan()
@@ -119,9 +119,9 @@
 }
 
 // The members of a gang that have begun would wait in vain for one that is not given.
-func TestGangOfWhichAMemberIsNotGivenIsStopped(t *testing.T) {
+func TestGangIsStoppedWhenAMemberIsNotSent(t *testing.T) {
 	f := newFixture(t, 2)
-	f.unguarded()
+	f.disableCapacityGuard()
 	f.reportAll(nil)
 	gang := tasks(2, 6000)
 	gang.Gang = true
@@ -138,9 +138,9 @@
 }
 
 // A VM that has not written its entry for some time may have less than that says.
-func TestNothingStartsUnguardedWhileTheEntryIsStale(t *testing.T) {
+func TestNothingStartsOnUnguardedVMsWhileTheEntryIsStale(t *testing.T) {
 	f := newFixture(t, 1)
-	f.unguarded()
+	f.disableCapacityGuard()
 	f.list[0].Stale = true
 	f.s.SetInstances(f.now, f.list)
 	f.reportAll(nil)
--- a/internal/scheduler/contracts_test.go
+++ b/internal/scheduler/contracts_test.go
@@ -278,7 +278,7 @@
 		require.NotEmpty(t, order.Machine)
 		require.False(t, begun[order.Machine])
 		begun[order.Machine] = true
-		f.s.Maintained(f.now, order, true, "")
+		f.s.HandleMaintenanceResult(f.now, order, true, "")
 		for i := range machines {
 			if machines[i].Name == order.Machine {
 				machines[i].State, machines[i].Instance = batch.MachineMaintenance, ""
@@ -303,7 +303,7 @@
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.s.settings.UnavailableDuration = 4 * time.Second
-	s := serving("web", 1000)
+	s := servingStep("web", 1000)
 	s.Tasks, s.MaxUnavailable = 2, 1
 	f.submit("j", s)
 	f.plan()
@@ -311,7 +311,7 @@
 	require.Equal(t, a.Instance.ID, b.Instance.ID, "packed")
 	f.confirm(a)
 	f.confirm(b)
-	f.report(a.Instance.ID, progressing(100, a, b))
+	f.report(a.Instance.ID, progressReport(100, a, b))
 	index := 0
 	if a.Instance.ID == "vm01" {
 		index = 1
@@ -331,11 +331,11 @@
 func TestLastingTasksLeaveDrainingVM(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
-	f.submit("j", serving("web", 1000))
+	f.submit("j", servingStep("web", 1000))
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	f.report(o.Instance.ID, progressing(100, o))
+	f.report(o.Instance.ID, progressReport(100, o))
 	for i := range f.list {
 		f.list[i].Draining = f.list[i].ID == o.Instance.ID
 	}
--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -373,7 +373,7 @@
 	require.NotNil(t, f.s.vms[other].reservedTask)
 	f.s.RemoveInstance(f.now, other, "another instance answers")
 	f.write()
-	f.advance(2 * planEvery)
+	f.advance(2 * planInterval)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1, "no VM is left")
 }
--- a/internal/scheduler/dump.go
+++ b/internal/scheduler/dump.go
@@ -54,8 +54,8 @@
 			FillerCPU: v.fillerCPU, AvoidForMS: max(0, v.health.avoidUntil-now).Milliseconds(),
 			LeaseLeftMS: max(0, v.leaseExpiry-now).Milliseconds(),
 		}
-		if worst := v.worst(); worst != nil {
-			x.WorstTail = worst.ratio()
+		if worst := v.worstServingRun(); worst != nil {
+			x.WorstTail = worst.tailRatio()
 		}
 		d.VMs = append(d.VMs, x)
 	}
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -47,7 +47,7 @@
 	switch e.Kind {
 	case batch.EndDone:
 		if r != nil {
-			r.noteDone(now)
+			r.recordDoneRate(now)
 			s.releaseRun(now, r)
 		}
 		s.taskDone(now, t, e.Run)
@@ -268,7 +268,7 @@
 	switch {
 	case r.state == stopping:
 		s.dropStart(now, r, "stopped")
-	case s.mayOverfill(now, v):
+	case s.mayExceedCapacity(now, v):
 		// It had room when the start was decided.
 		s.dropStart(now, r, "no room")
 	case !v.entryMatchesIncarnation():
@@ -316,7 +316,7 @@
 	case r.state == starting:
 		r.confirmStart(now)
 		if s.policy.PaceAtStart && r.task.step.spec.Filler {
-			s.pace(now, v)
+			s.updatePaces(now, v)
 		}
 	}
 }
--- a/internal/scheduler/interference.go
+++ b/internal/scheduler/interference.go
@@ -29,79 +29,81 @@
 	// a few hundred figures tell. Less counts as nothing, or ten harmless fillers
 	// together would seem to press.
 	slopeNoise = 0.25
-	// forgetting is what remains of old evidence at each solution, 4 a second at
+	// evidenceDecay is what remains of old evidence at each solution, 4 a second at
 	// most: half of it is forgotten after a minute and a half.
-	forgetting = 0.998
-	solveEvery = 250 * time.Millisecond
-	// maxJump bounds what one comparison may tell, as a logarithm.
-	maxJump = 1.5
-	// maxSurprise bounds how far one comparison may be from what is predicted, as
+	evidenceDecay = 0.998
+	solveInterval = 250 * time.Millisecond
+	// maxObservedEffect bounds what one comparison may tell, as a logarithm.
+	maxObservedEffect = 1.5
+	// maxResidual bounds how far one comparison may be from what is predicted, as
 	// a logarithm: a few figures in a hundred are off by two and more.
-	maxSurprise = 0.4
+	maxResidual = 0.4
 )
 
 // offset is the place of the regression's constant term, before those of the
 // images: an error of the load's trend must not be taken for an effect of the
 // fillers, of which there are some nearly everywhere. terms counts all places.
 const (
-	offset = 0
-	terms  = 1 + maxImages
+	offsetTerm = 0
+	maxTerms   = 1 + maxImages
 )
 
-// images numbers filler images.
-type images struct {
+// effectModel numbers filler images.
+type effectModel struct {
 	index map[string]int
-	// pairs holds the model of each serving image.
-	pairs    map[string]*slopes
-	solvedAt Time
+	// slopesByServing holds the model of each serving image.
+	slopesByServing map[string]*slopes
+	solvedAt        Time
 }
 
-// uses are the processors that fillers of each image use, as shares of the VM.
+// fillerUses are the processors that fillers of each image use, as shares of the VM.
 // The place of the constant term is 1 where figures of siblings are compared, 0
 // where it cancels.
-type uses [terms]float64
+type fillerUses [maxTerms]float64
 
 // slopes are the effects of all filler images on one serving image: ridge
 // regression by its normal equations.
 type slopes struct {
-	a     [terms][terms]float64
-	b     [terms]float64
-	slope [terms]float64
-	fresh bool
-	// version counts the solutions.
-	version int
+	a              [maxTerms][maxTerms]float64
+	b              [maxTerms]float64
+	slope          [maxTerms]float64
+	hasNewEvidence bool
+	// solveCount counts the solutions.
+	solveCount int
 }
 
-func newImages() images { return images{index: map[string]int{}, pairs: map[string]*slopes{}} }
+func newEffectModel() effectModel {
+	return effectModel{index: map[string]int{}, slopesByServing: map[string]*slopes{}}
+}
 
-// places is how many places are taken, that of the constant term included.
-func (m *images) places() int { return min(len(m.index)+1, terms) }
+// usedTerms is how many places are taken, that of the constant term included.
+func (m *effectModel) usedTerms() int { return min(len(m.index)+1, maxTerms) }
 
-// number returns the place of a filler image.
-func (m *images) number(image string) int {
+// imageIndex returns the place of a filler image.
+func (m *effectModel) imageIndex(image string) int {
 	i, ok := m.index[image]
 	if !ok {
-		i = min(len(m.index)+1, terms-1)
+		i = min(len(m.index)+1, maxTerms-1)
 		m.index[image] = i
 	}
 	return i
 }
 
-func (m *images) pair(serving string) *slopes {
-	p := m.pairs[serving]
+func (m *effectModel) slopesOf(serving string) *slopes {
+	p := m.slopesByServing[serving]
 	if p == nil {
 		p = &slopes{}
 		for i := range p.slope {
-			p.slope[i] = prior(i)
+			p.slope[i] = priorCoefficient(i)
 		}
-		m.pairs[serving] = p
+		m.slopesByServing[serving] = p
 	}
 	return p
 }
 
-// prior is what a place's coefficient is taken to be before anything was seen.
-func prior(place int) float64 {
-	if place == offset {
+// priorCoefficient is what a place's coefficient is taken to be before anything was seen.
+func priorCoefficient(place int) float64 {
+	if place == offsetTerm {
 		return 0
 	}
 	return priorSlope
@@ -109,8 +111,8 @@
 
 // slope is the effect of a filler image on a serving image; never below 0, since
 // no filler helps.
-func (m *images) slope(serving string, filler int) float64 {
-	return max(0, m.pair(serving).slope[filler])
+func (m *effectModel) slope(serving string, filler int) float64 {
+	return max(0, m.slopesOf(serving).slope[filler])
 }
 
 // effect is how much a filler image's use lengthens the tail, as a logarithm.
@@ -119,9 +121,9 @@
 }
 
 // effects is the effect of all fillers together.
-func (p *slopes) effects(x *uses) float64 {
+func (p *slopes) effects(x *fillerUses) float64 {
 	sum := 0.0
-	for i := offset + 1; i < terms; i++ {
+	for i := offsetTerm + 1; i < maxTerms; i++ {
 		if x[i] > 0 {
 			sum += p.effect(i, x[i])
 		}
@@ -131,14 +133,14 @@
 
 // learn takes in that the tail of a task of the serving image is longer by the
 // factor exp(dy) with the fillers' use dx, or with that much more of it.
-func (m *images) learn(serving string, dx *uses, dy float64) {
-	dy = min(max(dy, -maxJump), maxJump)
-	p := m.pair(serving)
+func (m *effectModel) learn(serving string, dx *fillerUses, dy float64) {
+	dy = min(max(dy, -maxObservedEffect), maxObservedEffect)
+	p := m.slopesOf(serving)
 	expected := 0.0
 	for i, x := range dx {
 		expected += x * p.slope[i]
 	}
-	dy = min(max(dy, expected-maxSurprise), expected+maxSurprise)
+	dy = min(max(dy, expected-maxResidual), expected+maxResidual)
 	for i, x := range dx {
 		if x == 0 {
 			continue
@@ -148,34 +150,34 @@
 			p.a[i][k] += x * z
 		}
 	}
-	p.fresh = true
+	p.hasNewEvidence = true
 }
 
 // solve brings the slopes up to date.
-func (m *images) solve(now Time) {
-	if now-m.solvedAt < solveEvery {
+func (m *effectModel) solve(now Time) {
+	if now-m.solvedAt < solveInterval {
 		return
 	}
 	m.solvedAt = now
-	n := m.places()
-	for _, p := range m.pairs {
-		if p.fresh {
+	n := m.usedTerms()
+	for _, p := range m.slopesByServing {
+		if p.hasNewEvidence {
 			p.solve(n)
-			p.fresh = false
+			p.hasNewEvidence = false
 		}
 	}
 }
 
 // describe tells the slopes that matter, for the log.
-func (m *images) describe() string {
-	names := make([]string, m.places())
+func (m *effectModel) describe() string {
+	names := make([]string, m.usedTerms())
 	for name, i := range m.index {
 		names[i] = name
 	}
 	var b strings.Builder
-	for _, serving := range slices.Sorted(maps.Keys(m.pairs)) {
+	for _, serving := range slices.Sorted(maps.Keys(m.slopesByServing)) {
 		fmt.Fprintf(&b, "%s:", serving)
-		for i := offset + 1; i < len(names); i++ {
+		for i := offsetTerm + 1; i < len(names); i++ {
 			if slope := m.slope(serving, i); slope >= 1 {
 				fmt.Fprintf(&b, " %s=%.1f", names[i], slope)
 			}
@@ -188,16 +190,16 @@
 // solve finds the coefficients of the first n places by Gaussian elimination. The
 // prior keeps the matrix positive definite, so no pivoting is needed.
 func (p *slopes) solve(n int) {
-	p.version++
-	var m [terms][terms + 1]float64
+	p.solveCount++
+	var m [maxTerms][maxTerms + 1]float64
 	for i := range n {
 		for k := range n {
 			m[i][k] = p.a[i][k]
-			p.a[i][k] *= forgetting
+			p.a[i][k] *= evidenceDecay
 		}
 		m[i][i] += priorWeight
-		m[i][n] = p.b[i] + priorWeight*prior(i)
-		p.b[i] *= forgetting
+		m[i][n] = p.b[i] + priorWeight*priorCoefficient(i)
+		p.b[i] *= evidenceDecay
 	}
 	for i := range n {
 		for r := i + 1; r < n; r++ {
--- a/internal/scheduler/interference_test.go
+++ b/internal/scheduler/interference_test.go
@@ -11,19 +11,19 @@
 
 // learnPairs feeds the model with fillers that come and go beside tasks whose
 // tails follow the true slopes, with noise.
-func learnPairs(m *images, truth map[string][]float64, fillers []string, samples int, seed uint64) {
+func learnPairs(m *effectModel, truth map[string][]float64, fillers []string, samples int, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for n := range samples {
-		var dx uses
+		var dx fillerUses
 		for i := range fillers {
 			if random.Float64() < 0.3 {
-				dx[m.number(fillers[i])] = (random.Float64() - 0.5) * 0.3
+				dx[m.imageIndex(fillers[i])] = (random.Float64() - 0.5) * 0.3
 			}
 		}
 		for serving, slopes := range truth {
 			dy := random.NormFloat64() * 0.3
 			for i := range fillers {
-				dy += slopes[i] * dx[m.number(fillers[i])]
+				dy += slopes[i] * dx[m.imageIndex(fillers[i])]
 			}
 			m.learn(serving, &dx, dy)
 		}
@@ -38,11 +38,11 @@
 	fillers := []string{"light", "heavy", "some"}
 	truth := map[string][]float64{"minds": {0, 6, 3}, "careless": {0, 0, 0}}
 	for seed := range uint64(10) {
-		m := newImages()
+		m := newEffectModel()
 		learnPairs(&m, truth, fillers, 1500, seed)
 		for serving, slopes := range truth {
 			for i, filler := range fillers {
-				require.InDelta(t, slopes[i], m.slope(serving, m.number(filler)), 1.2, "%s beside %s, seed %d", filler, serving, seed)
+				require.InDelta(t, slopes[i], m.slope(serving, m.imageIndex(filler)), 1.2, "%s beside %s, seed %d", filler, serving, seed)
 			}
 		}
 	}
@@ -50,22 +50,22 @@
 
 // Symptom: each change of leader is followed by ten seconds of pressed tasks.
 // Cause: the new leader knew nothing of what its predecessor had learned.
-func TestModelOutlivesLeader(t *testing.T) {
+func TestModelIsPassedToTheNextLeader(t *testing.T) {
 	first := New(Settings{}, 1, nil)
 	learnPairs(&first.images, map[string][]float64{"minds": {0, 6}}, []string{"light", "heavy"}, 300, 1)
 	next := New(Settings{}, 2, nil)
 	next.SetInterferenceModel(first.InterferenceModel())
 	for _, filler := range []string{"light", "heavy"} {
-		want := first.images.slope("minds", first.images.number(filler))
-		require.InDelta(t, want, next.images.slope("minds", next.images.number(filler)), 0.1)
+		want := first.images.slope("minds", first.images.imageIndex(filler))
+		require.InDelta(t, want, next.images.slope("minds", next.images.imageIndex(filler)), 0.1)
 	}
 }
 
 // More images than places must neither panic nor spoil the others' slopes.
-func TestManyImagesShareTheLastPlace(t *testing.T) {
-	m := newImages()
+func TestExcessImagesShareTheLastIndex(t *testing.T) {
+	m := newEffectModel()
 	for i := range 3 * maxImages {
-		require.Less(t, m.number(string(rune('A'+i))), terms)
+		require.Less(t, m.imageIndex(string(rune('A'+i))), maxTerms)
 	}
 	require.False(t, math.IsNaN(m.slope("s", maxImages-1)))
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -49,7 +49,7 @@
 		j.applyQueue(sub.AcceptedQueue)
 	}
 	s.jobs[sub.Job.ID] = j
-	s.noteWork(j)
+	s.updateMeanWork(j)
 	s.applyConfig(j)
 	if sub.Progress != nil {
 		j.restore(sub.Progress)
@@ -98,7 +98,7 @@
 // SetConfig installs a configuration; the caller makes sure that it is newer.
 func (s *Scheduler) SetConfig(c *batch.Config) {
 	s.config = c
-	s.notePools()
+	s.updateUnguarded()
 	for _, j := range s.jobs {
 		s.applyConfig(j)
 	}
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -26,7 +26,7 @@
 			break
 		}
 		f.write()
-		f.advance(planEvery)
+		f.advance(planInterval)
 		f.plan()
 	}
 	o := f.last(task)
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// loadEvery is how often the fleet's load is logged.
-const loadEvery = 2 * time.Second
+// loadLogInterval is how often the fleet's load is logged.
+const loadLogInterval = 2 * time.Second
 
-// load is what the heard VMs have and what is asked of them, in thousandths of a
+// fleetLoad is what the heard VMs have and what is asked of them, in thousandths of a
 // processor.
-type load struct {
+type fleetLoad struct {
 	capacity int64
 	// lasting and short are the declared processors of the tasks that hold some.
 	lasting, short int64
-	// fillersAsk is what the running fillers would use at their pace, fillerFullUse
+	// fillerDemand is what the running fillers would use at their pace, fillerFullUse
 	// what they were last seen to use.
-	fillersAsk, fillersUse float64
+	fillerDemand, fillerUse float64
 	// saturated counts the VMs whose fillers use less than they ask for, filled
 	// those that have any. Some declare more than they ever use.
-	saturated, filled int
-	// over counts the serving runs over their targets, serving all of them.
-	over, serving int
+	saturated, withFillers int
+	// overTarget counts the serving runs over their targets, serving all of them.
+	overTarget, serving int
 }
 
-// saturatedAt is the share of what they ask for below which fillers count as
+// saturationRatio is the share of what they ask for below which fillers count as
 // getting less.
-const saturatedAt = 0.9
+const saturationRatio = 0.9
 
 // measureLoad sums the VMs' last reports up.
-func (s *Scheduler) measureLoad() load {
-	var l load
+func (s *Scheduler) measureLoad() fleetLoad {
+	var l fleetLoad
 	for _, v := range s.vmList {
 		if v.hasReported {
 			l.add(v)
@@ -39,16 +39,16 @@
 	return l
 }
 
-func (l *load) add(v *vm) {
+func (l *fleetLoad) add(v *vm) {
 	l.capacity += v.inst.Capacity.MilliCPU
 	l.short += v.shortCPU
 	l.lasting += v.used.MilliCPU - v.shortCPU
-	ask, use := v.measuredFillers()
-	l.fillersAsk += ask
-	l.fillersUse += use
+	ask, use := v.measuredFillerUse()
+	l.fillerDemand += ask
+	l.fillerUse += use
 	if ask > 0 {
-		l.filled++
-		if use < saturatedAt*ask {
+		l.withFillers++
+		if use < saturationRatio*ask {
 			l.saturated++
 		}
 	}
@@ -57,15 +57,15 @@
 			continue
 		}
 		l.serving++
-		if r.ratio() > 1 {
-			l.over++
+		if r.tailRatio() > 1 {
+			l.overTarget++
 		}
 	}
 }
 
-// measuredFillers sums what the VM's fillers would use at their pace and what they were
+// measuredFillerUse sums what the VM's fillers would use at their pace and what they were
 // seen to use, over those that have told a figure.
-func (v *vm) measuredFillers() (ask, use float64) {
+func (v *vm) measuredFillerUse() (ask, use float64) {
 	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if !spec.Filler || !r.hasUsage || r.state != running {
@@ -79,7 +79,7 @@
 
 // logLoad logs the fleet's load now and then.
 func (s *Scheduler) logLoad(now Time) {
-	if now-s.loadLoggedAt < loadEvery {
+	if now-s.loadLoggedAt < loadLogInterval {
 		return
 	}
 	s.loadLoggedAt = now
@@ -87,5 +87,5 @@
 	total := float64(max(l.capacity, 1))
 	s.logf(Decision{Event: EventFleetLoad, Value: float64(s.waitingTasks()), Reason: fmt.Sprintf(
 		"lasting=%.2f short=%.2f fillers_ask=%.2f fillers_use=%.2f saturated=%d/%d over_target=%d/%d",
-		float64(l.lasting)/total, float64(l.short)/total, l.fillersAsk/total, l.fillersUse/total, l.saturated, l.filled, l.over, l.serving)})
+		float64(l.lasting)/total, float64(l.short)/total, l.fillerDemand/total, l.fillerUse/total, l.saturated, l.withFillers, l.overTarget, l.serving)})
 }
--- a/internal/scheduler/model.go
+++ b/internal/scheduler/model.go
@@ -20,12 +20,12 @@
 
 // InterferenceModel returns what was learned so far.
 func (s *Scheduler) InterferenceModel() InterferenceModel {
-	n := s.images.places()
+	n := s.images.usedTerms()
 	m := InterferenceModel{Images: make([]string, n-1), Pairs: map[string]NormalEquations{}}
 	for image, i := range s.images.index {
 		m.Images[i-1] = image
 	}
-	for serving, p := range s.images.pairs {
+	for serving, p := range s.images.slopesByServing {
 		e := NormalEquations{A: make([][]float32, n), B: make([]float32, n)}
 		for i := range n {
 			e.A[i] = make([]float32, n)
@@ -41,13 +41,13 @@
 
 // SetInterferenceModel takes over what an earlier leader learned.
 func (s *Scheduler) SetInterferenceModel(m InterferenceModel) {
-	n := min(len(m.Images)+1, terms)
-	s.images = newImages()
+	n := min(len(m.Images)+1, maxTerms)
+	s.images = newEffectModel()
 	for i := range n - 1 {
 		s.images.index[m.Images[i]] = i + 1
 	}
 	for serving, e := range m.Pairs {
-		p := s.images.pair(serving)
+		p := s.images.slopesOf(serving)
 		for i := range min(n, len(e.A), len(e.B)) {
 			for k := range min(n, len(e.A[i])) {
 				p.a[i][k] = float64(e.A[i][k])
--- a/internal/scheduler/nextstart_test.go
+++ b/internal/scheduler/nextstart_test.go
@@ -239,6 +239,6 @@
 	f.advance(2 * retryDelay)
 	require.Empty(t, f.plan())
 	f.report("vm00", batch.Report{Born: 1})
-	f.advance(planEvery)
+	f.advance(planInterval)
 	require.Len(t, f.plan(), 1)
 }
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -32,24 +32,24 @@
 	if v.servingRuns == 0 || !r.hasUsage || r.usage <= 0 {
 		return
 	}
-	v.recentFillers = append(v.recentFillers, endedFiller{image: s.images.number(spec.Image), use: r.usage / v.capacityMilliCPU(), at: now})
+	v.recentFillers = append(v.recentFillers, endedFiller{image: s.images.imageIndex(spec.Image), use: r.usage / v.capacityMilliCPU(), at: now})
 }
 
 // capacityMilliCPU are the VM's processors, in thousandths; never 0.
 func (v *vm) capacityMilliCPU() float64 { return float64(max(v.inst.Capacity.MilliCPU, 1)) }
 
 // fillerUses are the fillers' uses that the VM's figures of now show.
-func (s *Scheduler) fillerUses(now Time, v *vm) uses {
-	var x uses
+func (s *Scheduler) fillerUses(now Time, v *vm) fillerUses {
+	var x fillerUses
 	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if spec.Filler && r.hasUsage {
-			x[s.images.number(spec.Image)] += r.usage / v.capacityMilliCPU()
+			x[s.images.imageIndex(spec.Image)] += r.usage / v.capacityMilliCPU()
 		}
 	}
-	v.recentFillers = slices.DeleteFunc(v.recentFillers, func(e endedFiller) bool { return now-e.at >= figureSpan })
+	v.recentFillers = slices.DeleteFunc(v.recentFillers, func(e endedFiller) bool { return now-e.at >= tailSampleSpan })
 	for _, e := range v.recentFillers {
-		x[e.image] += e.use * (1 - float64(now-e.at)/float64(figureSpan))
+		x[e.image] += e.use * (1 - float64(now-e.at)/float64(tailSampleSpan))
 	}
 	return x
 }
@@ -69,21 +69,21 @@
 	excess, figures := 0.0, 0
 	for _, r := range v.runList {
 		st := r.task.step
-		if !st.spec.Serves() || !r.atWork() {
+		if !st.spec.Serves() || !r.reportsTail() {
 			continue
 		}
-		y := math.Log(max(r.ratio(), minTailRatio))
-		pair := s.images.pair(st.spec.Image)
+		y := math.Log(max(r.tailRatio(), minTailRatio))
+		pair := s.images.slopesOf(st.spec.Image)
 		effect := pair.effects(&x)
 		if st.baseline.known {
-			excess += y - effect - st.baseline.forecast(now, siblingSpan/2)
+			excess += y - effect - st.baseline.forecast(now, maxSiblingAge/2)
 			figures++
 		}
 		if dy, dx, ok := st.tailSamples.compare(now, v, y, &x, st.baseline.trend); ok && !full && s.policy.Learn {
 			s.images.learn(st.spec.Image, &dx, dy)
 		}
-		st.tailSamples.add(figure{at: now, vm: v, y: y, x: x, doubtful: full})
-		st.baseline.observe(now, st.tailSamples.load(pair))
+		st.tailSamples.add(tailSample{at: now, vm: v, logRatio: y, uses: x, unreliable: full})
+		st.baseline.observe(now, st.tailSamples.loadLevel(pair))
 	}
 	if figures > 0 {
 		v.tailExcess += excessGain * (excess/float64(figures) - v.tailExcess)
@@ -95,7 +95,7 @@
 const maxReliableUsage = 0.85
 
 // usageShare is the share of the VM's processors in use, as far as it is known.
-func (v *vm) usageShare(now Time, x *uses) float64 {
+func (v *vm) usageShare(now Time, x *fillerUses) float64 {
 	sum := float64(v.used.MilliCPU-v.servingCPU) + v.servingUse(now, 0)
 	for _, use := range x {
 		sum += use * v.capacityMilliCPU()
@@ -109,7 +109,7 @@
 	sum := 0.0
 	for _, r := range v.runList {
 		if st := r.task.step; st.spec.Serves() {
-			sum += st.baseline.use(now, ahead+baselineAge) * float64(st.spec.Need.MilliCPU)
+			sum += st.baseline.use(now, ahead+meanSampleAge) * float64(st.spec.Need.MilliCPU)
 		}
 	}
 	return sum
@@ -122,7 +122,7 @@
 // reportSample is a VM's report as it is compared with the next.
 type reportSample struct {
 	at    Time
-	use   uses
+	use   fillerUses
 	tails map[*run]float64
 	// runs holds the keys of tails in the order of the VM's runs.
 	runs []*run
@@ -130,14 +130,14 @@
 
 // learnFromSamples learns of tasks without siblings by comparing a VM's new report
 // with an earlier one.
-func (s *Scheduler) learnFromSamples(now Time, v *vm, x *uses) {
+func (s *Scheduler) learnFromSamples(now Time, v *vm, x *fillerUses) {
 	if now-v.lastSample.at < minSampleInterval {
 		return
 	}
 	next := reportSample{at: now, use: *x, tails: make(map[*run]float64, v.servingRuns)}
 	for _, r := range v.runList {
 		st := r.task.step
-		if st.spec.Serves() && r.atWork() && st.siblingsElsewhere(v) < leastSiblings {
+		if st.spec.Serves() && r.reportsTail() && st.countSiblingsElsewhere(v) < minSiblings {
 			next.tails[r] = r.usage
 			next.runs = append(next.runs, r)
 		}
@@ -149,7 +149,7 @@
 }
 
 func (s *Scheduler) learnFromChange(before, after *reportSample) {
-	var dx uses
+	var dx fillerUses
 	largest := 0.0
 	for i := range dx {
 		dx[i] = after.use[i] - before.use[i]
--- a/internal/scheduler/occupancy.go
+++ b/internal/scheduler/occupancy.go
@@ -13,7 +13,7 @@
 	} else {
 		v.used = v.used.Add(spec.Need)
 	}
-	if short(spec) {
+	if isShort(spec) {
 		v.shortCPU += spec.Need.MilliCPU
 	}
 }
@@ -27,7 +27,7 @@
 	} else {
 		v.used = v.used.Sub(spec.Need)
 	}
-	if short(spec) {
+	if isShort(spec) {
 		v.shortCPU -= spec.Need.MilliCPU
 	}
 }
@@ -49,11 +49,11 @@
 	}
 }
 
-// unwanted is a run that a VM has and that does not count: it was ordered to stop, and
+// unwantedRun is a run that a VM has and that does not count: it was ordered to stop, and
 // takes its room until it is not listed any more. Left out of the account, what is
 // started in its place is refused for want of room, runs beside it where the VM does
 // not look, or beside more of its step than there may be.
-type unwanted struct {
+type unwantedRun struct {
 	number int64
 	spec   *batch.Step
 	// step is nil where its occurrence has ended.
@@ -69,7 +69,7 @@
 		v.recordUnknownRun(st)
 		return
 	}
-	u := unwanted{number: st.Run, spec: &j.spec.Steps[st.Task.Step]}
+	u := unwantedRun{number: st.Run, spec: &j.spec.Steps[st.Task.Step]}
 	if t := s.task(st.Task); t != nil {
 		u.step = t.step
 		u.step.addPerVM(v)
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -8,81 +8,81 @@
 )
 
 const (
-	// paceEvery is the least time between two rises on a VM: a change takes
+	// paceRiseInterval is the least time between two rises on a VM: a change takes
 	// effect after 0.1 s, and the figure then covers half a second more.
-	paceEvery = 700 * time.Millisecond
-	// paceUp is how much a filler gets back at a time after a blind stop, in percent.
-	paceUp = 25
-	// leastRise is the least rise of a pace that is worth an order, in percent,
+	paceRiseInterval = 700 * time.Millisecond
+	// paceRiseStep is how much a filler gets back at a time after a blind stop, in percent.
+	paceRiseStep = 25
+	// minPaceRise is the least rise of a pace that is worth an order, in percent,
 	// unless it is to full pace.
-	leastRise = 10
-	// leastEffect is the effect, as a logarithm, below which a filler is left alone:
+	minPaceRise = 10
+	// minPacedEffect is the effect, as a logarithm, below which a filler is left alone:
 	// to slow it would not show.
-	leastEffect = 0.02
+	minPacedEffect = 0.02
 	// runExpiry is the share of its target from which a tail counts as over: the
 	// figure is rough.
-	overAt = 0.97
-	// moveProgress: a run that cannot resume is moved only below this progress,
+	overTargetRatio = 0.97
+	// maxMoveProgress: a run that cannot resume is moved only below this progress,
 	// in percent: what it has done is lost.
-	moveProgress = 15
-	// moveAfter is how long a run is left where it is at first.
-	moveAfter = time.Second
+	maxMoveProgress = 15
+	// moveDelay is how long a run is left where it is at first.
+	moveDelay = time.Second
 	// fullPace is the pace at which a run starts, in percent.
 	fullPace = 100
 )
 
-// pace slows the fillers on a VM that press on what serves there, and gives back
+// updatePaces slows the fillers on a VM that press on what serves there, and gives back
 // what the tails allow.
-func (s *Scheduler) pace(now Time, v *vm) {
+func (s *Scheduler) updatePaces(now Time, v *vm) {
 	fillers := s.pacedFillers(v)
 	if v.servingRuns == 0 {
 		v.overTargetSince = 0
 		v.fillerPaceCap = fullPace
 	} else {
-		v.noteOver(now, v.worst())
-		v.capBlindly(now, milliseconds(s.policy.BlindAfterMS))
+		v.recordOverTarget(now, v.worstServingRun())
+		v.updateBlindCap(now, milliseconds(s.policy.BlindAfterMS))
 	}
 	if len(fillers) == 0 || !s.policy.Pace {
 		return
 	}
 	s.solvePaces(now, v, fillers)
-	mayRise := now-v.paceChangedAt >= paceEvery
+	mayRise := now-v.paceChangedAt >= paceRiseInterval
 	for i := range fillers {
 		s.applyPace(now, &fillers[i], v.fillerPaceCap, mayRise)
 	}
 }
 
-// blind reports whether a tail has been over its target for so long that nobody
+// isBlind reports whether a tail has been over its target for so long that nobody
 // in particular can be blamed.
-func (v *vm) blind(now, after Time) bool {
+func (v *vm) isBlind(now, after Time) bool {
 	return after > 0 && v.overTargetSince > 0 && now-v.overTargetSince > after
 }
 
-// capBlindly stops all fillers while the VM is blind, and gives them back step by
+// updateBlindCap stops all fillers while the VM is blind, and gives them back step by
 // step afterwards.
-func (v *vm) capBlindly(now, after Time) {
+func (v *vm) updateBlindCap(now, after Time) {
 	switch {
-	case v.blind(now, after):
+	case v.isBlind(now, after):
 		v.fillerPaceCap, v.fillerPaceCapAt = 0, now
-	case v.fillerPaceCap < fullPace && now-v.fillerPaceCapAt >= paceEvery:
-		v.fillerPaceCap, v.fillerPaceCapAt = min(v.fillerPaceCap+paceUp, fullPace), now
+	case v.fillerPaceCap < fullPace && now-v.fillerPaceCapAt >= paceRiseInterval:
+		v.fillerPaceCap, v.fillerPaceCapAt = min(v.fillerPaceCap+paceRiseStep, fullPace), now
 	}
 }
 
-// worst is the serving run nearest to its target, or nil.
-func (v *vm) worst() *run {
+// worstServingRun is the serving run nearest to its target, or nil.
+func (v *vm) worstServingRun() *run {
 	var worst *run
 	for _, r := range v.runList {
-		if r.task.step.spec.Serves() && r.hasUsage && r.state == running && (worst == nil || r.ratio() > worst.ratio()) {
+		if r.task.step.spec.Serves() && r.hasUsage && r.state == running && (worst == nil || r.tailRatio() > worst.tailRatio()) {
 			worst = r
 		}
 	}
 	return worst
 }
 
-func (v *vm) noteOver(now Time, worst *run) {
+func (v *vm) recordOverTarget(now Time, worst *run) {
 	switch {
-	case worst == nil || worst.ratio() <= overAt:
+	case worst == nil || worst.tailRatio() <= overTargetRatio:
 		v.overTargetSince = 0
 	case v.overTargetSince == 0:
 		v.overTargetSince = now
@@ -107,7 +107,7 @@
 		if spec.Filler && r.state == running {
 			// What it would use at full pace: the figure lags behind the pace.
 			use := r.fullUse() / v.capacityMilliCPU()
-			list = append(list, pacedFiller{run: r, image: s.images.number(spec.Image), use: use, trigger: 1, aim: 1})
+			list = append(list, pacedFiller{run: r, image: s.images.imageIndex(spec.Image), use: use, trigger: 1, aim: 1})
 		}
 	}
 	slices.SortFunc(list, func(a, b pacedFiller) int { return cmp.Compare(a.run.number, b.run.number) })
@@ -117,28 +117,28 @@
 // solvePaces works out paces that keep every predicted tail on the VM within its
 // target, taking from those first that press most.
 func (s *Scheduler) solvePaces(now Time, v *vm, fillers []pacedFiller) {
-	for i := range s.tailsOf(now, v) {
+	for i := range s.predictedTails(now, v) {
 		t := &v.tails[i]
 		for k := range fillers {
-			fillers[k].effect = t.pair.effect(fillers[k].image, fillers[k].use)
+			fillers[k].effect = t.slopes.effect(fillers[k].image, fillers[k].use)
 		}
 		slices.SortStableFunc(fillers, func(a, b pacedFiller) int { return cmp.Compare(b.effect, a.effect) })
-		limit(fillers, t.soon, math.Log(s.policy.PressedAt), triggerOf)
-		limit(fillers, t.soon, math.Log(s.policy.AimAt), aimOf)
+		limitTail(fillers, t.nearTerm, math.Log(s.policy.PressedAt), triggerPace)
+		limitTail(fillers, t.nearTerm, math.Log(s.policy.AimAt), aimPace)
 	}
 	if v.servingRuns > 0 {
-		room := v.roomFor(now, paceLead, s.policy.RoomLimit) / v.capacityMilliCPU()
-		limitRoom(fillers, room+roomSlack, triggerOf)
-		limitRoom(fillers, room, aimOf)
+		room := v.fillerBudget(now, paceLookahead, s.policy.RoomLimit) / v.capacityMilliCPU()
+		limitTotalUse(fillers, room+headroomSlack, triggerPace)
+		limitTotalUse(fillers, room, aimPace)
 	}
 }
 
-// roomSlack is the share of the VM by which fillers may use more than there is
+// headroomSlack is the share of the VM by which fillers may use more than there is
 // room for before they are slowed.
-const roomSlack = 0.04
+const headroomSlack = 0.04
 
-func triggerOf(f *pacedFiller) *float64 { return &f.trigger }
-func aimOf(f *pacedFiller) *float64     { return &f.aim }
+func triggerPace(f *pacedFiller) *float64 { return &f.trigger }
+func aimPace(f *pacedFiller) *float64     { return &f.aim }
 
 // fullUse is what a filler uses at full pace, in thousandths of a processor: as
 // seen, else as declared.
@@ -149,16 +149,16 @@
 	return float64(r.task.step.spec.Need.MilliCPU)
 }
 
-// noteFullUse takes a report in that shows what the run uses at full pace.
-func (r *run) noteFullUse(now Time) {
-	if r.orderedPace == fullPace && r.hasUsage && r.usage > 0 && now-max(r.orderedAt, r.paceOrderedAt) > paceEvery {
+// recordFullUse takes a report in that shows what the run uses at full pace.
+func (r *run) recordFullUse(now Time) {
+	if r.orderedPace == fullPace && r.hasUsage && r.usage > 0 && now-max(r.orderedAt, r.paceOrderedAt) > paceRiseInterval {
 		r.fullPaceUsage = r.usage
 	}
 }
 
-// limitRoom lowers all paces by the same factor until the fillers use no more than
+// limitTotalUse lowers all paces by the same factor until the fillers use no more than
 // the VM has left.
-func limitRoom(fillers []pacedFiller, room float64, pace func(*pacedFiller) *float64) {
+func limitTotalUse(fillers []pacedFiller, room float64, pace func(*pacedFiller) *float64) {
 	sum := 0.0
 	for i := range fillers {
 		sum += fillers[i].use * *pace(&fillers[i])
@@ -171,16 +171,16 @@
 	}
 }
 
-// limit lowers paces until a tail that is full with all of them at full pace is
+// limitTail lowers paces until a tail that is full with all of them at full pace is
 // within bound.
-func limit(fillers []pacedFiller, full, bound float64, pace func(*pacedFiller) *float64) {
+func limitTail(fillers []pacedFiller, full, bound float64, pace func(*pacedFiller) *float64) {
 	excess := full - bound
 	for i := range fillers {
 		excess -= fillers[i].effect * (1 - *pace(&fillers[i]))
 	}
 	for i := range fillers {
 		f := &fillers[i]
-		if excess <= 0 || f.effect < leastEffect {
+		if excess <= 0 || f.effect < minPacedEffect {
 			return
 		}
 		p := pace(f)
@@ -202,10 +202,10 @@
 	switch {
 	case r.orderedPace > trigger || r.orderedPace == unknownPace:
 		s.setPace(now, r, aim)
-	case aim > r.orderedPace && mayRise && (aim >= r.orderedPace+leastRise || aim == fullPace):
+	case aim > r.orderedPace && mayRise && (aim >= r.orderedPace+minPaceRise || aim == fullPace):
 		s.setPace(now, r, aim)
 	}
-	s.moveAway(now, r)
+	s.moveSlowed(now, r)
 }
 
 func (s *Scheduler) setPace(now Time, r *run, percent int) {
@@ -218,9 +218,9 @@
 	s.orders = append(s.orders, Order{Kind: OrderPace, Instance: r.vm.inst, Task: r.task.id(), Run: r.number, Percent: percent})
 }
 
-// Paced takes the outcome of an order of pace over: one that failed is ordered
+// HandlePaceResult takes the outcome of an order of pace over: one that failed is ordered
 // again with the next report.
-func (s *Scheduler) Paced(o Order, ok bool) {
+func (s *Scheduler) HandlePaceResult(o Order, ok bool) {
 	v := s.vms[o.Instance.ID]
 	if v == nil || ok {
 		return
@@ -234,17 +234,17 @@
 // decision differs from it.
 const unknownPace = 99
 
-// moveAway stops a slowed filler that is better off on another VM. It starts
+// moveSlowed stops a slowed filler that is better off on another VM. It starts
 // again there from its checkpoint.
-func (s *Scheduler) moveAway(now Time, r *run) {
+func (s *Scheduler) moveSlowed(now Time, r *run) {
 	t := r.task
-	if r.orderedPace >= s.policy.MoveBelow || now-r.orderedAt < moveAfter || t.step.spec.Gang || t.step.occ.job.state.Final() {
+	if r.orderedPace >= s.policy.MoveBelow || now-r.orderedAt < moveDelay || t.step.spec.Gang || t.step.occ.job.state.Final() {
 		return
 	}
-	if !t.step.spec.Checkpoints && r.progress > moveProgress {
+	if !t.step.spec.Checkpoints && r.progress > maxMoveProgress {
 		return
 	}
-	if s.choose(now, t) == nil {
+	if s.chooseVM(now, t) == nil {
 		return
 	}
 	s.stop(now, r, "slowed")
--- a/internal/scheduler/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -9,24 +9,24 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-func serving(image string, milliCPU int64) batch.Step {
+func servingStep(image string, milliCPU int64) batch.Step {
 	s := tasks(1, milliCPU)
 	s.Lasting, s.Image, s.TailTarget = true, image, 100*time.Millisecond
 	return s
 }
 
-func filling(image string, milliCPU int64) batch.Step {
+func fillerStep(image string, milliCPU int64) batch.Step {
 	s := tasks(1, milliCPU)
 	s.Filler, s.Image, s.Checkpoints = true, image, true
 	return s
 }
 
-// beside starts a serving task and a filler on the only VM and returns their orders.
-func beside(t *testing.T) (f *fixture, serves, fills Order) {
+// startServingAndFiller starts a serving task and a filler on the only VM and returns their orders.
+func startServingAndFiller(t *testing.T) (f *fixture, serves, fills Order) {
 	f = newFixture(t, 1)
 	f.reportAll(nil)
-	f.submit("s", serving("web", 4000))
-	f.submit("f", filling("crunch", 3000))
+	f.submit("s", servingStep("web", 4000))
+	f.submit("f", fillerStep("crunch", 3000))
 	f.plan()
 	serves, fills = f.last("s.0.0.0"), f.last("f.0.0.0")
 	f.confirm(serves)
@@ -34,7 +34,7 @@
 	return f, serves, fills
 }
 
-func figures(serves, fills Order, tailMS, cpu float64) batch.Report {
+func usageReport(serves, fills Order, tailMS, cpu float64) batch.Report {
 	return batch.Report{Running: []batch.RunStatus{
 		{Task: serves.Task, Run: serves.Run, Progress: 100, Usage: tailMS, HasUsage: true},
 		{Task: fills.Task, Run: fills.Run, Progress: 10, Usage: cpu, HasUsage: true},
@@ -44,16 +44,16 @@
 // Symptom: a serving task stays over its target for four seconds because of a
 // filler that the model holds for harmless.
 // Cause it guards against: waiting for a clean signal about who presses.
-func TestBlindlyPressedTailStopsAllFillers(t *testing.T) {
-	f, serves, fills := beside(t)
-	p := f.s.images.pair("web")
+func TestUnexplainedTailStopsAllFillers(t *testing.T) {
+	f, serves, fills := startServingAndFiller(t)
+	p := f.s.images.slopesOf("web")
 	for i := range p.slope {
 		p.slope[i] = 0
 	}
 	began := f.now
 	for f.now-began < 3*time.Second {
 		f.advance(500 * time.Millisecond)
-		f.report("vm00", figures(serves, fills, 130, 3000))
+		f.report("vm00", usageReport(serves, fills, 130, 3000))
 		f.plan()
 		if len(f.paces) > 0 {
 			break
@@ -69,13 +69,13 @@
 // Sequence: the VM reports; the filler starts just after; the next report comes 0.6 s on.
 // Cause: paces were worked out with reports only, and runs start at full pace.
 func TestFillerIsSlowedAsSoonAsItHasStarted(t *testing.T) {
-	f, serves, fills := beside(t)
-	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 5
+	f, serves, fills := startServingAndFiller(t)
+	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.report("vm00", figures(serves, fills, 60, 1000))
+	f.report("vm00", usageReport(serves, fills, 60, 1000))
 	f.plan()
 	f.s.policy.PeakLimit = 0
-	f.submit("g", filling("crunch", 4000))
+	f.submit("g", fillerStep("crunch", 4000))
 	f.plan()
 	f.paces = nil
 	f.advance(5 * time.Millisecond)
@@ -86,61 +86,61 @@
 
 // A filler that is known to press is slowed before the target is reached, by as
 // much as the tail needs, and gets its pace back when the tail allows.
-func TestPressingFillerIsSlowedAndGivenBack(t *testing.T) {
-	f, serves, fills := beside(t)
-	p := f.s.images.pair("web")
-	p.slope[f.s.images.number("crunch")] = 5
+func TestInterferingFillerIsSlowedAndRestored(t *testing.T) {
+	f, serves, fills := startServingAndFiller(t)
+	p := f.s.images.slopesOf("web")
+	p.slope[f.s.images.imageIndex("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.report("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", usageReport(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 1)
 	require.Greater(t, f.paces[0].Percent, 0)
 	require.Less(t, f.paces[0].Percent, 100)
 	for range 8 {
 		f.advance(time.Second)
-		f.report("vm00", figures(serves, fills, 40, 1000))
+		f.report("vm00", usageReport(serves, fills, 40, 1000))
 		f.plan()
 	}
 	require.Equal(t, 100, f.paces[len(f.paces)-1].Percent)
 }
 
 // A filler that does not press is left alone beside a pressed task.
-func TestHarmlessFillerIsLeftAlone(t *testing.T) {
-	f, serves, fills := beside(t)
-	p := f.s.images.pair("web")
-	p.slope[f.s.images.number("crunch")] = 0
+func TestHarmlessFillerIsNotSlowed(t *testing.T) {
+	f, serves, fills := startServingAndFiller(t)
+	p := f.s.images.slopesOf("web")
+	p.slope[f.s.images.imageIndex("crunch")] = 0
 	f.advance(2 * time.Second)
-	f.report("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", usageReport(serves, fills, 95, 3000))
 	f.plan()
 	require.Empty(t, f.paces)
 }
 
 // A pace whose order was not answered is ordered again.
 func TestUnansweredPaceIsRepeated(t *testing.T) {
-	f, serves, fills := beside(t)
-	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 5
+	f, serves, fills := startServingAndFiller(t)
+	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 5
 	f.advance(2 * time.Second)
-	f.report("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", usageReport(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 1)
-	f.s.Paced(f.paces[0], false)
+	f.s.HandlePaceResult(f.paces[0], false)
 	f.advance(time.Second)
-	f.report("vm00", figures(serves, fills, 95, 3000))
+	f.report("vm00", usageReport(serves, fills, 95, 3000))
 	f.plan()
 	require.Len(t, f.paces, 2)
 }
 
 // Fillers are kept off VMs whose serving tasks mind them, while others are free.
-func TestFillerAvoidsThoseWhoMind(t *testing.T) {
+func TestFillerAvoidsAffectedServingTasks(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
-	f.submit("s", serving("web", 4000))
+	f.submit("s", servingStep("web", 4000))
 	f.plan()
 	served := f.last("s.0.0.0")
-	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 6
+	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 6
 	for i := range 3 {
 		id := string(rune('a' + i))
-		f.submit(id, filling("crunch", 2000))
+		f.submit(id, fillerStep("crunch", 2000))
 		f.plan()
 		require.NotEqual(t, served.Instance.ID, f.last(id+".0.0.0").Instance.ID)
 	}
@@ -155,7 +155,7 @@
 		image := string(rune('a' + i%2))
 		id := string(rune('p' + i))
 		// Four of an image leave a reserve of a quarter of a VM free.
-		f.submit(id, serving(image, 1800))
+		f.submit(id, servingStep(image, 1800))
 		f.plan()
 		vms[image][f.last(id+".0.0.0").Instance.ID] = true
 	}
@@ -168,9 +168,9 @@
 // Symptom: a filler that presses on every serving image never starts, while
 // others come and go.
 func TestStarvingFillerStarts(t *testing.T) {
-	f, _, _ := beside(t)
-	f.s.images.pair("web").slope[f.s.images.number("heavy")] = 50
-	f.submit("h", filling("heavy", 3000))
+	f, _, _ := startServingAndFiller(t)
+	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("heavy")] = 50
+	f.submit("h", fillerStep("heavy", 3000))
 	f.plan()
 	require.NotContains(t, f.started, "h.0.0.0")
 	f.advance(milliseconds(f.s.policy.StarvedAfterMS) + time.Millisecond)
@@ -183,7 +183,7 @@
 func TestLastingTasksLeaveRoomForShortOnes(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
-	s := serving("web", 2400)
+	s := servingStep("web", 2400)
 	s.Tasks = 20
 	f.submit("s", s)
 	f.plan()
@@ -197,11 +197,11 @@
 // Symptom: lasting tasks of VMs that left are not at work again, though others
 // have room for them.
 // Cause: the room was kept for short tasks, without bound.
-func TestReserveYieldsToPatience(t *testing.T) {
+func TestLastingTaskUsesReserveAfterPatience(t *testing.T) {
 	f := newFixture(t, 8)
 	reserving := 0
 	for i := range f.list {
-		f.list[i].Draining = !f.s.vms[f.list[i].ID].reserves(f.s.policy.ReserveOn)
+		f.list[i].Draining = !f.s.vms[f.list[i].ID].keepsReserve(f.s.policy.ReserveOn)
 		if !f.list[i].Draining {
 			reserving++
 		}
@@ -209,7 +209,7 @@
 	require.Positive(t, reserving)
 	f.s.SetInstances(f.now, f.list)
 	f.reportAll(nil)
-	f.submit("s", serving("web", 9800))
+	f.submit("s", servingStep("web", 9800))
 	f.plan()
 	require.NotContains(t, f.started, "s.0.0.0")
 	f.advance(milliseconds(f.s.policy.ReservePatienceMS) + time.Millisecond)
@@ -223,12 +223,12 @@
 func TestStarvedFillerStartsInACrowdedFleet(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
-	f.submit("s", serving("web", 7000))
+	f.submit("s", servingStep("web", 7000))
 	f.plan()
 	serves := f.last("s.0.0.0")
 	f.confirm(serves)
-	f.s.images.pair("web").slope[f.s.images.number("crunch")] = 9
-	f.submit("f", filling("crunch", 3000))
+	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 9
+	f.submit("f", fillerStep("crunch", 3000))
 	told := batch.Report{Running: []batch.RunStatus{{Task: serves.Task, Run: serves.Run, Progress: 100, Usage: 95, HasUsage: true}}}
 	began := f.now
 	for len(f.started["f.0.0.0"]) == 0 && f.now-began < time.Minute {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// declaredUse is the share of their declared processors that fillers use on
+	// fillerUseShare is the share of their declared processors that fillers use on
 	// average.
-	declaredUse = 0.9
+	fillerUseShare = 0.9
 	// fillerOvercommit is how much more than the rest fillers may declare on a VM
 	// without tails to watch.
 	fillerOvercommit = 1.2
-	// farPenalty is what a place away from the data costs in the score, where 1
+	// mismatchPenalty is what a place away from the data costs in the score, where 1
 	// is a whole VM's processors.
-	farPenalty = 2.0
-	// rackBonus draws the tasks of one step to one rack.
-	rackBonus = 2.0
-	// harmless is the effect, as a logarithm, that is within the slopes' noise for
+	mismatchPenalty = 2.0
+	// sameRackBonus draws the tasks of one step to one rack.
+	sameRackBonus = 2.0
+	// tolerableEffect is the effect, as a logarithm, that is within the slopes' noise for
 	// a tenth of a VM's processors.
-	harmless = 0.05
-	// negligible is the effect, as a logarithm, of a filler that may start beside
+	tolerableEffect = 0.05
+	// negligibleEffect is the effect, as a logarithm, of a filler that may start beside
 	// any serving task.
-	negligible = 0.02
+	negligibleEffect = 0.02
 )
 
-// choose returns the best VM for a task, or nil.
-func (s *Scheduler) choose(now Time, t *task) *vm {
+// chooseVM returns the best VM for a task, or nil.
+func (s *Scheduler) chooseVM(now Time, t *task) *vm {
 	var best *vm
 	bestScore := 0.0
 	rack := ""
 	if t.step.spec.SameRack {
-		rack = t.step.rack()
+		rack = t.step.currentRack()
 	}
 	for _, v := range s.vmList {
-		if !s.hasRoom(now, v, t.step.spec) || s.fits(now, v, t) != obstacleNone {
+		if !s.hasCapacity(now, v, t.step.spec) || s.placementObstacle(now, v, t) != obstacleNone {
 			continue
 		}
 		score, ok := s.score(now, v, t.step.spec)
@@ -45,10 +45,10 @@
 			continue
 		}
 		if rack != "" && v.inst.Rack() == rack {
-			score += rackBonus
+			score += sameRackBonus
 		}
 		if v.inst.ID == t.lastFailedOn {
-			score -= farPenalty
+			score -= mismatchPenalty
 		}
 		if best == nil || score > bestScore {
 			best, bestScore = v, score
@@ -60,9 +60,9 @@
 	return best
 }
 
-// starves reports whether a filler's job has had nothing running for so long that it
+// isStarving reports whether a filler's job has had nothing running for so long that it
 // starts beside others and takes its share of their processors.
-func (s *Scheduler) starves(now Time, t *task) bool {
+func (s *Scheduler) isStarving(now Time, t *task) bool {
 	st, after := t.step, milliseconds(s.policy.StarvedAfterMS)
 	if s.crowded {
 		after = milliseconds(s.policy.StarvedCrowdedMS)
@@ -70,13 +70,13 @@
 	return after > 0 && st.spec.Filler && !st.spec.Gang && st.occ.job.running == 0 && now-max(st.runnableAt, t.lastRunEnd) > after
 }
 
-// leastPressed returns the VM with memory for a starving filler on which it
+// leastAffectedVM returns the VM with memory for a starving filler on which it
 // presses least, or nil.
-func (s *Scheduler) leastPressed(now Time, t *task) *vm {
+func (s *Scheduler) leastAffectedVM(now Time, t *task) *vm {
 	var best *vm
 	least := 0.0
 	for _, v := range s.vmList {
-		if o := s.fits(now, v, t); o != obstacleNone && o != obstacleLeftover {
+		if o := s.placementObstacle(now, v, t); o != obstacleNone && o != obstacleLeftover {
 			continue
 		}
 		p := s.pressure(now, v, t.step.spec.Image, t.step.spec.Need.MilliCPU)
@@ -91,8 +91,8 @@
 	return best
 }
 
-// rack is where a task of the step runs already, or "".
-func (st *step) rack() string {
+// currentRack is where a task of the step runs already, or "".
+func (st *step) currentRack() string {
 	for k := range st.tasks {
 		for _, r := range st.tasks[k].runs {
 			return r.vm.inst.Rack()
@@ -107,7 +107,7 @@
 // The obstacles. obstaclePressure is last: it is found with the score.
 const (
 	obstacleNone obstacle = iota
-	obstacleUnheard
+	obstacleUnreachable
 	obstacleRestarted
 	obstacleDraining
 	obstaclePool
@@ -121,26 +121,26 @@
 	obstacleLeftover
 	obstacleAdvice
 	obstaclePressure
-	obstacles
+	obstacleCount
 )
 
-var obstacleNames = [obstacles]string{"none", "unheard", "restarted", "draining", "pool", "suspected", "per_vm", "trial", "capacity", "processor", "reserve", "memory", "leftover", "advice", "pressure"}
+var obstacleNames = [obstacleCount]string{"none", "unheard", "restarted", "draining", "pool", "suspected", "per_vm", "trial", "capacity", "processor", "reserve", "memory", "leftover", "advice", "pressure"}
 
-// mostUnacked is how many ends a VM may have to be acknowledged and get new work: it
+// maxUnackedEnds is how many ends a VM may have to be acknowledged and get new work: it
 // tells 500 at a time, and a run whose end is beyond them is in doubt.
-const mostUnacked = 200
+const maxUnackedEnds = 200
 
-// fits reports what keeps the VM from being given the task now.
-func (s *Scheduler) fits(now Time, v *vm, t *task) obstacle {
+// placementObstacle reports what keeps the VM from being given the task now.
+func (s *Scheduler) placementObstacle(now Time, v *vm, t *task) obstacle {
 	spec := t.step.spec
 	switch {
 	case v.inst.Pool != t.step.occ.job.pool || !v.inst.HasLabel(spec.Label):
 		return obstaclePool
 	case !v.hasReported || !v.listed || v.isUnresponsive(now) || v.firstUnansweredAt > 0 || len(v.unknownRuns) > 0:
-		return obstacleUnheard
+		return obstacleUnreachable
 	case !v.entryMatchesIncarnation(), !v.fenced, v.otherIncarnation, s.startedSinceConfirmedTenure(v):
 		return obstacleRestarted
-	case v.inst.Draining || v.closed || v.ackLimit > 0 || v.processedSeq-v.durableSeq > mostUnacked:
+	case v.inst.Draining || v.closed || v.ackLimit > 0 || v.processedSeq-v.durableSeq > maxUnackedEnds:
 		return obstacleDraining
 	case s.policy.Quarantine && !v.health.usable(now, spec):
 		return obstacleSuspected
@@ -148,7 +148,7 @@
 		return obstaclePerVM
 	case v.onTrial(now, t):
 		return obstacleTrial
-	case s.mayOverfill(now, v):
+	case s.mayExceedCapacity(now, v):
 		return obstacleCapacity
 	}
 	free := v.inst.Capacity.Sub(v.used)
@@ -157,9 +157,9 @@
 		return obstacleMemory
 	case !spec.Filler && spec.Need.MilliCPU > free.MilliCPU:
 		return obstacleProcessor
-	case spec.Lasting && !spec.Filler && !s.keeps(now, v, t, free):
+	case spec.Lasting && !spec.Filler && !s.leavesReserve(now, v, t, free):
 		return obstacleReserve
-	case spec.Filler && s.spare(now, v) < declaredUse*float64(spec.Need.MilliCPU):
+	case spec.Filler && s.fillerHeadroom(now, v) < fillerUseShare*float64(spec.Need.MilliCPU):
 		return obstacleLeftover
 	}
 	if s.needsAdvice(t.step) {
@@ -173,9 +173,9 @@
 // obstaclesOf counts, for a task that found no VM, how many VMs each obstacle
 // rules out.
 func (s *Scheduler) obstaclesOf(now Time, t *task) string {
-	var count [obstacles]int
+	var count [obstacleCount]int
 	for _, v := range s.vmList {
-		o := s.fits(now, v, t)
+		o := s.placementObstacle(now, v, t)
 		if o == obstacleNone {
 			o = obstaclePressure
 		}
@@ -190,13 +190,13 @@
 	return strings.TrimSpace(b.String())
 }
 
-// spare is what one more filler may be expected to get of the VM, in
+// fillerHeadroom is what one more filler may be expected to get of the VM, in
 // thousandths of a processor.
-func (s *Scheduler) spare(now Time, v *vm) float64 {
+func (s *Scheduler) fillerHeadroom(now Time, v *vm) float64 {
 	if v.servingRuns == 0 {
 		return fillerOvercommit*float64(v.inst.Capacity.MilliCPU-v.used.MilliCPU) - float64(v.fillerCPU)
 	}
-	s.tailsOf(now, v)
+	s.predictedTails(now, v)
 	return v.fillerCapacity - v.fillerFullUse
 }
 
@@ -218,14 +218,14 @@
 	return float64(same) / float64(max(v.servingCPU, 1))
 }
 
-// keptPurity rates an empty VM that is to be left to others: worse than any that serves.
-const keptPurity = -0.3
+// keepEmptyPurity rates an empty VM that is to be left to others: worse than any that serves.
+const keepEmptyPurity = -0.3
 
 // emptyPurity rates a VM that serves nothing, for a serving task: the last few are left
 // to fillers and short tasks as long as there is room elsewhere.
 func (s *Scheduler) emptyPurity() float64 {
 	if float64(s.nonServingVMs) <= s.policy.KeepEmpty*float64(s.reportedVMs) {
-		return keptPurity
+		return keepEmptyPurity
 	}
 	return s.policy.EmptyPurity
 }
@@ -241,20 +241,20 @@
 	}
 	switch {
 	case spec.Filler:
-		score = s.spare(now, v) / capacity
+		score = s.fillerHeadroom(now, v) / capacity
 		p := s.pressure(now, v, spec.Image, spec.Need.MilliCPU)
-		if limit := math.Log(s.policy.PeakLimit); s.policy.PeakLimit > 0 && (p.peak > limit || p.soon > limit) {
+		if limit := math.Log(s.policy.PeakLimit); s.policy.PeakLimit > 0 && (p.peak > limit || p.nearTerm > limit) {
 			return 0, false
 		}
-		score -= s.policy.EffectPenalty * max(0, p.effect-harmless)
+		score -= s.policy.EffectPenalty * max(0, p.effect-tolerableEffect)
 	case spec.Serves():
 		score = s.policy.PurityWeight*v.purity(spec.Image, s.emptyPurity()) - free
 	}
 	if spec.DataRack != "" && v.inst.Rack() != spec.DataRack {
-		score -= farPenalty
+		score -= mismatchPenalty
 	}
 	if spec.Need.Accelerators == 0 && v.inst.Capacity.Accelerators > 0 {
-		score -= farPenalty
+		score -= mismatchPenalty
 	}
 	return score, true
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// lateFactor: a job is worth something, though less, until this many times
+	// lateObjectiveFactor: a job is worth something, though less, until this many times
 	// its objective.
-	lateFactor = 3
-	// planEvery is how often waiting work is looked at when nothing has changed:
+	lateObjectiveFactor = 3
+	// planInterval is how often waiting work is looked at when nothing has changed:
 	// pauses after failures end by time.
-	planEvery = 50 * time.Millisecond
+	planInterval = 50 * time.Millisecond
 )
 
 // rank orders waiting steps.
 type rank struct {
 	group    rankGroup
 	priority int
-	// effort is the work that is still to come for what the job is worth. Where
+	// costPerValue is the work that is still to come for what the job is worth. Where
 	// more comes than there is room for, going by it serves more jobs, more work,
 	// and more of the largest tenth than going by slack, which begins them all and
 	// ends them late: 0.63 instead of 0.54 of the work on time, where twelve
 	// seconds bring twice the work (TestOverloadOfFillerChains).
-	effort float64
+	costPerValue float64
 	// slack is the time that may be lost without missing the objective.
 	slack time.Duration
 }
@@ -75,8 +75,8 @@
 	}
 	remaining := o.remaining()
 	slack := o.dueAt + j.objective - now - remaining
-	r := rank{group: groupOnTime, priority: j.priority, effort: s.effort(now, o), slack: slack}
-	if short(st.spec) && s.policy.ShortFirst {
+	r := rank{group: groupOnTime, priority: j.priority, costPerValue: s.costPerValue(now, o), slack: slack}
+	if isShort(st.spec) && s.policy.ShortFirst {
 		r.group = groupShort
 	}
 	if slack < 0 {
@@ -85,7 +85,7 @@
 		} else {
 			r.group = groupLate
 		}
-		r.slack = o.dueAt + lateFactor*j.objective - now - remaining
+		r.slack = o.dueAt + lateObjectiveFactor*j.objective - now - remaining
 		if r.slack < 0 {
 			r.group = groupHopeless
 			r.slack = o.dueAt - now
@@ -94,33 +94,33 @@
 	return r
 }
 
-// fixedWorth is the part of the mean job's worth that each job of a queue has,
+// fixedValueShare is the part of the mean job's worth that each job of a queue has,
 // however small; the rest goes by its work.
-const fixedWorth = 0.3
+const fixedValueShare = 0.3
 
-// effort is what the occurrence still takes of what is short, over its worth: work, or starts
+// costPerValue is what the occurrence still takes of what is short, over its worth: work, or starts
 // while the leader gives fewer than it could decide.
-func (s *Scheduler) effort(now Time, o *occurrence) float64 {
+func (s *Scheduler) costPerValue(now Time, o *occurrence) float64 {
 	if s.policy.Order != OrderWork {
 		return 0
 	}
-	worth := fixedWorth*s.meanWork[o.job.queue] + (1-fixedWorth)*o.job.work
+	worth := fixedValueShare*s.meanWork[o.job.queue] + (1-fixedValueShare)*o.job.work
 	if worth <= 0 {
 		return 0
 	}
-	if s.startsShort(now) {
+	if s.isStartLimited(now) {
 		return float64(o.remainingStarts()) / worth
 	}
 	return o.remainingWork() / worth
 }
 
-// startsShortFor is how long starts count as short after a plan had to leave some out: such
+// startLimitedDuration is how long starts count as short after a plan had to leave some out: such
 // plans come many times a second where the leader is full.
-const startsShortFor = time.Second
+const startLimitedDuration = time.Second
 
-// startsShort reports whether plans of late had to leave starts out.
-func (s *Scheduler) startsShort(now Time) bool {
-	return s.startLimitHitAt > 0 && now-s.startLimitHitAt < startsShortFor
+// isStartLimited reports whether plans of late had to leave starts out.
+func (s *Scheduler) isStartLimited(now Time) bool {
+	return s.startLimitHitAt > 0 && now-s.startLimitHitAt < startLimitedDuration
 }
 
 // remainingStarts is how many tasks are neither done nor have a run.
@@ -142,16 +142,16 @@
 	return sum
 }
 
-// meanGain is the weight of a new job in the mean work of its queue.
-const meanGain = 1.0 / 32
+// meanWorkWeight is the weight of a new job in the mean work of its queue.
+const meanWorkWeight = 1.0 / 32
 
-// noteWork takes a job's work into the mean of its queue.
-func (s *Scheduler) noteWork(j *job) {
+// updateMeanWork takes a job's work into the mean of its queue.
+func (s *Scheduler) updateMeanWork(j *job) {
 	mean, known := s.meanWork[j.queue]
 	if !known {
 		mean = j.work
 	}
-	s.meanWork[j.queue] = mean + meanGain*(j.work-mean)
+	s.meanWork[j.queue] = mean + meanWorkWeight*(j.work-mean)
 }
 
 // remaining is the longest chain of declared durations that is still to come.
@@ -175,16 +175,16 @@
 }
 
 func compareRanks(a, b rank) int {
-	return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.priority, b.priority), cmp.Compare(a.effort, b.effort), cmp.Compare(a.slack, b.slack))
+	return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.priority, b.priority), cmp.Compare(a.costPerValue, b.costPerValue), cmp.Compare(a.slack, b.slack))
 }
 
-// Throttle bounds the starts that are decided from now on, until it is called again: a leader
+// SetStartBudget bounds the starts that are decided from now on, until it is called again: a leader
 // that is behind with the starts that it has can't have others overtake them. A gang is
 // started whole.
-func (s *Scheduler) Throttle(room Room) { s.startBudget = room }
+func (s *Scheduler) SetStartBudget(room StartBudget) { s.startBudget = room }
 
-// RoomLeft is what is left of it.
-func (s *Scheduler) RoomLeft() Room { return s.startBudget }
+// StartBudgetLeft is what is left of it.
+func (s *Scheduler) StartBudgetLeft() StartBudget { return s.startBudget }
 
 // mayStart reports whether there is room for a start of a step.
 func (s *Scheduler) mayStart(st *step) bool {
@@ -194,14 +194,14 @@
 // Plan starts what can be started and returns the orders to carry out. The rest
 // waits in the order of its rank.
 func (s *Scheduler) Plan(now Time) []Order {
-	if s.planNeeded || now-s.plannedAt >= planEvery {
+	if s.planNeeded || now-s.plannedAt >= planInterval {
 		s.plannedAt = now
 		s.planNeeded = false
 		s.planWaves(now)
 		if s.startBudget.Starts > 0 {
 			s.startWaiting(now)
 		}
-		if s.startBudget.short() {
+		if s.startBudget.exhausted() {
 			// What was left out is to be looked at as soon as there is room.
 			s.planNeeded = true
 			s.startLimitHitAt = now
@@ -224,8 +224,8 @@
 		st.rank = s.rank(now, st)
 	}
 	slices.SortStableFunc(s.readySteps, func(a, b *step) int { return compareRanks(a.rank, b.rank) })
-	s.followShort(now)
-	round := &round{now: now}
+	s.updateShortUse(now)
+	round := &planPass{now: now}
 	for _, st := range s.readySteps {
 		if !s.mayStart(st) {
 			return
@@ -234,23 +234,23 @@
 	}
 }
 
-// mostFailures bounds the needs that find no VM in one pass: each look at all VMs
+// maxFailedNeeds bounds the needs that find no VM in one pass: each look at all VMs
 // takes some 20 us at 350, and what stands far back in the queue gets its turn
 // when the room changes.
-const mostFailures = 60
+const maxFailedNeeds = 60
 
-// round is one pass over the waiting steps.
-type round struct {
+// planPass is one pass over the waiting steps.
+type planPass struct {
 	now Time
 	// failed holds the needs for which no VM was found in this pass.
-	failed []need
-	// suspects counts those that were looked at for a trial, overdue those whose patience is
+	failed []placementNeed
+	// suspectCount counts those that were looked at for a trial, overdue those whose patience is
 	// over.
-	suspects, overdue int
+	suspectCount, overdueCount int
 }
 
-// need is what makes a VM suitable.
-type need struct {
+// placementNeed is what makes a VM suitable.
+type placementNeed struct {
 	pool  string
 	label string
 	// image is that of a filler: where one presses too hard, another may not.
@@ -260,8 +260,8 @@
 	res     batch.Resources
 }
 
-// hopeless reports whether something that asks for no more has found no VM.
-func (r *round) hopeless(n need) bool {
+// unplaceable reports whether something that asks for no more has found no VM.
+func (r *planPass) unplaceable(n placementNeed) bool {
 	for i := range r.failed {
 		f := &r.failed[i]
 		if f.pool == n.pool && f.filler == n.filler && f.image == n.image && f.lasting == n.lasting && (f.label == "" || f.label == n.label) && f.res.FitsIn(n.res) {
@@ -271,16 +271,16 @@
 	return false
 }
 
-func (s *Scheduler) startStep(r *round, st *step) {
+func (s *Scheduler) startStep(r *planPass, st *step) {
 	j := st.occ.job
 	if len(s.awaitedVMs) > 0 && j.predatesLeader {
 		return
 	}
-	n := need{pool: j.pool, label: st.spec.Label, filler: st.spec.Filler, lasting: st.spec.Lasting, res: st.spec.Need}
+	n := placementNeed{pool: j.pool, label: st.spec.Label, filler: st.spec.Filler, lasting: st.spec.Lasting, res: st.spec.Need}
 	if st.spec.Filler {
 		n.image = st.spec.Image
 	}
-	if (r.hopeless(n) || len(r.failed) >= mostFailures) && !s.starves(r.now, &st.tasks[0]) {
+	if (r.unplaceable(n) || len(r.failed) >= maxFailedNeeds) && !s.isStarving(r.now, &st.tasks[0]) {
 		return
 	}
 	if st.spec.Gang {
@@ -315,16 +315,16 @@
 			continue
 		}
 		var v *vm
-		if s.shared(t) {
+		if s.usesCandidateList(t) {
 			if list == nil {
 				list = s.candidatesFor(r.now, t)
 			}
-			v = s.take(r.now, list, t)
+			v = s.takeBest(r.now, list, t)
 		} else {
-			v = s.choose(r.now, t)
+			v = s.chooseVM(r.now, t)
 		}
-		if v == nil && s.starves(r.now, t) {
-			v = s.leastPressed(r.now, t)
+		if v == nil && s.isStarving(r.now, t) {
+			v = s.leastAffectedVM(r.now, t)
 		}
 		if v == nil {
 			s.explainWait(r.now, t)
@@ -337,13 +337,13 @@
 			}
 			return
 		}
-		s.start(r.now, t, v, s.number())
+		s.start(r.now, t, v, s.nextRunNumber())
 	}
 }
 
 // startGang starts all members at once, or none: a member alone holds its room
 // without making progress.
-func (s *Scheduler) startGang(r *round, st *step) {
+func (s *Scheduler) startGang(r *planPass, st *step) {
 	for k := range st.tasks {
 		if len(st.tasks[k].runs) > 0 || !s.isStartable(r.now, &st.tasks[k]) {
 			return
@@ -353,7 +353,7 @@
 	if st.isSuspect() {
 		held = s.reserveGangTrial(r.now, st)
 	} else {
-		held = s.holdGang(r.now, st, s.number(), s.choose)
+		held = s.allocateGang(r.now, st, s.nextRunNumber(), s.chooseVM)
 	}
 	if held == nil {
 		return
@@ -370,8 +370,8 @@
 	}
 }
 
-// holdGang takes room for all members of a gang, or returns nil.
-func (s *Scheduler) holdGang(now Time, st *step, number int64, choose func(Time, *task) *vm) []*run {
+// allocateGang takes room for all members of a gang, or returns nil.
+func (s *Scheduler) allocateGang(now Time, st *step, number int64, choose func(Time, *task) *vm) []*run {
 	held := make([]*run, 0, len(st.tasks))
 	for k := range st.tasks {
 		v := choose(now, &st.tasks[k])
@@ -388,7 +388,7 @@
 	return held
 }
 
-func (s *Scheduler) number() int64 {
+func (s *Scheduler) nextRunNumber() int64 {
 	s.nextRun++
 	return s.nextRun
 }
@@ -423,13 +423,13 @@
 	})
 }
 
-// explainEvery is how often a waiting task's obstacles are logged.
-const explainEvery = 500 * time.Millisecond
+// explainInterval is how often a waiting task's obstacles are logged.
+const explainInterval = 500 * time.Millisecond
 
 // explainWait logs what keeps a task waiting: that of the first in the queue,
 // now and then.
 func (s *Scheduler) explainWait(now Time, t *task) {
-	if now-s.waitLoggedAt < explainEvery {
+	if now-s.waitLoggedAt < explainInterval {
 		return
 	}
 	s.waitLoggedAt = now
--- a/internal/scheduler/policy_test.go
+++ b/internal/scheduler/policy_test.go
@@ -12,7 +12,7 @@
 }
 
 // A policy that makes no sense is refused with the field and the fix.
-func TestPoliciesThatAreRefused(t *testing.T) {
+func TestInvalidPoliciesAreRejected(t *testing.T) {
 	for field, change := range map[string]func(*Policy){
 		"order":                func(p *Policy) { p.Order = "random" },
 		"placement":            func(p *Policy) { p.Placement = "" },
--- a/internal/scheduler/replay_test.go
+++ b/internal/scheduler/replay_test.go
@@ -9,7 +9,7 @@
 
 // pressingPairs makes three families of images: the fillers of each press on what
 // serves in it, and on nothing else; the fourth presses on nobody.
-func (p *player) pressingPairs() (servingImages, fillerImages []string) {
+func (p *simulation) pressingPairs() (servingImages, fillerImages []string) {
 	servingImages = []string{"web-a", "api-a", "web-b", "api-b", "web-c", "api-c"}
 	fillerImages = []string{"crunch-a", "index-a", "crunch-b", "index-b", "crunch-c", "crunch-d"}
 	for _, s := range servingImages {
@@ -31,15 +31,15 @@
 // processors at the swing's peak on nobody.
 func TestFillersBesideSwingingLoads(t *testing.T) {
 	for seed := range uint64(3) {
-		p := newPlayer(t, 40, seed)
+		p := newSimulation(t, 40, seed)
 		servingImages, fillerImages := p.pressingPairs()
-		p.serve(36, 5, servingImages...)
+		p.submitServing(36, 5, servingImages...)
 		// 40 VMs have 2560 processors; some 1300 are left by what serves.
-		p.fill(5.3, 8, p.now+4*time.Second, 40*time.Second, fillerImages...)
-		p.fill(5.3, 8, 20*time.Second, 26*time.Second, fillerImages...)
-		p.play(46 * time.Second)
-		t.Logf("seed %d: over target %.4f, fillers on time %.3f, filler work %.0f processor seconds", seed, p.over(), onTime(p.fillers(38*time.Second)), p.doneWork)
-		require.Less(t, p.over(), 0.02)
+		p.submitFillers(5.3, 8, p.now+4*time.Second, 40*time.Second, fillerImages...)
+		p.submitFillers(5.3, 8, 20*time.Second, 26*time.Second, fillerImages...)
+		p.runUntil(46 * time.Second)
+		t.Logf("seed %d: over target %.4f, fillers on time %.3f, filler work %.0f processor seconds", seed, p.overTargetShare(), onTime(p.fillers(38*time.Second)), p.doneWork)
+		require.Less(t, p.overTargetShare(), 0.02)
 		require.Greater(t, onTime(p.fillers(38*time.Second)), 0.5)
 	}
 }
@@ -54,17 +54,17 @@
 	const seeds = 8
 	var jobsOnTime, work, largest float64
 	for seed := range uint64(seeds) {
-		p := newPlayer(t, 40, seed)
+		p := newSimulation(t, 40, seed)
 		servingImages, fillerImages := p.pressingPairs()
-		p.serve(36, 5, servingImages...)
-		p.fillChains(4, p.now+4*time.Second, 40*time.Second, fillerImages...)
-		p.fillChains(4, 14*time.Second, 26*time.Second, fillerImages...)
-		p.play(60 * time.Second)
+		p.submitServing(36, 5, servingImages...)
+		p.submitFillerChains(4, p.now+4*time.Second, 40*time.Second, fillerImages...)
+		p.submitFillerChains(4, 14*time.Second, 26*time.Second, fillerImages...)
+		p.runUntil(60 * time.Second)
 		jobs := p.fillers(40 * time.Second)
 		jobsOnTime += onTime(jobs) / seeds
 		work += workOnTime(jobs) / seeds
 		largest += onTime(jobs[len(jobs)*9/10:]) / seeds
-		require.Less(t, p.over(), 0.02)
+		require.Less(t, p.overTargetShare(), 0.02)
 	}
 	t.Logf("on time: %.3f of the jobs, %.3f of the work, %.3f of the largest tenth", jobsOnTime, work, largest)
 	require.Greater(t, work, 0.585)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -75,8 +75,8 @@
 	v.tailsStale = true
 	s.observeTails(now, v)
 	s.images.solve(now)
-	s.pace(now, v)
-	s.rescue(now, v)
+	s.updatePaces(now, v)
+	s.rescueStragglers(now, v)
 	return true
 }
 
@@ -104,9 +104,9 @@
 		return nil
 	}
 	s.recordAlive(now, r)
-	r.follow(now, st.Progress)
+	r.recordProgress(now, st.Progress)
 	r.usage, r.hasUsage = st.Usage, st.HasUsage
-	r.noteFullUse(now)
+	r.recordFullUse(now)
 	if st.Checkpoint != "" {
 		r.checkpoint = st.Checkpoint
 		r.task.checkpoint = st.Checkpoint
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -17,51 +17,51 @@
 // would be too narrow for a short task of four processors.
 
 const (
-	// reserveStart is the share kept before anything is known.
-	reserveStart = 0.05
-	// reservePeak is the ratio of the kept share to the mean use: arrivals come
+	// initialReserve is the share kept before anything is known.
+	initialReserve = 0.05
+	// reservePeakRatio is the ratio of the kept share to the mean use: arrivals come
 	// in bursts.
-	reservePeak = 1.0
-	// reserveRise and reserveFall are the time constants of the mean.
-	reserveRise = 2 * time.Second
-	reserveFall = 15 * time.Second
+	reservePeakRatio = 1.0
+	// reserveRiseTime and reserveFallTime are the time constants of the mean.
+	reserveRiseTime = 2 * time.Second
+	reserveFallTime = 15 * time.Second
 )
 
 // reserve follows the use of short tasks.
 type reserve struct {
 	// use is the mean share of all processors that short tasks use or wait for.
-	use float64
-	at  Time
-	set bool
+	use         float64
+	updatedAt   Time
+	initialized bool
 }
 
-// short reports whether a step's tasks hold processors of their own for a while only.
-func short(spec *batch.Step) bool { return !spec.Lasting && !spec.Filler }
+// isShort reports whether a step's tasks hold processors of their own for a while only.
+func isShort(spec *batch.Step) bool { return !spec.Lasting && !spec.Filler }
 
-// follow takes the share of now into the mean.
-func (r *reserve) follow(now Time, use float64) {
-	if !r.set {
-		*r = reserve{use: reserveStart / reservePeak, at: now, set: true}
+// update takes the share of now into the mean.
+func (r *reserve) update(now Time, use float64) {
+	if !r.initialized {
+		*r = reserve{use: initialReserve / reservePeakRatio, updatedAt: now, initialized: true}
 	}
-	constant := reserveFall
+	constant := reserveFallTime
 	if use > r.use {
-		constant = reserveRise
+		constant = reserveRiseTime
 	}
-	r.use += (use - r.use) * (1 - math.Exp(-float64(now-r.at)/float64(constant)))
-	r.at = now
+	r.use += (use - r.use) * (1 - math.Exp(-float64(now-r.updatedAt)/float64(constant)))
+	r.updatedAt = now
 }
 
 // share is the part of all processors that lasting tasks leave free, at most so much:
 // lasting work is not to be crowded out.
-func (r *reserve) share(most float64) float64 { return min(reservePeak*r.use, most) }
+func (r *reserve) share(most float64) float64 { return min(reservePeakRatio*r.use, most) }
 
-// crowdedAt is the share of all processors declared by lasting and short tasks from
+// crowdedShare is the share of all processors declared by lasting and short tasks from
 // which the fleet counts as crowded: below half of it in use nobody may be left waiting.
-const crowdedAt = 0.6
+const crowdedShare = 0.6
 
-// followShort measures what short tasks use and wait for, whether the fleet is crowded,
+// updateShortUse measures what short tasks use and wait for, whether the fleet is crowded,
 // and how many VMs serve nothing.
-func (s *Scheduler) followShort(now Time) {
+func (s *Scheduler) updateShortUse(now Time) {
 	capacity, use, held := 0.0, 0.0, 0.0
 	s.reportedVMs, s.nonServingVMs = 0, 0
 	for _, v := range s.vmList {
@@ -76,24 +76,24 @@
 		}
 	}
 	for _, st := range s.readySteps {
-		if short(st.spec) {
+		if isShort(st.spec) {
 			use += float64(st.waiting) * float64(st.spec.Need.MilliCPU)
 		}
 	}
 	if capacity > 0 {
-		s.reserve.follow(now, min(use/capacity, 1))
-		s.crowded = held >= crowdedAt*capacity
+		s.reserve.update(now, min(use/capacity, 1))
+		s.crowded = held >= crowdedShare*capacity
 	}
 }
 
-// reserves reports whether the VM is one that keeps a reserve.
-func (v *vm) reserves(on int) bool { return xxhash.Sum64String(v.inst.ID)%uint64(on) == 0 }
+// keepsReserve reports whether the VM is one that keeps a reserve.
+func (v *vm) keepsReserve(on int) bool { return xxhash.Sum64String(v.inst.ID)%uint64(on) == 0 }
 
-// keeps reports whether a lasting task leaves the VM's reserve free, or need not
+// leavesReserve reports whether a lasting task leaves the VM's reserve free, or need not
 // because it ran before or has waited for long: when a VM dies, what it ran has to be
 // at work again within nine seconds, and its lease takes eight of them.
-func (s *Scheduler) keeps(now Time, v *vm, t *task, free batch.Resources) bool {
-	if t.lastRunEnd > 0 || now-t.step.runnableAt > milliseconds(s.policy.ReservePatienceMS) || !v.reserves(s.policy.ReserveOn) {
+func (s *Scheduler) leavesReserve(now Time, v *vm, t *task, free batch.Resources) bool {
+	if t.lastRunEnd > 0 || now-t.step.runnableAt > milliseconds(s.policy.ReservePatienceMS) || !v.keepsReserve(s.policy.ReserveOn) {
 		return true
 	}
 	left := float64(free.MilliCPU - t.step.spec.Need.MilliCPU)
--- a/internal/scheduler/restarts_waves_test.go
+++ b/internal/scheduler/restarts_waves_test.go
@@ -12,7 +12,7 @@
 // A machine that comes back from its maintenance with its VM under the same ID counted as
 // down for ever, and the wave stood still.
 func TestMachineThatIsBackUnderItsIDIsNotDown(t *testing.T) {
-	f, machines, first := firstMaintained(t)
+	f, machines, first := acceptFirstMaintenance(t)
 	down := append([]batch.Machine(nil), machines...)
 	for i := range down {
 		if down[i].Name == first.Machine {
@@ -24,5 +24,5 @@
 	f.advance(2 * time.Second)
 	f.s.SetMachines(f.now, f.now, machines)
 	f.s.SetInstances(f.now, f.list)
-	require.NotEqual(t, first.Machine, untilMaintained(f, nil).Machine)
+	require.NotEqual(t, first.Machine, runUntilMaintained(f, nil).Machine)
 }
--- a/internal/scheduler/startlog_test.go
+++ b/internal/scheduler/startlog_test.go
@@ -172,7 +172,7 @@
 	late := f.s.PendingStarts(f.now, false)
 	f.s.StartsNotWritten(f.now, late, true)
 	f.s.Submit(f.now, oldJob(nil))
-	f.advance(planEvery)
+	f.advance(planInterval)
 	f.plan()
 	vm := f.last("old.0.0.0").Instance.ID
 	second := f.s.PendingStarts(f.now, false)
@@ -239,7 +239,7 @@
 			break
 		}
 		f.write()
-		f.advance(planEvery)
+		f.advance(planInterval)
 	}
 	o := f.last("old.0.0.0")
 	require.True(t, f.s.PrepareStart(f.now, o))
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -155,7 +155,7 @@
 	// baseline is what the step's load alone does to its tails, where it serves.
 	baseline baseline
 	// tailSamples are the tails that its tasks have told of late, where it serves.
-	tailSamples figureLog
+	tailSamples tailSamples
 	// runsPerVM counts the runs on each VM, where the step bounds them.
 	runsPerVM map[*vm]int
 }
@@ -273,7 +273,7 @@
 	// ackLimit, where set, is the first end that is never acknowledged; see withhold.
 	ackLimit int64
 	// unwantedRuns are runs that do not count and were ordered to stop.
-	unwantedRuns []unwanted
+	unwantedRuns []unwantedRun
 	// health rates failures of late; see health.go.
 	health health
 	// otherIncarnation is set when an order was answered by another start than the one that reported,
@@ -313,7 +313,7 @@
 	recentFillers []endedFiller
 	// tailExcess is how much longer the tails here are than predicted, as a logarithm.
 	tailExcess float64
-	// tails is worked out from runs; see tailsOf.
+	// tails is worked out from runs; see predictedTails.
 	tails []tail
 	// fillerCapacity is what fillers may use, fillerFullUse what those that run use at full pace,
 	// in thousandths of a processor; worked out with the tails.
@@ -388,12 +388,12 @@
 	// planNeeded is set when a plan may find something new to do.
 	planNeeded bool
 	// startBudget is how many more starts may be decided; see Throttle.
-	startBudget Room
+	startBudget StartBudget
 	// startLimitHitAt is when it last left some out, 0 for never.
 	startLimitHitAt Time
 	// meanWork is the mean work of each queue's jobs of late, in processor seconds.
 	meanWork map[string]float64
-	images   images
+	images   effectModel
 	reserve  reserve
 	// candidates is the list in use for the step that is being placed.
 	candidates candidates
@@ -423,9 +423,9 @@
 		policy = *settings.Policy
 	}
 	return &Scheduler{
-		startBudget: Unthrottled,
+		startBudget: UnlimitedStarts,
 		settings:    settings, policy: policy, fence: fence, maxToken: fence, nextRun: fence << runNumberBits, vms: map[string]*vm{}, jobs: map[string]*job{},
-		timedJobs: map[string]*job{}, dirtyJobs: map[string]*job{}, waves: map[int64]*wave{}, awaitedVMs: map[string]Time{}, recentVMEnds: map[vmIncarnation]vmEnd{}, unconfirmedCrashes: map[vmIncarnation]map[*task]int64{}, startLog: startLog{inherited: map[vmIncarnation][]*inheritedStart{}, lostVMs: map[string]bool{}}, expiredLeases: map[string]ExpiredLease{}, unknownJobsSince: map[string]Time{}, absentJobs: map[string]Time{}, images: newImages(), meanWork: map[string]float64{}, logf: log,
+		timedJobs: map[string]*job{}, dirtyJobs: map[string]*job{}, waves: map[int64]*wave{}, awaitedVMs: map[string]Time{}, recentVMEnds: map[vmIncarnation]vmEnd{}, unconfirmedCrashes: map[vmIncarnation]map[*task]int64{}, startLog: startLog{inherited: map[vmIncarnation][]*inheritedStart{}, lostVMs: map[string]bool{}}, expiredLeases: map[string]ExpiredLease{}, unknownJobsSince: map[string]Time{}, absentJobs: map[string]Time{}, images: newEffectModel(), meanWork: map[string]float64{}, logf: log,
 	}
 }
 
--- a/internal/scheduler/straggler_test.go
+++ b/internal/scheduler/straggler_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// progressing is a report of runs with their progress.
-func progressing(percent int, orders ...Order) batch.Report {
+// progressReport is a report of runs with their progress.
+func progressReport(percent int, orders ...Order) batch.Report {
 	rep := runningReport(orders...)
 	for i := range rep.Running {
 		rep.Running[i].Progress = percent
@@ -29,7 +29,7 @@
 	f.confirm(o)
 	for range 3 {
 		f.advance(900 * time.Millisecond)
-		f.reportAll(map[string]batch.Report{o.Instance.ID: progressing(0, o)})
+		f.reportAll(map[string]batch.Report{o.Instance.ID: progressReport(0, o)})
 		f.plan()
 	}
 	require.Len(t, f.stops, 1)
@@ -49,7 +49,7 @@
 	f.confirm(o)
 	for i := range 5 {
 		f.advance(time.Second)
-		f.reportAll(map[string]batch.Report{o.Instance.ID: progressing(10*i, o)})
+		f.reportAll(map[string]batch.Report{o.Instance.ID: progressReport(10*i, o)})
 		f.plan()
 	}
 	require.Empty(t, f.stops)
@@ -70,7 +70,7 @@
 	if other == first.Instance.ID {
 		other = f.list[1].ID
 	}
-	f.advance(f.s.vms[first.Instance.ID].holdWait + copySlack + time.Millisecond)
+	f.advance(f.s.vms[first.Instance.ID].holdWait + copyDelay + time.Millisecond)
 	f.report(other, batch.Report{})
 	f.s.Tick(f.now)
 	f.plan()
--- a/internal/scheduler/tails.go
+++ b/internal/scheduler/tails.go
@@ -8,59 +8,59 @@
 // tail is what is predicted for the tasks of one serving image on a VM, as
 // logarithms of shares of their targets, with all fillers at full pace.
 type tail struct {
-	image string
-	pair  *slopes
+	image  string
+	slopes *slopes
 	// peak is for the peak of the load, soon for the next second.
-	peak, soon float64
+	peak, nearTerm float64
 }
 
 const (
-	// tailsValid is how long predicted tails are used.
-	tailsValid = 100 * time.Millisecond
-	// paceLead is how far ahead a rising load is looked at: an order takes 0.1 s
+	// tailsMaxAge is how long predicted tails are used.
+	tailsMaxAge = 100 * time.Millisecond
+	// paceLookahead is how far ahead a rising load is looked at: an order takes 0.1 s
 	// to work, and the next report comes within 0.6 s.
-	paceLead = 700 * time.Millisecond
+	paceLookahead = 700 * time.Millisecond
 	// excessNoise is the excess that the figures' noise alone gives.
 	excessNoise = 0.1
 	// maxExcess bounds what an unexplained excess may hold back.
 	maxExcess = 0.5
 )
 
-// held is the excess of the VM's tails that the model does not explain, as far as
+// unexplainedExcess is the excess of the VM's tails that the model does not explain, as far as
 // it is not noise.
-func (v *vm) held() float64 { return min(max(v.tailExcess-excessNoise, 0), maxExcess) }
+func (v *vm) unexplainedExcess() float64 { return min(max(v.tailExcess-excessNoise, 0), maxExcess) }
 
-// soon is the level of the step's load that fillers have to leave room for now:
+// nearTermLevel is the level of the step's load that fillers have to leave room for now:
 // that of the next second where it rises.
-func (b *baseline) soon(now Time) float64 {
-	return max(b.forecast(now, baselineAge), b.forecast(now, baselineAge+paceLead))
+func (b *baseline) nearTermLevel(now Time) float64 {
+	return max(b.forecast(now, meanSampleAge), b.forecast(now, meanSampleAge+paceLookahead))
 }
 
-// roomLead is how far ahead a filler that starts has to have room.
-const roomLead = 1500 * time.Millisecond
+// headroomLookahead is how far ahead a filler that starts has to have room.
+const headroomLookahead = 1500 * time.Millisecond
 
-// roomFor is what fillers may use of the VM now and after some time, in
+// fillerBudget is what fillers may use of the VM now and after some time, in
 // thousandths of a processor, where limit is the share of all that may be in use.
-func (v *vm) roomFor(now Time, ahead time.Duration, limit float64) float64 {
+func (v *vm) fillerBudget(now Time, ahead time.Duration, limit float64) float64 {
 	rest := limit*v.capacityMilliCPU() - float64(v.used.MilliCPU-v.servingCPU)
 	return rest - max(v.servingUse(now, 0), v.servingUse(now, ahead))
 }
 
-// tailsOf returns the VM's predicted tails.
-func (s *Scheduler) tailsOf(now Time, v *vm) []tail {
+// predictedTails returns the VM's predicted tails.
+func (s *Scheduler) predictedTails(now Time, v *vm) []tail {
 	if v.servingRuns == 0 {
 		return nil
 	}
-	if !v.tailsStale && now-v.tailsAt < tailsValid {
+	if !v.tailsStale && now-v.tailsAt < tailsMaxAge {
 		return v.tails
 	}
 	v.tails = v.tails[:0]
-	v.fillerCapacity = v.roomFor(now, roomLead, s.policy.RoomLimit)
+	v.fillerCapacity = v.fillerBudget(now, headroomLookahead, s.policy.RoomLimit)
 	v.fillerFullUse = 0
 	for _, r := range v.runList {
 		st := r.task.step
 		if st.spec.Serves() {
-			v.addTail(s.images.pair(st.spec.Image), st.spec.Image, st.baseline.peak(now), st.baseline.soon(now)+v.held())
+			v.addTail(s.images.slopesOf(st.spec.Image), st.spec.Image, st.baseline.peak(now), st.baseline.nearTermLevel(now)+v.unexplainedExcess())
 		}
 	}
 	for _, r := range v.runList {
@@ -69,11 +69,11 @@
 			continue
 		}
 		v.fillerFullUse += r.fullUse()
-		number, use := s.images.number(spec.Image), r.fullUse()/v.capacityMilliCPU()
+		number, use := s.images.imageIndex(spec.Image), r.fullUse()/v.capacityMilliCPU()
 		for i := range v.tails {
-			e := v.tails[i].pair.effect(number, use)
+			e := v.tails[i].slopes.effect(number, use)
 			v.tails[i].peak += e
-			v.tails[i].soon += e
+			v.tails[i].nearTerm += e
 		}
 	}
 	v.tailsAt, v.tailsStale = now, false
@@ -83,22 +83,22 @@
 func (v *vm) addTail(pair *slopes, image string, peak, soon float64) {
 	for i := range v.tails {
 		if t := &v.tails[i]; t.image == image {
-			t.peak, t.soon = max(t.peak, peak), max(t.soon, soon)
+			t.peak, t.nearTerm = max(t.peak, peak), max(t.nearTerm, soon)
 			return
 		}
 	}
-	v.tails = append(v.tails, tail{image: image, pair: pair, peak: peak, soon: soon})
+	v.tails = append(v.tails, tail{image: image, slopes: pair, peak: peak, nearTerm: soon})
 }
 
-// atWork reports whether a serving run is past its startup and tells a tail.
-func (r *run) atWork() bool {
+// startedProgress reports whether a serving run is past its startup and tells a tail.
+func (r *run) reportsTail() bool {
 	return r.state == running && r.hasUsage && r.usage > 0 && r.progress >= 100
 }
 
-// ratio is a serving run's tail as a share of its target.
-func (r *run) ratio() float64 {
+// tailRatio is a serving run's tail as a share of its target.
+func (r *run) tailRatio() float64 {
 	if !r.hasUsage || r.usage <= 0 {
-		return unknownPeak
+		return assumedPeak
 	}
 	return r.usage / (float64(r.task.step.spec.TailTarget) / float64(time.Millisecond))
 }
@@ -110,23 +110,23 @@
 	effect float64
 	// worst is the highest tail soon; peak the highest at the peak of the load, and
 	// soon the highest soon, of those that the filler has an effect on.
-	worst, peak, soon float64
+	worst, peak, nearTerm float64
 }
 
 // pressure predicts the tails on a VM with one more filler of an image that uses
 // so many thousandths of a processor.
 func (s *Scheduler) pressure(now Time, v *vm, image string, milliCPU int64) pressure {
-	p := pressure{worst: math.Inf(-1), peak: math.Inf(-1), soon: math.Inf(-1)}
-	number := s.images.number(image)
+	p := pressure{worst: math.Inf(-1), peak: math.Inf(-1), nearTerm: math.Inf(-1)}
+	number := s.images.imageIndex(image)
 	share := float64(milliCPU) / v.capacityMilliCPU()
-	for i := range s.tailsOf(now, v) {
+	for i := range s.predictedTails(now, v) {
 		t := &v.tails[i]
-		e := t.pair.effect(number, share)
+		e := t.slopes.effect(number, share)
 		p.effect = max(p.effect, e)
-		p.worst = max(p.worst, t.soon+e)
-		if e > negligible {
+		p.worst = max(p.worst, t.nearTerm+e)
+		if e > negligibleEffect {
 			p.peak = max(p.peak, t.peak+e)
-			p.soon = max(p.soon, t.soon+e)
+			p.nearTerm = max(p.nearTerm, t.nearTerm+e)
 		}
 	}
 	return p
--- a/internal/scheduler/trials.go
+++ b/internal/scheduler/trials.go
@@ -93,13 +93,13 @@
 
 // admitsSuspect reports whether a suspect is looked at in this pass, and lets its patience
 // begin in any case: those that wait for trials must not keep the others from starting.
-func (r *round) admitsSuspect(t *task) bool {
+func (r *planPass) admitsSuspect(t *task) bool {
 	if t.suspectSince == 0 {
 		t.suspectSince = r.now
 	}
-	count := &r.suspects
+	count := &r.suspectCount
 	if t.isOverdue(r.now) {
-		count = &r.overdue
+		count = &r.overdueCount
 	}
 	*count++
 	return *count <= maxSuspectsPerPass
@@ -123,9 +123,9 @@
 	case free:
 		s.reserveForTrial(now, best, t)
 	case t.isOverdue(now) && s.recordIntent(t):
-		v := s.choose(now, t)
-		if v == nil && s.starves(now, t) {
-			v = s.leastPressed(now, t)
+		v := s.chooseVM(now, t)
+		if v == nil && s.isStarving(now, t) {
+			v = s.leastAffectedVM(now, t)
 		}
 		if v != nil {
 			s.startExclusive(now, t, v, false)
@@ -159,16 +159,16 @@
 		first.suspectSince = now
 	}
 	if first.intendedRun == 0 {
-		number := s.number()
+		number := s.nextRunNumber()
 		for k := range st.tasks {
 			s.setIntendedRun(&st.tasks[k], number)
 		}
 		return nil
 	}
-	held := s.holdGang(now, st, first.intendedRun, s.chooseForTrial)
+	held := s.allocateGang(now, st, first.intendedRun, s.chooseForTrial)
 	trial := held != nil
 	if !trial && now-first.suspectSince > maxTrialWait {
-		held = s.holdGang(now, st, first.intendedRun, s.choose)
+		held = s.allocateGang(now, st, first.intendedRun, s.chooseVM)
 	}
 	for _, h := range held {
 		h.isTrial, h.exclusive, h.vm.trialRun = trial, true, h
@@ -219,7 +219,7 @@
 
 // fitsTrial reports whether the VM may be given the task.
 func (s *Scheduler) fitsTrial(now Time, v *vm, t *task) bool {
-	if !s.hasRoom(now, v, t.step.spec) || s.fits(now, v, t) != obstacleNone {
+	if !s.hasCapacity(now, v, t.step.spec) || s.placementObstacle(now, v, t) != obstacleNone {
 		return false
 	}
 	_, ok := s.score(now, v, t.step.spec)
@@ -240,7 +240,7 @@
 // ends takes the count with it.
 func (s *Scheduler) recordIntent(t *task) bool {
 	if t.intendedRun == 0 {
-		s.setIntendedRun(t, s.number())
+		s.setIntendedRun(t, s.nextRunNumber())
 	}
 	return t.hasDurableCrashes()
 }
--- a/internal/scheduler/vms.go
+++ b/internal/scheduler/vms.go
@@ -50,7 +50,7 @@
 	before := v.inst.Capacity
 	v.listed = true
 	v.inst = inst
-	s.noteCapacity(v, before)
+	s.recordCapacity(v, before)
 }
 
 // AddUnlisted names an instance that earlier leaders used and that is off the
@@ -229,7 +229,7 @@
 
 // logInterference logs what was learned, now and then.
 func (s *Scheduler) logInterference(now Time) {
-	if now-s.interferenceLoggedAt > interferenceLogInterval && len(s.images.pairs) > 0 {
+	if now-s.interferenceLoggedAt > interferenceLogInterval && len(s.images.slopesByServing) > 0 {
 		s.interferenceLoggedAt = now
 		s.logf(Decision{Event: EventInterference, Reason: s.images.describe()})
 	}
@@ -239,7 +239,7 @@
 // starts copies of it where that is allowed, empties one that leaves, and takes
 // out one whose life has ended.
 func (s *Scheduler) tickVM(now Time, id string, v *vm) {
-	s.copyUnheard(now, v)
+	s.copyUnreachable(now, v)
 	if v.hasReported && now > v.leaseExpiry {
 		s.expireLeases(now, v)
 	}
--- a/internal/scheduler/waves.go
+++ b/internal/scheduler/waves.go
@@ -13,30 +13,30 @@
 // moved as fast as their steps' bounds allow, others get some time to end.
 
 const (
-	// emptyLeast and emptyMost bound the time that a machine's work has to end.
-	emptyLeast = 500 * time.Millisecond
-	emptyMost  = 8 * time.Second
-	// waveSpare is the part of a wave's time that is kept for maintenance itself.
-	waveSpare = 0.6
-	// maintainAgain is the wait after an order that was refused or not answered.
-	maintainAgain = 500 * time.Millisecond
+	// minEmptyTime and maxEmptyTime bound the time that a machine's work has to end.
+	minEmptyTime = 500 * time.Millisecond
+	maxEmptyTime = 8 * time.Second
+	// emptyingShare is the part of a wave's time that is kept for maintenance itself.
+	emptyingShare = 0.6
+	// maintainRetryDelay is the wait after an order that was refused or not answered.
+	maintainRetryDelay = 500 * time.Millisecond
 )
 
 // wave is one wave under way.
 type wave struct {
-	spec    batch.Wave
-	beganAt Time
+	spec      batch.Wave
+	startedAt Time
 	// begun are the machines whose maintenance has begun.
 	begun map[string]bool
-	// closed are the machines that are being emptied, with the time since when.
-	closed map[string]Time
-	// ordered are the machines whose order is under way or was not answered.
-	ordered map[string]Time
-	// lives holds the instance that each ordered machine had.
-	lives map[string]string
-	// accepted are the machines whose order was accepted, with the time since when,
+	// closedAt are the machines that are being emptied, with the time since when.
+	closedAt map[string]Time
+	// orderedAt are the machines whose order is under way or was not answered.
+	orderedAt map[string]Time
+	// instances holds the instance that each ordered machine had.
+	instances map[string]string
+	// acceptedAt are the machines whose order was accepted, with the time since when,
 	// until the list of machines tells what became of their instances.
-	accepted map[string]Time
+	acceptedAt map[string]Time
 }
 
 // done reports whether every machine of the wave that is still there has begun.
@@ -49,14 +49,14 @@
 	return true
 }
 
-// down counts the wave's machines that are, or may be, down for it.
-func (w *wave) down(machines map[string]batch.Machine) int {
+// downCount counts the wave's machines that are, or may be, down for it.
+func (w *wave) downCount(machines map[string]batch.Machine) int {
 	n := 0
 	for _, name := range w.spec.Machines {
 		m, listed := machines[name]
-		_, ordered := w.ordered[name]
-		back := m.State == batch.MachineUp && m.Instance != "" && m.Instance != w.lives[name]
-		if listed && (ordered || m.State == batch.MachineMaintenance || (w.begun[name] && !back && w.lives[name] != "")) {
+		_, ordered := w.orderedAt[name]
+		back := m.State == batch.MachineUp && m.Instance != "" && m.Instance != w.instances[name]
+		if listed && (ordered || m.State == batch.MachineMaintenance || (w.begun[name] && !back && w.instances[name] != "")) {
 			n++
 		}
 	}
@@ -77,7 +77,7 @@
 	if s.waves[spec.Number] != nil {
 		return
 	}
-	w := &wave{spec: spec, beganAt: now, begun: map[string]bool{}, closed: map[string]Time{}, ordered: map[string]Time{}, lives: map[string]string{}, accepted: map[string]Time{}}
+	w := &wave{spec: spec, startedAt: now, begun: map[string]bool{}, closedAt: map[string]Time{}, orderedAt: map[string]Time{}, instances: map[string]string{}, acceptedAt: map[string]Time{}}
 	for _, name := range begun {
 		w.begun[name] = true
 	}
@@ -93,7 +93,7 @@
 	}
 	for _, w := range s.wavesInOrder() {
 		for _, name := range w.spec.Machines {
-			if at, accepted := w.accepted[name]; accepted {
+			if at, accepted := w.acceptedAt[name]; accepted {
 				s.settleMaintained(now, askedAt-at, w, name)
 			}
 		}
@@ -109,45 +109,45 @@
 	return waves
 }
 
-// Unsettled reports whether it is not known yet what became of the instance of some
+// HasUnsettledMaintenance reports whether it is not known yet what became of the instance of some
 // machine whose order was accepted.
-func (s *Scheduler) Unsettled() bool {
+func (s *Scheduler) HasUnsettledMaintenance() bool {
 	for _, w := range s.waves {
-		if len(w.accepted) > 0 {
+		if len(w.acceptedAt) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// settleAfter is how long after an accepted order a machine that is still up with the
+// settleDelay is how long after an accepted order a machine that is still up with the
 // same instance is taken not to have gone down: a machine is down for longer.
-const settleAfter = time.Second
+const settleDelay = time.Second
 
 // settleMaintained looks what became of the instance of a machine whose order was accepted a
 // while before the list was asked for. The order alone tells nothing: it is accepted
 // again when the maintenance was done before, for an earlier leader or after a lost
 // answer, and the instance that is there now lives on.
 func (s *Scheduler) settleMaintained(now Time, age time.Duration, w *wave, name string) {
-	m, life := s.machines[name], w.lives[name]
+	m, life := s.machines[name], w.instances[name]
 	switch {
 	case m.State == batch.MachineMaintenance || (m.Instance != "" && m.Instance != life):
-		delete(w.accepted, name)
+		delete(w.acceptedAt, name)
 		// It may come back under the same ID.
-		delete(w.lives, name)
+		delete(w.instances, name)
 		s.RemoveInstance(now, life, "maintenance")
-	case m.State == batch.MachineUp && age > settleAfter:
-		s.giveBack(w, name)
+	case m.State == batch.MachineUp && age > settleDelay:
+		s.reopenMachine(w, name)
 	}
 }
 
-// giveBack gives work again to a machine that was emptied and does not go down.
-func (s *Scheduler) giveBack(w *wave, name string) {
-	if v := s.vms[w.lives[name]]; v != nil {
+// reopenMachine gives work again to a machine that was emptied and does not go down.
+func (s *Scheduler) reopenMachine(w *wave, name string) {
+	if v := s.vms[w.instances[name]]; v != nil {
 		v.closed = false
 	}
-	delete(w.accepted, name)
-	delete(w.lives, name)
+	delete(w.acceptedAt, name)
+	delete(w.instances, name)
 	s.planNeeded = true
 }
 
@@ -175,7 +175,7 @@
 		}
 		s.closeMachines(now, w)
 		for _, name := range w.spec.Machines {
-			if since, closed := w.closed[name]; closed {
+			if since, closed := w.closedAt[name]; closed {
 				s.emptyMachine(now, w, name, since)
 			}
 		}
@@ -183,24 +183,24 @@
 }
 
 func (s *Scheduler) reopen(w *wave) {
-	for name := range w.closed {
+	for name := range w.closedAt {
 		if v := s.vms[s.machines[name].Instance]; v != nil {
 			v.closed = false
 		}
-		delete(w.closed, name)
+		delete(w.closedAt, name)
 	}
 }
 
 // closeMachines closes as many machines as may be down at once, those with the
 // least on them first.
 func (s *Scheduler) closeMachines(now Time, w *wave) {
-	for w.down(s.machines)+len(w.closed) < max(w.spec.MaxAtOnce, 1) {
+	for w.downCount(s.machines)+len(w.closedAt) < max(w.spec.MaxAtOnce, 1) {
 		var next string
 		least := 0
 		for _, name := range w.spec.Machines {
 			m, listed := s.machines[name]
-			_, ordered := w.ordered[name]
-			_, closed := w.closed[name]
+			_, ordered := w.orderedAt[name]
+			_, closed := w.closedAt[name]
 			if !listed || w.begun[name] || ordered || closed || m.State != batch.MachineUp {
 				continue
 			}
@@ -215,16 +215,16 @@
 		if next == "" {
 			return
 		}
-		w.closed[next] = now
+		w.closedAt[next] = now
 		s.logf(Decision{Event: EventMachineClosed, VM: s.machines[next].Instance, Reason: next, Value: float64(least)})
 	}
 }
 
-// emptyFor is the time that the work on one machine has to end.
-func (w *wave) emptyFor() time.Duration {
+// emptyTime is the time that the work on one machine has to end.
+func (w *wave) emptyTime() time.Duration {
 	rounds := (len(w.spec.Machines) + w.spec.MaxAtOnce - 1) / max(w.spec.MaxAtOnce, 1)
-	each := time.Duration(float64(w.spec.Duration) * waveSpare / float64(max(rounds, 1)))
-	return min(max(each, emptyLeast), emptyMost)
+	each := time.Duration(float64(w.spec.Duration) * emptyingShare / float64(max(rounds, 1)))
+	return min(max(each, minEmptyTime), maxEmptyTime)
 }
 
 // emptyMachine moves what lasts off a closed machine and begins its maintenance
@@ -234,12 +234,12 @@
 	v := s.vms[m.Instance]
 	if v == nil {
 		if m.State == batch.MachineUp {
-			s.maintain(now, w, name)
+			s.orderMaintenance(now, w, name)
 		}
 		return
 	}
 	v.closed = true
-	late := now-since > w.emptyFor()
+	late := now-since > w.emptyTime()
 	lasting := 0
 	for _, r := range v.runList {
 		if r.task.step.spec.Lasting {
@@ -254,8 +254,8 @@
 	if lasting > 0 {
 		return
 	}
-	if len(v.runs) == 0 || (late && now-since > w.emptyFor()+s.settings.StopTimeout) {
-		s.maintain(now, w, name)
+	if len(v.runs) == 0 || (late && now-since > w.emptyTime()+s.settings.StopTimeout) {
+		s.orderMaintenance(now, w, name)
 	}
 }
 
@@ -267,25 +267,25 @@
 	}
 	st := r.task.step
 	bound := max(st.spec.MaxUnavailable, 1)
-	if st.unavailable(now, s.settings.UnavailableDuration) >= bound || s.choose(now, r.task) == nil {
+	if st.unavailableTasks(now, s.settings.UnavailableDuration) >= bound || s.chooseVM(now, r.task) == nil {
 		return
 	}
 	r.task.movedAt = now
 	s.stop(now, r, "maintenance")
 }
 
-// atWork is the progress of a lasting run that has started up.
-const atWork = 100
+// startedProgress is the progress of a lasting run that has started up.
+const startedProgress = 100
 
-// unavailable counts the step's tasks that are not at work, or that were moved so
+// unavailableTasks counts the step's tasks that are not at work, or that were moved so
 // recently that they count as not at work still.
-func (st *step) unavailable(now Time, notice time.Duration) int {
+func (st *step) unavailableTasks(now Time, notice time.Duration) int {
 	n := 0
 	for k := range st.tasks {
 		t := &st.tasks[k]
 		up := false
 		for _, r := range t.runs {
-			up = up || (r.state == running && r.progress >= atWork)
+			up = up || (r.state == running && r.progress >= startedProgress)
 		}
 		if !up || (t.movedAt > 0 && now-t.movedAt < notice) {
 			n++
@@ -294,20 +294,20 @@
 	return n
 }
 
-func (s *Scheduler) maintain(now Time, w *wave, name string) {
-	if at, ordered := w.ordered[name]; ordered && now-at < maintainAgain {
+func (s *Scheduler) orderMaintenance(now Time, w *wave, name string) {
+	if at, ordered := w.orderedAt[name]; ordered && now-at < maintainRetryDelay {
 		return
 	}
-	w.ordered[name] = now
-	w.lives[name] = s.machines[name].Instance
-	s.logf(Decision{Event: EventMachineMaintained, VM: w.lives[name], Reason: name, Age: now - w.beganAt})
+	w.orderedAt[name] = now
+	w.instances[name] = s.machines[name].Instance
+	s.logf(Decision{Event: EventMachineMaintained, VM: w.instances[name], Reason: name, Age: now - w.startedAt})
 	s.orders = append(s.orders, Order{Kind: OrderMaintain, Machine: name, Wave: w.spec.Number})
 }
 
-// Maintained takes the outcome of an order over: begun when the maintenance has
+// HandleMaintenanceResult takes the outcome of an order over: begun when the maintenance has
 // begun, now or before, refused when it certainly has not. After no answer the order is repeated:
 // it is idempotent.
-func (s *Scheduler) Maintained(now Time, o Order, begun bool, refusal batch.Refusal) {
+func (s *Scheduler) HandleMaintenanceResult(now Time, o Order, begun bool, refusal batch.Refusal) {
 	w := s.waves[o.Wave]
 	if w == nil {
 		return
@@ -315,14 +315,14 @@
 	switch {
 	case begun, refusal == batch.RefusedWave:
 		w.begun[o.Machine] = true
-		delete(w.ordered, o.Machine)
-		delete(w.closed, o.Machine)
+		delete(w.orderedAt, o.Machine)
+		delete(w.closedAt, o.Machine)
 		if begun {
-			w.accepted[o.Machine] = now
+			w.acceptedAt[o.Machine] = now
 		} else {
-			s.giveBack(w, o.Machine)
+			s.reopenMachine(w, o.Machine)
 		}
 	case refusal != "":
-		delete(w.ordered, o.Machine)
+		delete(w.orderedAt, o.Machine)
 	}
 }
--- a/internal/scheduler/waves_test.go
+++ b/internal/scheduler/waves_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// work lets what is reported make progress, and hears all VMs.
-func work(f *fixture, reports map[string]batch.Report) {
+// advanceAndReport lets what is reported make progress, and hears all VMs.
+func advanceAndReport(f *fixture, reports map[string]batch.Report) {
 	f.advance(100 * time.Millisecond)
 	for _, rep := range reports {
 		for i := range rep.Running {
@@ -20,11 +20,11 @@
 	f.reportAll(reports)
 }
 
-// untilMaintained lets time go by, with all VMs heard, until a machine is to be
+// runUntilMaintained lets time go by, with all VMs heard, until a machine is to be
 // taken down.
-func untilMaintained(f *fixture, reports map[string]batch.Report) Order {
+func runUntilMaintained(f *fixture, reports map[string]batch.Report) Order {
 	for range 150 {
-		work(f, reports)
+		advanceAndReport(f, reports)
 		f.s.Tick(f.now)
 		if m := maintenances(f.plan()); len(m) > 0 {
 			return m[0]
@@ -40,7 +40,7 @@
 // orders its maintenance again and is told that it is done.
 // Cause: the success was taken for the end of the instance that is there, which was
 // a new one.
-func TestMaintenanceThatWasDoneBeforeEndsNoInstance(t *testing.T) {
+func TestRepeatedMaintenanceEndsNoInstance(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -51,12 +51,12 @@
 	machines := []batch.Machine{{Name: "m", State: batch.MachineUp, Instance: o.Instance.ID}}
 	f.s.AddWave(f.now, batch.Wave{Number: 1, Machines: []string{"m"}, Duration: 20 * time.Second, MaxAtOnce: 1}, nil)
 	f.s.SetMachines(f.now, f.now, machines)
-	order := untilMaintained(f, reports)
-	f.s.Maintained(f.now, order, true, "")
+	order := runUntilMaintained(f, reports)
+	f.s.HandleMaintenanceResult(f.now, order, true, "")
 	require.Contains(t, f.s.Instances(), o.Instance.ID, "taken for gone")
 	f.s.SetMachines(f.now, f.now-time.Second, machines)
 	for range 30 {
-		work(f, reports)
+		advanceAndReport(f, reports)
 		f.s.SetMachines(f.now, f.now, machines)
 		f.s.Tick(f.now)
 		f.plan()
@@ -67,27 +67,27 @@
 	require.False(t, f.s.vms[o.Instance.ID].closed, "it gets work again")
 }
 
-// firstMaintained is a fixture of two machines in a wave, whose first maintenance, which it
+// acceptFirstMaintenance is a fixture of two machines in a wave, whose first maintenance, which it
 // returns, was accepted.
-func firstMaintained(t *testing.T) (*fixture, []batch.Machine, Order) {
+func acceptFirstMaintenance(t *testing.T) (*fixture, []batch.Machine, Order) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	machines := withWave(f, 2, 1)
-	first := untilMaintained(f, nil)
-	f.s.Maintained(f.now, first, true, "")
+	first := runUntilMaintained(f, nil)
+	f.s.HandleMaintenanceResult(f.now, first, true, "")
 	return f, machines, first
 }
 
 // What happened: a wave stood still.
 // Sequence: as above; the machine counts as down until it has another instance, and
 // it never gets one.
-func TestWaveGoesOnAfterMaintenanceThatWasDoneBefore(t *testing.T) {
-	f, machines, first := firstMaintained(t)
+func TestWaveContinuesAfterRepeatedMaintenance(t *testing.T) {
+	f, machines, first := acceptFirstMaintenance(t)
 	f.advance(2 * time.Second)
 	f.s.SetMachines(f.now, f.now, machines)
-	second := untilMaintained(f, nil)
+	second := runUntilMaintained(f, nil)
 	require.NotEqual(t, first.Machine, second.Machine)
-	f.s.Maintained(f.now, second, false, batch.RefusedWave)
+	f.s.HandleMaintenanceResult(f.now, second, false, batch.RefusedWave)
 	f.advance(time.Second)
 	f.plan()
 	require.True(t, f.s.WaveStatuses()[0].Completed)
@@ -107,8 +107,8 @@
 	f.confirm(o)
 	f.s.AddWave(f.now, batch.Wave{Number: 1, Machines: []string{"m"}, Duration: 20 * time.Second, MaxAtOnce: 1}, nil)
 	f.s.SetMachines(f.now, f.now, []batch.Machine{{Name: "m", State: batch.MachineUp, Instance: o.Instance.ID}})
-	order := untilMaintained(f, map[string]batch.Report{o.Instance.ID: runningReport(o)})
-	f.s.Maintained(f.now, order, true, "")
+	order := runUntilMaintained(f, map[string]batch.Report{o.Instance.ID: runningReport(o)})
+	f.s.HandleMaintenanceResult(f.now, order, true, "")
 	f.advance(500 * time.Millisecond)
 	f.s.SetMachines(f.now, f.now, []batch.Machine{{Name: "m", State: batch.MachineMaintenance}})
 	f.plan()
