--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -26,7 +26,7 @@
 		seeds = append(seeds, seed)
 	}
 	for seed := range n * *exploreScale / 2 {
-		seeds = append(seeds, firstPolled+seed)
+		seeds = append(seeds, firstPolledSeed+seed)
 	}
 	return seeds
 }
@@ -44,63 +44,63 @@
 // crashingKinds are their names, in a fixed order.
 var crashingKinds = slices.Sorted(maps.Keys(crashingJobs))
 
-// handCrashing hands in one of them, and returns the task that ends its VMs.
-func (c *crashFleet) handCrashing(kind string) batch.TaskID {
+// submitCrashing hands in one of them, and returns the task that ends its VMs.
+func (c *crashFleet) submitCrashing(kind string) batch.TaskID {
 	steps := crashingJobs[kind]
 	id := batch.TaskID{Job: "bad-" + kind, Step: len(steps) - 1}
 	if steps[0].Lasting {
-		c.lasts[id.Job] = 0
+		c.runDurations[id.Job] = 0
 	}
-	c.crashes[id] = true
-	c.hand(&batch.Job{ID: id.Job, Payload: "p", Steps: steps})
+	c.crashingTasks[id] = true
+	c.submitJob(&batch.Job{ID: id.Job, Payload: "p", Steps: steps})
 	return id
 }
 
-// handOthers hands in harmless jobs now and then while time passes.
-func (c *crashFleet) handOthers(n int, every time.Duration) {
+// submitHarmless hands in harmless jobs now and then while time passes.
+func (c *crashFleet) submitHarmless(n int, every time.Duration) {
 	for range n {
-		id := fmt.Sprintf("good%d", c.others)
-		c.others++
-		c.lasts[id] = time.Duration(200+c.rng.IntN(4000)) * time.Millisecond
-		c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1+c.rng.IntN(4), 1000)}})
-		c.play(every)
+		id := fmt.Sprintf("good%d", c.harmlessJobs)
+		c.harmlessJobs++
+		c.runDurations[id] = time.Duration(200+c.rng.IntN(4000)) * time.Millisecond
+		c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1+c.rng.IntN(4), 1000)}})
+		c.runFor(every)
 	}
 }
 
-// requireOthersKept fails where one of the harmless jobs did not complete.
-func (c *crashFleet) requireOthersKept() {
-	for i := range c.others {
+// requireHarmlessCompleted fails where one of the harmless jobs did not complete.
+func (c *crashFleet) requireHarmlessCompleted() {
+	for i := range c.harmlessJobs {
 		c.requireState(fmt.Sprintf("good%d", i), batch.Completed)
 	}
 }
 
-// playCrashing plays a job of a kind that ends its VMs among others: it has to be given up
+// runCrashing plays a job of a kind that ends its VMs among others: it has to be given up
 // in time, and all others kept. It returns the task.
-func (c *crashFleet) playCrashing(kind string) batch.TaskID {
-	c.play(2 * time.Second)
-	task := c.handCrashing(kind)
-	c.handOthers(40, 250*time.Millisecond)
-	c.play(50 * time.Second)
-	c.requireBounded()
+func (c *crashFleet) runCrashing(kind string) batch.TaskID {
+	c.runFor(2 * time.Second)
+	task := c.submitCrashing(kind)
+	c.submitHarmless(40, 250*time.Millisecond)
+	c.runFor(50 * time.Second)
+	c.requireStartsBounded()
 	c.requireState(task.Job, batch.Failed)
-	c.requireOthersKept()
+	c.requireHarmlessCompleted()
 	return task
 }
 
-func TestTaskThatCrashesItsVMsIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsVMsFails(t *testing.T) {
 	t.Parallel()
-	eachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
+	forEachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
 		for _, seed := range crashSeeds(20) {
 			c := newCrashFleet(t, 12, seed)
-			c.darkDeaths = dark
-			task := c.playCrashing(kind)
-			require.GreaterOrEqual(t, len(c.crashed[task]), 2, "given up with too little evidence")
+			c.noResets = dark
+			task := c.runCrashing(kind)
+			require.GreaterOrEqual(t, len(c.crashTimes[task]), 2, "given up with too little evidence")
 		}
 	})
 }
 
-// eachKind runs a test for each kind of job, without and with what is named, beside each other.
-func eachKind(t *testing.T, named string, test func(t *testing.T, kind string, with bool)) {
+// forEachKind runs a test for each kind of job, without and with what is named, beside each other.
+func forEachKind(t *testing.T, named string, test func(t *testing.T, kind string, with bool)) {
 	for _, kind := range crashingKinds {
 		for _, with := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, %s %v", kind, named, with), func(t *testing.T) {
@@ -112,30 +112,30 @@
 }
 
 // A task may end its VM some time after it began.
-func TestTaskThatCrashesItsVMsLaterIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsVMsLaterFails(t *testing.T) {
 	t.Parallel()
 	for _, kind := range crashingKinds {
 		for _, seed := range crashSeeds(5) {
 			c := newCrashFleet(t, 12, seed)
-			c.crashAfter = 600 * time.Millisecond
-			c.darkDeaths = seed%2 == 1
-			c.playCrashing(kind)
+			c.crashDelay = 600 * time.Millisecond
+			c.noResets = seed%2 == 1
+			c.runCrashing(kind)
 		}
 	}
 }
 
 // Several such tasks that are started at the same moments end their VMs at the same
 // moments: that must not pass for the loss of a rack.
-func TestTasksThatCrashInStepAreGivenUp(t *testing.T) {
+func TestTasksThatCrashSimultaneouslyFail(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(20) {
 		c := newCrashFleet(t, 24, seed)
-		c.play(2 * time.Second)
+		c.runFor(2 * time.Second)
 		for _, kind := range crashingKinds {
-			c.handCrashing(kind)
+			c.submitCrashing(kind)
 		}
-		c.play(40 * time.Second)
-		c.requireBounded()
+		c.runFor(40 * time.Second)
+		c.requireStartsBounded()
 		for _, kind := range crashingKinds {
 			c.requireState("bad-"+kind, batch.Failed)
 		}
@@ -145,22 +145,22 @@
 // New tasks that end their VMs come each second, so that others' VMs end about when a
 // suspect's does. A leader counted such ends as those of a rack, or as shared, and started
 // a task six times: its trials told it nothing.
-func TestCrashesOfManyTasksAreToldApart(t *testing.T) {
+func TestCrashesOfManyTasksAreAttributed(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(10) {
 		c := newCrashFleet(t, 48, seed)
-		c.play(2 * time.Second)
+		c.runFor(2 * time.Second)
 		for i := range 25 {
 			id := batch.TaskID{Job: fmt.Sprintf("bad%d", i)}
-			c.crashes[id] = true
-			c.hand(&batch.Job{ID: id.Job, Payload: "p", Steps: []batch.Step{tasks(5, 1000)}})
+			c.crashingTasks[id] = true
+			c.submitJob(&batch.Job{ID: id.Job, Payload: "p", Steps: []batch.Step{tasks(5, 1000)}})
 			for range 1 + c.rng.IntN(20) {
-				c.handOthers(1, 50*time.Millisecond)
+				c.submitHarmless(1, 50*time.Millisecond)
 			}
 		}
-		c.play(30 * time.Second)
-		c.requireBounded()
-		c.requireOthersKept()
+		c.runFor(30 * time.Second)
+		c.requireStartsBounded()
+		c.requireHarmlessCompleted()
 		for i := range 25 {
 			c.requireState(fmt.Sprintf("bad%d", i), batch.Failed)
 		}
@@ -176,14 +176,14 @@
 			t.Parallel()
 			for _, seed := range crashSeeds(40) {
 				c := newCrashFleet(t, 12, seed)
-				c.play(2 * time.Second)
-				task := c.handCrashing(kind)
+				c.runFor(2 * time.Second)
+				task := c.submitCrashing(kind)
 				for range 12 {
-					c.play(time.Duration(1000+c.rng.IntN(6000)) * time.Millisecond)
+					c.runFor(time.Duration(1000+c.rng.IntN(6000)) * time.Millisecond)
 					c.takeOver()
 				}
-				c.play(40 * time.Second)
-				c.requireBounded()
+				c.runFor(40 * time.Second)
+				c.requireStartsBounded()
 				c.requireState(task.Job, batch.Failed)
 			}
 		})
@@ -195,18 +195,18 @@
 	t.Parallel()
 	for _, seed := range crashSeeds(40) {
 		c := newCrashFleet(t, 12, seed)
-		c.lost = func() bool { return c.rng.IntN(3) == 0 }
-		c.play(2 * time.Second)
-		task := c.handCrashing("plain")
+		c.isAnswerLost = func() bool { return c.rng.IntN(3) == 0 }
+		c.runFor(2 * time.Second)
+		task := c.submitCrashing("plain")
 		for range 8 {
-			c.play(time.Duration(1000+c.rng.IntN(3000)) * time.Millisecond)
-			c.down = c.rng.IntN(3) == 0
-			c.play(time.Duration(500+c.rng.IntN(2000)) * time.Millisecond)
+			c.runFor(time.Duration(1000+c.rng.IntN(3000)) * time.Millisecond)
+			c.storeDown = c.rng.IntN(3) == 0
+			c.runFor(time.Duration(500+c.rng.IntN(2000)) * time.Millisecond)
 			c.takeOver()
-			c.down = false
+			c.storeDown = false
 		}
-		c.play(40 * time.Second)
-		c.requireBounded()
+		c.runFor(40 * time.Second)
+		c.requireStartsBounded()
 		c.requireState(task.Job, batch.Failed)
 	}
 }
@@ -217,19 +217,19 @@
 	t.Parallel()
 	for _, seed := range crashSeeds(40) {
 		c := newCrashFleet(t, 3, seed)
-		c.play(2 * time.Second)
+		c.runFor(2 * time.Second)
 		for _, kind := range crashingKinds {
-			c.handCrashing(kind)
+			c.submitCrashing(kind)
 		}
-		c.handOthers(12, 50*time.Millisecond)
+		c.submitHarmless(12, 50*time.Millisecond)
 		for i := range 4 {
 			id := fmt.Sprintf("lasting%d", i)
-			c.lasts[id] = 0
-			c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{{Tasks: 2, Need: batch.Resources{MilliCPU: 500, MemoryMB: 10}, Lasting: true, MaxUnavailable: 1}}})
+			c.runDurations[id] = 0
+			c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{{Tasks: 2, Need: batch.Resources{MilliCPU: 500, MemoryMB: 10}, Lasting: true, MaxUnavailable: 1}}})
 		}
-		c.play(90 * time.Second)
-		c.requireBounded()
-		c.requireOthersKept()
+		c.runFor(90 * time.Second)
+		c.requireStartsBounded()
+		c.requireHarmlessCompleted()
 		for i := range 4 {
 			c.requireState(fmt.Sprintf("lasting%d", i), batch.Running)
 		}
@@ -244,9 +244,9 @@
 		"rack":  func(c *crashFleet) { c.killRack(fmt.Sprintf("r%d", c.rng.IntN(3))) },
 		"power": func(c *crashFleet) { c.killAll() },
 		"some": func(c *crashFleet) {
-			for _, id := range c.ids() {
+			for _, id := range c.livingIDs() {
 				if c.rng.IntN(4) == 0 {
-					c.kill(id)
+					c.killVM(id)
 				}
 			}
 		},
@@ -255,21 +255,21 @@
 			t.Parallel()
 			for _, seed := range crashSeeds(24) {
 				c := newCrashFleet(t, 12, seed)
-				c.darkDeaths = seed%2 == 1
-				c.play(2 * time.Second)
-				c.lasts["lasting"] = 0
-				c.hand(&batch.Job{ID: "lasting", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Lasting: true, MaxUnavailable: 1}}})
-				c.hand(&batch.Job{ID: "gang", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Gang: true, Estimate: 8 * time.Second}}})
-				c.lasts["gang"] = 8 * time.Second
-				c.hand(&batch.Job{ID: "copies", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Speculative: true, Estimate: 4 * time.Second}}})
-				c.lasts["copies"] = 4 * time.Second
+				c.noResets = seed%2 == 1
+				c.runFor(2 * time.Second)
+				c.runDurations["lasting"] = 0
+				c.submitJob(&batch.Job{ID: "lasting", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Lasting: true, MaxUnavailable: 1}}})
+				c.submitJob(&batch.Job{ID: "gang", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Gang: true, Estimate: 8 * time.Second}}})
+				c.runDurations["gang"] = 8 * time.Second
+				c.submitJob(&batch.Job{ID: "copies", Payload: "p", Steps: []batch.Step{{Tasks: 6, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Speculative: true, Estimate: 4 * time.Second}}})
+				c.runDurations["copies"] = 4 * time.Second
 				for range 10 {
-					c.handOthers(3, 20*time.Millisecond)
-					c.play(time.Duration(c.rng.IntN(3500)) * time.Millisecond)
+					c.submitHarmless(3, 20*time.Millisecond)
+					c.runFor(time.Duration(c.rng.IntN(3500)) * time.Millisecond)
 					strike(c)
 				}
-				c.play(60 * time.Second)
-				c.requireOthersKept()
+				c.runFor(60 * time.Second)
+				c.requireHarmlessCompleted()
 				c.requireState("gang", batch.Completed)
 				c.requireState("copies", batch.Completed)
 				c.requireState("lasting", batch.Running)
@@ -280,7 +280,7 @@
 
 // A suspect of a queue with an adviser waited for ever: the adviser was asked for other
 // tasks only, and the one VM that it had allowed was gone.
-func TestSuspectIsAskedAdviceFor(t *testing.T) {
+func TestAdviceIsRequestedForSuspect(t *testing.T) {
 	f := newFixture(t, 3)
 	c := *f.s.config
 	c.Queues = []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second, Advice: &batch.Advice{ValidFor: time.Minute}}}
@@ -380,7 +380,7 @@
 
 // A job was given up while its step was being started, and the tasks after the one that was
 // judged were started all the same: nobody stopped them.
-func TestNothingOfAJobThatIsGivenUpIsStarted(t *testing.T) {
+func TestFailedJobStartsNothing(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.submit("j", tasks(3, 100))
--- a/internal/scheduler/explore_determinism_test.go
+++ b/internal/scheduler/explore_determinism_test.go
@@ -34,7 +34,7 @@
 			for seed := range seeds * *exploreScale {
 				var traces [2][]string
 				for i := range traces {
-					explore(seed, c.faults, breaks{}, func(line string) { traces[i] = append(traces[i], line) })
+					explore(seed, c.faults, mutations{}, func(line string) { traces[i] = append(traces[i], line) })
 				}
 				require.NotEmpty(t, traces[0])
 				line, first, second := firstDifference(traces[0], traces[1])
--- a/internal/scheduler/explore_leader_test.go
+++ b/internal/scheduler/explore_leader_test.go
@@ -12,12 +12,12 @@
 // The times of an election and of what a leader does beside planning, as package
 // leader has them.
 const (
-	keyLife      = 1300 * time.Millisecond
-	keyConfirmed = keyLife - 150*time.Millisecond
-	renewalEvery = 350 * time.Millisecond
-	actsUnseen   = 6 * time.Second
-	listedEvery  = 500 * time.Millisecond
-	callLost     = 500 * time.Millisecond
+	keyTTL              = 1300 * time.Millisecond
+	keyConfirmedTimeout = keyTTL - 150*time.Millisecond
+	keyRenewalInterval  = 350 * time.Millisecond
+	storelessTimeout    = 6 * time.Second
+	listInterval        = 500 * time.Millisecond
+	callTimeout         = 500 * time.Millisecond
 )
 
 // modelLeader is one tenure.
@@ -29,114 +29,114 @@
 	ended       bool
 	frozenUntil Time
 	// storelessUntil is when it reaches the store again.
-	storelessUntil             Time
-	renewedAt, renewAt, listAt Time
-	// overlapRead is set once the leader has read from when on jobs are new.
-	overlapRead bool
-	watched     int
-	// readyAt is when it has read what earlier leaders left, watchAt when its watch
-	// tells it something, openAt when it looks at the time of day.
-	readyAt, watchAt, openAt Time
-	wallOffset               time.Duration
-	logging                  bool
-	flushing                 bool
-	// openedTo is the time of day up to which it has opened the occurrences of the
+	storelessUntil                   Time
+	renewedAt, nextRenewal, nextList Time
+	// newSinceRead is set once the leader has read from when on jobs are new.
+	newSinceRead  bool
+	watchedEvents int
+	// readyAt is when it has read what earlier leaders left, nextWatch when its watch
+	// tells it something, nextOpen when it looks at the time of day.
+	readyAt, nextWatch, nextOpen Time
+	wallOffset                   time.Duration
+	logWritePending              bool
+	flushPending                 bool
+	// openedUntil is the time of day up to which it has opened the occurrences of the
 	// jobs that it knows.
-	openedTo int64
-	recorded map[string]string
-	holding  map[string]bool
-	cut      map[string]Time
-	// past are the tenures that it has to ask, said what they told, closed is set once
+	openedUntil  int64
+	recordedVMs  map[string]string
+	pendingHolds map[string]bool
+	cutUntil     map[string]Time
+	// predecessors are the tenures that it has to ask, said what they told, closed is set once
 	// it has told its own leases.
-	past   []*modelLeader
-	said   map[string]Time
-	askAt  Time
-	asking bool
-	closed bool
+	predecessors   []*modelLeader
+	leaseEnds      map[string]Time
+	nextQuery      Time
+	queryPending   bool
+	leasesReported bool
 	// died is set where the process died; its next life answers from restartAt on.
-	died      bool
-	restartAt Time
-	pruned    bool
-	// knows is set once its predecessors have told of all their leases.
-	knows bool
+	died          bool
+	restartAt     Time
+	tenuresPruned bool
+	// leasesKnown is set once its predecessors have told of all their leases.
+	leasesKnown bool
 }
 
 func (w *world) reachesStore(l *modelLeader) bool {
 	return w.now >= w.store.downUntil && w.now >= l.storelessUntil && w.now >= w.zoneCut[l.zone]
 }
 
-// acts reports whether a leader may give orders now.
-func (w *world) acts(l *modelLeader) bool {
-	unseen := actsUnseen
-	if w.breaks.actsOn {
+// canAct reports whether a leader may give orders now.
+func (w *world) canAct(l *modelLeader) bool {
+	unseen := storelessTimeout
+	if w.mutations.actWithoutStore {
 		unseen = time.Minute
 	}
 	return !l.ended && w.now >= l.frozenUntil && w.now-l.renewedAt < unseen
 }
 
-// confirmed reports whether nobody else can lead by now.
-func (w *world) confirmed(l *modelLeader) bool {
-	return w.acts(l) && (w.now-l.renewedAt < keyConfirmed || w.breaks.unconfirmed)
+// isConfirmed reports whether nobody else can lead by now.
+func (w *world) isConfirmed(l *modelLeader) bool {
+	return w.canAct(l) && (w.now-l.renewedAt < keyConfirmedTimeout || w.mutations.acceptUnconfirmed)
 }
 
-// leads reports whether the key in the store is the leader's.
-func (w *world) leads(l *modelLeader) bool { return w.store.holder == l && w.now < w.store.keyUntil }
+// holdsKey reports whether the key in the store is the leader's.
+func (w *world) holdsKey(l *modelLeader) bool { return w.store.holder == l && w.now < w.store.keyUntil }
 
 // elect makes a new leader once the key is free, from what is durable.
 func (w *world) elect() {
 	if w.now < w.store.downUntil || (w.store.holder != nil && w.now < w.store.keyUntil) || w.now < w.electAt {
 		return
 	}
-	zone := w.rng.IntN(zones)
+	zone := w.rng.IntN(zoneCount)
 	if w.now < w.zoneCut[zone] {
 		zone = 1 - zone
 	}
-	w.changes++
+	w.leaderChanges++
 	w.fence++
 	l := &modelLeader{
 		fence: w.fence, zone: zone, renewedAt: w.now, wallOffset: w.upTo(3*time.Second) - 1500*time.Millisecond,
-		holding: map[string]bool{}, cut: map[string]Time{},
+		pendingHolds: map[string]bool{}, cutUntil: map[string]Time{},
 	}
-	l.s = New(Settings{MaxLease: w.longestLease()}, l.fence, w.decisions(l))
-	w.store.holder, w.store.keyUntil = l, w.now+keyLife
+	l.s = New(Settings{MaxLease: w.maxLease()}, l.fence, w.traceDecisions(l))
+	w.store.holder, w.store.keyUntil = l, w.now+keyTTL
 	w.leaders = append(w.leaders, l)
 	w.tracef("leader %d elected in zone %d", l.fence, zone)
-	w.rebuild(l)
+	w.restoreState(l)
 	l.readyAt = w.now + w.upTo(400*time.Millisecond)
-	if w.faults.asks {
-		l.past, l.said, l.askAt = slices.Clone(w.store.tenures), map[string]Time{}, l.readyAt+300*time.Millisecond
+	if w.faults.predecessorQueries {
+		l.predecessors, l.leaseEnds, l.nextQuery = slices.Clone(w.store.tenures), map[string]Time{}, l.readyAt+300*time.Millisecond
 		w.store.tenures = append([]*modelLeader{l}, w.store.tenures...)
 	}
-	if w.faults.late && w.chance(60) {
-		l.watchAt = w.now + w.upTo(6*time.Second)
+	if w.faults.lateWatches && w.chance(60) {
+		l.nextWatch = w.now + w.upTo(6*time.Second)
 	}
-	if w.faults.timed && w.chance(50) {
-		l.openAt = w.now + w.upTo(5*time.Second)
+	if w.faults.scheduledJobs && w.chance(50) {
+		l.nextOpen = w.now + w.upTo(5*time.Second)
 	}
 }
 
-// rebuild reads what earlier leaders left, as package leader does.
-func (w *world) rebuild(l *modelLeader) {
+// restoreState reads what earlier leaders left, as package leader does.
+func (w *world) restoreState(l *modelLeader) {
 	l.s.SetConfig(&batch.Config{Pools: map[string]batch.Pool{"pool": {Name: "pool", GuardsCapacity: !w.faults.resizes}}, Queues: []batch.Queue{
-		{Name: "many", Pool: "pool", Attempts: manyAttempts, Stretch: 2},
+		{Name: "many", Pool: "pool", Attempts: unlimitedAttempts, Stretch: 2},
 		{Name: "two", Pool: "pool", Attempts: 2, Stretch: 2},
 		{Name: "three", Pool: "pool", Attempts: 3, Stretch: 2},
 	}})
-	list := w.list()
+	list := w.listedInstances()
 	earlier := w.store.instances
-	if w.breaks.unrecorded {
+	if w.mutations.ignoreRecordedVMs {
 		earlier = map[string]string{}
 		for i := range list {
 			earlier[list[i].ID] = list[i].Address
 		}
 	}
-	l.s.RestoreExpiredLeases(w.store.lapsed)
-	w.record(l, list, earlier)
+	l.s.RestoreExpiredLeases(w.store.expiredRuns)
+	w.recordInstances(l, list, earlier)
 	l.s.SetInstances(w.now, list)
 	used := slices.Sorted(maps.Keys(earlier))
-	if !w.breaks.noExpect {
-		wait := l.s.settings.TakeoverWait(actsUnseen)
-		if w.breaks.impatient {
+	if !w.mutations.noExpect {
+		wait := l.s.settings.TakeoverWait(storelessTimeout)
+		if w.mutations.shortWait {
 			wait = time.Second
 		}
 		l.s.AwaitInstances(used, w.now+wait)
@@ -155,16 +155,16 @@
 		}
 		l.s.Submit(w.now, sub)
 	}
-	l.watched = len(w.store.events)
-	w.restoreStarts(l)
+	l.watchedEvents = len(w.store.events)
+	w.restoreStartLog(l)
 }
 
-// record makes sure that the store names every instance before it may be given
+// recordInstances makes sure that the store names every instance before it may be given
 // work. It returns false when it can't.
-func (w *world) record(l *modelLeader, list []batch.Instance, earlier map[string]string) bool {
+func (w *world) recordInstances(l *modelLeader, list []batch.Instance, earlier map[string]string) bool {
 	next := map[string]string{}
 	for _, id := range l.s.AwaitedInstances() {
-		next[id] = l.recorded[id]
+		next[id] = l.recordedVMs[id]
 	}
 	for id, inst := range l.s.RecordedInstances(w.now) {
 		next[id] = inst.Address
@@ -174,85 +174,85 @@
 		next[list[i].ID] = list[i].Address
 	}
 	lapsed := l.s.ExpiredLeases()
-	if maps.Equal(next, l.recorded) && maps.Equal(lapsed, w.store.lapsed) {
+	if maps.Equal(next, l.recordedVMs) && maps.Equal(lapsed, w.store.expiredRuns) {
 		return true
 	}
-	if !w.leads(l) {
+	if !w.holdsKey(l) {
 		l.ended = true
 		return false
 	}
-	w.store.instances, l.recorded, w.store.lapsed = next, next, lapsed
+	w.store.instances, l.recordedVMs, w.store.expiredRuns = next, next, lapsed
 	return true
 }
 
-// tendLeader does what a leader does beside planning.
-func (w *world) tendLeader(l *modelLeader) {
+// stepLeader does what a leader does beside planning.
+func (w *world) stepLeader(l *modelLeader) {
 	if l.ended || w.now < l.frozenUntil {
 		return
 	}
-	w.watch(l)
-	if w.now >= l.renewAt {
-		l.renewAt = w.now + renewalEvery
+	w.deliverWatch(l)
+	if w.now >= l.nextRenewal {
+		l.nextRenewal = w.now + keyRenewalInterval
 		switch {
-		case !w.reachesStore(l) || (!w.calm && w.chance(8)):
-		case w.leads(l):
-			l.renewedAt, w.store.keyUntil = w.now, w.now+keyLife
+		case !w.reachesStore(l) || (!w.faultFree && w.chance(8)):
+		case w.holdsKey(l):
+			l.renewedAt, w.store.keyUntil = w.now, w.now+keyTTL
 		default:
 			l.ended = true
 			w.tracef("leader %d learns that it does not lead", l.fence)
 		}
 	}
-	if !w.acts(l) {
+	if !w.canAct(l) {
 		if !l.ended {
 			w.tracef("leader %d stops acting", l.fence)
 		}
 		l.ended = true
 		return
 	}
-	if l.s.NeedsToken() && w.reachesStore(l) && w.leads(l) {
+	if l.s.NeedsToken() && w.reachesStore(l) && w.holdsKey(l) {
 		w.fence++
 		l.s.RaiseToken(w.fence)
 	}
-	if !l.overlapRead && w.now >= l.readyAt+DeposedAdmissionTimeout && w.reachesStore(l) {
-		l.overlapRead = true
+	if !l.newSinceRead && w.now >= l.readyAt+DeposedAdmissionTimeout && w.reachesStore(l) {
+		l.newSinceRead = true
 		l.s.SetHandoverRevision(int64(w.now))
 	}
-	if w.now >= max(l.listAt, l.readyAt) && w.reachesStore(l) {
-		l.listAt = w.now + listedEvery
-		if list := w.list(); w.record(l, list, nil) {
+	if w.now >= max(l.nextList, l.readyAt) && w.reachesStore(l) {
+		l.nextList = w.now + listInterval
+		if list := w.listedInstances(); w.recordInstances(l, list, nil) {
 			l.s.SetInstances(w.now, list)
 		}
-		if (w.faults.crashes || w.faults.restarts) && l.s.NeedsLivenessCheck(w.now) {
+		if (w.faults.crashingTasks || w.faults.restarts) && l.s.NeedsLivenessCheck(w.now) {
 			l.s.SetLiveInstances(w.now, w.now, w.machines())
 		}
 	}
 }
 
-// watch brings a leader the jobs and cancels that came.
-func (w *world) watch(l *modelLeader) {
-	if w.faults.late && !w.calm && w.chance(1) {
-		l.watchAt = max(l.watchAt, w.now+w.upTo(6*time.Second))
+// deliverWatch brings a leader the jobs and cancels that came.
+func (w *world) deliverWatch(l *modelLeader) {
+	if w.faults.lateWatches && !w.faultFree && w.chance(1) {
+		l.nextWatch = max(l.nextWatch, w.now+w.upTo(6*time.Second))
 	}
-	if w.now < max(l.watchAt, l.readyAt) || !w.reachesStore(l) || !w.confirmed(l) {
+	if w.now < max(l.nextWatch, l.readyAt) || !w.reachesStore(l) || !w.isConfirmed(l) {
 		return
 	}
-	for ; l.watched < len(w.store.events) && w.store.events[l.watched].at < w.now-20*time.Millisecond; l.watched++ {
-		w.learn(l, w.store.events[l.watched])
+	for ; l.watchedEvents < len(w.store.events) && w.store.events[l.watchedEvents].at < w.now-20*time.Millisecond; l.watchedEvents++ {
+		w.applyEvent(l, w.store.events[l.watchedEvents])
 	}
 }
 
-func (w *world) learn(l *modelLeader, e jobEvent) {
+func (w *world) applyEvent(l *modelLeader, e jobEvent) {
 	if e.cancel {
 		l.s.Cancel(w.now, e.job.spec.ID)
 		return
 	}
 	l.s.Submit(w.now, e.job.submission(w.now))
-	l.openedTo = 0
+	l.openedUntil = 0
 }
 
 // flush writes what is pending, and takes the answer over if it comes.
 func (w *world) flush(l *modelLeader) {
-	if l.flushing || !w.chance(50) {
+	if l.flushPending || !w.chance(50) {
 		return
 	}
 	f := l.s.PendingWrites()
@@ -270,28 +270,28 @@
 			panic(err)
 		}
 		values[i] = value
-		w.judgeGivenUp(f.Records[i].Job, f.Records[i].Progress)
+		w.checkFailedJob(f.Records[i].Job, f.Records[i].Progress)
 	}
 	// Many records take several calls, of which some may fail.
-	written, answered := len(f.Records), w.calm || !w.chance(4)
-	if !w.calm && w.chance(4) {
+	written, answered := len(f.Records), w.faultFree || !w.chance(4)
+	if !w.faultFree && w.chance(4) {
 		written = w.rng.IntN(written)
 	}
-	l.flushing = true
-	w.after(w.travel(), func() {
+	l.flushPending = true
+	w.after(w.messageDelay(), func() {
 		if !w.reachesStore(l) {
-			w.after(callLost, func() { l.flushing = false })
+			w.after(callTimeout, func() { l.flushPending = false })
 			return
 		}
-		if !w.leads(l) {
+		if !w.holdsKey(l) {
 			l.ended = true
 			return
 		}
 		for i := range f.Records[:written] {
 			w.store.records[f.Records[i].Job] = values[i]
 		}
-		w.after(w.travel(), func() {
-			l.flushing = false
+		w.after(w.messageDelay(), func() {
+			l.flushPending = false
 			if !answered || l.ended {
 				return
 			}
@@ -305,70 +305,70 @@
 	})
 }
 
-// act lets a leader talk to the VMs and plan.
-func (w *world) act(l *modelLeader) {
-	if !w.acts(l) || w.now < l.readyAt || l.closed {
+// runLeader lets a leader talk to the VMs and plan.
+func (w *world) runLeader(l *modelLeader) {
+	if !w.canAct(l) || w.now < l.readyAt || l.leasesReported {
 		return
 	}
-	w.askPast(l)
+	w.queryPredecessors(l)
 	for _, v := range w.vms {
-		if !w.calm && w.rng.IntN(1000) < 5 {
-			l.cut[v.id] = w.now + w.upTo(12*time.Second)
+		if !w.faultFree && w.rng.IntN(1000) < 5 {
+			l.cutUntil[v.id] = w.now + w.upTo(12*time.Second)
 		}
-		if !l.holding[v.id] && v.next == nil {
-			w.hold(l, v)
+		if !l.pendingHolds[v.id] && v.next == nil {
+			w.sendHold(l, v)
 		}
 	}
-	if l.s.ConfirmLeadership(l.renewedAt); w.breaks.concludes {
+	if l.s.ConfirmLeadership(l.renewedAt); w.mutations.expireUnconfirmed {
 		l.s.ConfirmLeadership(w.now)
 	}
-	if w.breaks.forgetsCrashes {
-		l.s.forgetCrashes()
+	if w.mutations.skipCrashCounts {
+		l.s.clearAllCrashes()
 	}
 	l.s.Tick(w.now)
-	if w.now >= l.openAt {
+	if w.now >= l.nextOpen {
 		w.openDue(l)
 	}
 	for _, o := range l.s.Plan(w.now) {
-		w.carryOut(l, o)
+		w.dispatch(l, o)
 	}
 	w.flush(l)
-	w.logStarts(l)
+	w.writeStartLog(l)
 }
 
 // openDue opens what is due by the leader's clock, one after the other: occurrences
 // of one job that are opened at one moment have the same place in the queue.
 func (w *world) openDue(l *modelLeader) {
 	var due []int64
-	wall := w.wall() + l.wallOffset.Milliseconds()
+	wall := w.wallMS() + l.wallOffset.Milliseconds()
 	for _, j := range w.store.jobs {
 		if j.spec.Schedule == nil {
 			continue
 		}
 		for n := range j.spec.Occurrences() {
-			if at := j.spec.DueMS(n); at <= wall && at > l.openedTo {
+			if at := j.spec.DueMS(n); at <= wall && at > l.openedUntil {
 				due = append(due, at)
 			}
 		}
 	}
-	l.openedTo = max(l.openedTo, wall)
+	l.openedUntil = max(l.openedUntil, wall)
 	slices.Sort(due)
 	for i, at := range due {
 		l.s.OpenDue(w.now+time.Duration(i), at)
 	}
 }
 
-// gone tells a leader that another life answers at a VM's address.
-func (w *world) gone(l *modelLeader, inst *batch.Instance) { l.s.RemoveReplaced(w.now, inst) }
+// reportReplaced tells a leader that another life answers at a VM's address.
+func (w *world) reportReplaced(l *modelLeader, inst *batch.Instance) { l.s.RemoveReplaced(w.now, inst) }
 
-// fenced ends the tenure of a leader whose successor a VM has seen.
-func (w *world) fenced(l *modelLeader) {
+// fenceLeader ends the tenure of a leader whose successor a VM has seen.
+func (w *world) fenceLeader(l *modelLeader) {
 	w.tracef("leader %d is fenced", l.fence)
 	l.ended = true
 }
 
-// forgetCrashes takes back what was counted.
-func (s *Scheduler) forgetCrashes() {
+// clearAllCrashes takes back what was counted.
+func (s *Scheduler) clearAllCrashes() {
 	for _, j := range s.jobs {
 		for _, o := range j.occs {
 			for i := range o.steps {
@@ -380,72 +380,72 @@
 	}
 }
 
-func (w *world) hold(l *modelLeader, v *modelVM) {
+func (w *world) sendHold(l *modelLeader, v *modelVM) {
 	order, ok := l.s.Hold(w.now, v.id, 0)
 	if !ok {
 		return
 	}
-	if w.breaks.ackEarly {
+	if w.mutations.ackBeforeWrite {
 		order.Acked = l.s.vms[v.id].processedSeq
 	}
-	if w.breaks.blindAcks {
+	if w.mutations.ackUnanswered {
 		order.Acked = l.s.vms[v.id].ackableSeq()
 	}
-	l.holding[v.id] = true
+	l.pendingHolds[v.id] = true
 	sentAt := w.now
 	var report batch.Report
 	fenced := false
-	w.call(l, v, func(v *modelVM) { report, fenced = w.held(v, order) }, func() {
-		l.holding[v.id] = false
+	w.call(l, v, func(v *modelVM) { report, fenced = w.handleHold(v, order) }, func() {
+		l.pendingHolds[v.id] = false
 		if fenced {
 			if order.Fence >= l.s.Token(v.id) {
-				w.fenced(l)
+				w.fenceLeader(l)
 			}
 			return
 		}
-		if w.breaks.sameStart {
+		if w.mutations.ignoreIncarnations {
 			report.Born = 0
 		}
 		l.s.HandleReport(w.now, sentAt, v.id, report)
 	}, func() {
-		l.holding[v.id] = false
-		l.s.HoldFailed(w.now, v.id, v.dead && !v.dark)
+		l.pendingHolds[v.id] = false
+		l.s.HoldFailed(w.now, v.id, v.dead && !v.noReset)
 	})
 }
 
-func (w *world) carryOut(l *modelLeader, o Order) {
+func (w *world) dispatch(l *modelLeader, o Order) {
 	for _, v := range w.vms {
 		if v.id != o.Instance.ID || v.next != nil {
 			continue
 		}
 		switch o.Kind {
 		case OrderStart:
-			w.start(l, v, o)
+			w.sendStart(l, v, o)
 		case OrderStop:
-			w.stop(l, v, o)
+			w.sendStop(l, v, o)
 		case OrderPace, OrderAdvise, OrderMaintain:
 		}
 	}
 }
 
-func (w *world) start(l *modelLeader, v *modelVM, o Order) {
+func (w *world) sendStart(l *modelLeader, v *modelVM, o Order) {
 	if !l.s.PrepareStart(w.now, o) {
 		return
 	}
 	sentAt := w.now
-	if v.current().born != o.Start.Born {
+	if v.latest().born != o.Start.Born {
 		// A connection leads to the start that accepted it.
-		w.after(2*w.travel(), func() {
+		w.after(2*w.messageDelay(), func() {
 			w.deliver(l, func() { l.s.Started(w.now, sentAt, o, 0, batch.RefusedRestarted, false) })
 		})
 		return
 	}
 	refusal := batch.Refusal("")
 	clock := time.Duration(0)
-	w.call(l, v, func(v *modelVM) { refusal, clock = w.started(v, o), v.clock(w.now) }, func() {
+	w.call(l, v, func(v *modelVM) { refusal, clock = w.handleStart(v, o), v.clock(w.now) }, func() {
 		if refusal == batch.RefusedFence {
 			if o.Start.Fence >= l.s.Token(v.id) {
-				w.fenced(l)
+				w.fenceLeader(l)
 				return
 			}
 			l.s.Started(w.now, sentAt, o, 0, "", true)
@@ -456,7 +456,7 @@
 		}
 		l.s.Started(w.now, sentAt, o, clock, refusal, false)
 	}, func() {
-		if w.breaks.forgetUnknown {
+		if w.mutations.dropUnansweredStarts {
 			l.s.Started(w.now, sentAt, o, 0, batch.RefusedBusy, false)
 			return
 		}
@@ -464,21 +464,21 @@
 	})
 }
 
-func (w *world) stop(l *modelLeader, v *modelVM, o Order) {
-	if !w.acts(l) {
+func (w *world) sendStop(l *modelLeader, v *modelVM, o Order) {
+	if !w.canAct(l) {
 		return
 	}
 	known := true
 	token := l.s.Token(v.id)
-	w.call(l, v, func(v *modelVM) { known = w.stopped(v, token, o) }, func() {
+	w.call(l, v, func(v *modelVM) { known = w.handleStop(v, token, o) }, func() {
 		if !known {
 			if token >= l.s.Token(v.id) {
-				w.fenced(l)
+				w.fenceLeader(l)
 				return
 			}
-			w.stop(l, v, o)
+			w.sendStop(l, v, o)
 			return
 		}
 		l.s.Stopped(w.now, o)
-	}, func() { w.stop(l, v, o) })
+	}, func() { w.sendStop(l, v, o) })
 }
--- a/internal/scheduler/explore_mix_test.go
+++ b/internal/scheduler/explore_mix_test.go
@@ -17,24 +17,24 @@
 //
 //	go test ./internal/scheduler -run TestExploreMix -explore.mix crashes,list -explore.first 216 -explore.seeds 1 -v
 var (
-	exploreMix   = flag.String("explore.mix", "", "faults of TestExploreMix, separated by commas; 'everything' for all but carried, lapses, latewrites, slowcrashes, successions and wakes, 'none' for none beside leaders and messages")
-	exploreFirst = flag.Uint64("explore.first", 0, "first seed of TestExploreMix")
-	exploreSeedN = flag.Uint64("explore.seeds", 1000, "seeds of TestExploreMix")
-	exploreTask  = flag.String("explore.task", "", "job or task whose lines TestExploreMix shows, where it plays one seed; empty for what broke, all for all")
+	exploreMix       = flag.String("explore.mix", "", "faults of TestExploreMix, separated by commas; 'everything' for all but carried, lapses, latewrites, slowcrashes, successions and wakes, 'none' for none beside leaders and messages")
+	exploreFirst     = flag.Uint64("explore.first", 0, "first seed of TestExploreMix")
+	exploreSeedCount = flag.Uint64("explore.seeds", 1000, "seeds of TestExploreMix")
+	exploreTask      = flag.String("explore.task", "", "job or task whose lines TestExploreMix shows, where it plays one seed; empty for what broke, all for all")
 )
 
 // faultNames are the faults by the names that the flags take.
 func (f *faults) byName() map[string]*bool {
 	return map[string]*bool{
-		"alone": &f.alone, "list": &f.list, "late": &f.late, "timed": &f.timed, "attempts": &f.attempts,
-		"revoked": &f.revoked, "crashes": &f.crashes, "resizes": &f.resizes, "asks": &f.asks, "restarts": &f.restarts,
-		"carried": &f.carried, "successions": &f.successions, "lapses": &f.lapses, "latewrites": &f.lateWrites, "slowcrashes": &f.slowCrashes, "wakes": &f.wakes,
+		"alone": &f.splitLeaders, "list": &f.unlistedVMs, "late": &f.lateWatches, "timed": &f.scheduledJobs, "attempts": &f.attemptLimits,
+		"revoked": &f.revokedKeys, "crashes": &f.crashingTasks, "resizes": &f.resizes, "asks": &f.predecessorQueries, "restarts": &f.restarts,
+		"carried": &f.staleOrders, "successions": &f.quickSuccessions, "lapses": &f.entryExpiry, "latewrites": &f.lateWrites, "slowcrashes": &f.slowCrashes, "wakes": &f.wakeRestarts,
 	}
 }
 
-// singled are the faults that "everything" leaves out: those that break rules as yet, and
+// excludedFromEverything are the faults that "everything" leaves out: those that break rules as yet, and
 // those that would change what the seeds of it show.
-var singled = []string{"carried", "lapses", "latewrites", "slowcrashes", "successions", "wakes"}
+var excludedFromEverything = []string{"carried", "lapses", "latewrites", "slowcrashes", "successions", "wakes"}
 
 // parseMix reads faults by their names.
 func parseMix(mix string) (faults, error) {
@@ -45,7 +45,7 @@
 		return f, nil
 	case "everything":
 		for name, on := range named {
-			*on = !slices.Contains(singled, name)
+			*on = !slices.Contains(excludedFromEverything, name)
 		}
 		return f, nil
 	}
@@ -69,26 +69,26 @@
 	return names
 }
 
-// exploreBroken plays seeds, some at once, and returns all that broke, by seed.
-func exploreBroken(first, seeds uint64, f faults) []outcome {
+// findBrokenSeeds plays seeds, some at once, and returns all that broke, by seed.
+func findBrokenSeeds(first, seeds uint64, f faults) []seedResult {
 	var next atomic.Uint64
 	var mu sync.Mutex
 	var work sync.WaitGroup
-	var broken []outcome
+	var broken []seedResult
 	for range runtime.GOMAXPROCS(0) {
 		work.Go(func() {
 			for i := next.Add(1) - 1; i < seeds; i = next.Add(1) - 1 {
-				w := explore(first+i, f, breaks{}, nil)
-				if w.broken != "" {
+				w := explore(first+i, f, mutations{}, nil)
+				if w.violation != "" {
 					mu.Lock()
-					broken = append(broken, outcome{seed: first + i, broken: w.broken})
+					broken = append(broken, seedResult{seed: first + i, violation: w.violation})
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	work.Wait()
-	slices.SortFunc(broken, func(a, b outcome) int { return int(a.seed) - int(b.seed) })
+	slices.SortFunc(broken, func(a, b seedResult) int { return int(a.seed) - int(b.seed) })
 	return broken
 }
 
@@ -99,25 +99,25 @@
 	}
 	f, err := parseMix(*exploreMix)
 	require.NoError(t, err)
-	broken := exploreBroken(*exploreFirst, *exploreSeedN, f)
+	broken := findBrokenSeeds(*exploreFirst, *exploreSeedCount, f)
 	for _, o := range broken {
-		t.Errorf("seed %d: %s", o.seed, o.broken)
+		t.Errorf("seed %d: %s", o.seed, o.violation)
 	}
-	t.Logf("%s: %d of %d seeds from %d broken", *exploreMix, len(broken), *exploreSeedN, *exploreFirst)
-	if *exploreSeedN == 1 {
-		t.Log(traceOf(*exploreFirst, f, breaks{}, *exploreTask))
+	t.Logf("%s: %d of %d seeds from %d broken", *exploreMix, len(broken), *exploreSeedCount, *exploreFirst)
+	if *exploreSeedCount == 1 {
+		t.Log(filteredTrace(*exploreFirst, f, mutations{}, *exploreTask))
 	}
 }
 
 func TestParseMix(t *testing.T) {
 	f, err := parseMix("crashes, late")
 	require.NoError(t, err)
-	require.Equal(t, faults{crashes: true, late: true}, f)
+	require.Equal(t, faults{crashingTasks: true, lateWatches: true}, f)
 	_, err = parseMix("crashes,rain")
 	require.ErrorContains(t, err, `no fault "rain"`)
 	everything, err := parseMix("everything")
 	require.NoError(t, err)
 	for name, on := range everything.byName() {
-		require.NotEqual(t, slices.Contains(singled, name), *on, name)
+		require.NotEqual(t, slices.Contains(excludedFromEverything, name), *on, name)
 	}
 }
--- a/internal/scheduler/explore_model_test.go
+++ b/internal/scheduler/explore_model_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// zones is the number of availability zones of the model.
-	zones = 2
-	// manyAttempts stands for no bound.
-	manyAttempts = 1 << 20
-	// settleFor is how long after the last fault everything has to have come to an end.
-	settleFor = 40 * time.Second
+	// zoneCount is the number of availability zones of the model.
+	zoneCount = 2
+	// unlimitedAttempts stands for no bound.
+	unlimitedAttempts = 1 << 20
+	// settleTimeout is how long after the last fault everything has to have come to an end.
+	settleTimeout = 40 * time.Second
 )
 
 type message struct {
@@ -26,13 +26,13 @@
 
 // world is the VMs, the store and the leaders of one seed.
 type world struct {
-	rng     *rand.Rand
-	breaks  breaks
-	faults  faults
-	now     Time
-	tick    int64
-	vms     []*modelVM
-	zoneCut [zones]Time
+	rng       *rand.Rand
+	mutations mutations
+	faults    faults
+	now       Time
+	tick      int64
+	vms       []*modelVM
+	zoneCut   [zoneCount]Time
 	// splitUntil is when the last leader that was left alone with some VMs is no more.
 	splitUntil Time
 	store      modelStore
@@ -40,36 +40,36 @@
 	fence      int64
 	electAt    Time
 	jobs       map[string]*modelJob
-	tasks      map[batch.TaskID]*history
+	tasks      map[batch.TaskID]*taskHistory
 	messages   []message
 	// logRng and logged are those of writes to the log of starts, which leave the rest of a
 	// seed as it was.
-	logRng *rand.Rand
-	logged []message
-	// moved counts the lives that began at another address than the last, births those
+	logRng      *rand.Rand
+	logMessages []message
+	// movedVMs counts the lives that began at another address than the last, births those
 	// that tell when they began.
-	moved  int
-	births int64
-	// calm is set for the end of a seed, at calmAt: nothing is lost, late or cut off any
+	movedVMs int
+	births   int64
+	// faultFree is set for the end of a seed, at faultFreeSince: nothing is lost, late or cut off any
 	// more. late is set while a VM carries an order out that is seconds old.
-	calm, late bool
-	calmAt     Time
-	broken     string
-	brokenTask batch.TaskID
+	faultFree, lateDelivery bool
+	faultFreeSince          Time
+	violation               string
+	violationTask           batch.TaskID
 	// starts, changes, overcautious and full count what happened.
-	starts, changes, overcautious int
-	full                          bool
-	traced                        func(string)
+	starts, leaderChanges, withheldAcks int
+	saturated                           bool
+	trace                               func(string)
 }
 
-func newWorld(seed uint64, f faults, b breaks, traced func(string)) *world {
+func newWorld(seed uint64, f faults, b mutations, traced func(string)) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), logRng: rand.New(rand.NewPCG(seed, 8)), breaks: b, faults: f, now: time.Second, traced: traced,
-		jobs: map[string]*modelJob{}, tasks: map[batch.TaskID]*history{},
+		rng: rand.New(rand.NewPCG(seed, 7)), logRng: rand.New(rand.NewPCG(seed, 8)), mutations: b, faults: f, now: time.Second, trace: traced,
+		jobs: map[string]*modelJob{}, tasks: map[batch.TaskID]*taskHistory{},
 	}
 	w.store.records, w.store.starts = map[string][]byte{}, map[SegmentID][]byte{}
 	for i := range 4 {
-		w.addVM(fmt.Sprintf("10.0.0.%d:1", i), i%zones)
+		w.addVM(fmt.Sprintf("10.0.0.%d:1", i), i%zoneCount)
 	}
 	w.elect()
 	return w
@@ -77,27 +77,27 @@
 
 // tracef notes what happens, where a seed is played again to be read.
 func (w *world) tracef(format string, args ...any) {
-	if w.traced != nil {
-		w.traced(fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...))
+	if w.trace != nil {
+		w.trace(fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...))
 	}
 }
 
-// decisions traces what a leader decides.
-func (w *world) decisions(l *modelLeader) func(Decision) {
-	if w.traced == nil {
+// traceDecisions traces what a leader decides.
+func (w *world) traceDecisions(l *modelLeader) func(Decision) {
+	if w.trace == nil {
 		return nil
 	}
 	return func(d Decision) {
 		switch d.Event {
 		case EventFleetLoad, EventTaskWaits, EventVMListed, EventJobTaken:
 		default:
-			w.tracef("  leader %d: %s %s", l.fence, d.Event, described(d))
+			w.tracef("  leader %d: %s %s", l.fence, d.Event, describeDecision(d))
 		}
 	}
 }
 
-// described names what a decision is about.
-func described(d Decision) string {
+// describeDecision names what a decision is about.
+func describeDecision(d Decision) string {
 	var parts []string
 	if d.Task.Job != "" {
 		parts = append(parts, d.Task.String())
@@ -109,7 +109,7 @@
 		parts = append(parts, d.VM)
 	}
 	if d.Run != 0 {
-		parts = append(parts, "run "+runName(d.Run).String())
+		parts = append(parts, "run "+runLabel(d.Run).String())
 	}
 	return strings.Join(append(parts, d.Reason), " ")
 }
@@ -125,14 +125,14 @@
 	w.messages = append(w.messages, message{w.now + d, do})
 }
 
-// travel is the time of one message.
-func (w *world) travel() time.Duration { return time.Millisecond + w.upTo(30*time.Millisecond) }
+// messageDelay is the time of one message.
+func (w *world) messageDelay() time.Duration { return time.Millisecond + w.upTo(30*time.Millisecond) }
 
 // call carries a message to a VM and its answer back: lost on either way, late,
 // or carried out seconds after without an answer. Another VM at the address
 // tells that it is another; another start of the same VM takes the message.
 func (w *world) call(l *modelLeader, v *modelVM, do func(*modelVM), answer, silence func()) {
-	v = v.current()
+	v = v.latest()
 	arrive := func() bool {
 		if !v.dead {
 			do(v)
@@ -140,46 +140,46 @@
 		return !v.dead
 	}
 	arriveLate := arrive
-	if w.faults.carried {
+	if w.faults.staleOrders {
 		arriveLate = func() bool {
-			v = v.current()
+			v = v.latest()
 			return arrive()
 		}
 	}
-	lost := func() { w.after(callLost, func() { w.deliver(l, silence) }) }
+	lost := func() { w.after(callTimeout, func() { w.deliver(l, silence) }) }
 	// Nobody is there any more: the connection is closed at once.
-	closed := func() { w.after(w.travel(), func() { w.deliver(l, silence) }) }
+	closed := func() { w.after(w.messageDelay(), func() { w.deliver(l, silence) }) }
 	switch {
-	case !w.reaches(l, v) || (!w.calm && w.chance(4)):
+	case !w.reaches(l, v) || (!w.faultFree && w.chance(4)):
 		lost()
-	case v.dead && v.dark:
+	case v.dead && v.noReset:
 		lost()
 	case v.dead, w.faults.restarts && l.s.vms[v.id] != nil && l.s.vms[v.id].inst.Address != v.address:
 		for _, other := range w.vms {
 			if !other.dead && other != v && other.address == v.address && w.reaches(l, other) {
 				inst, _ := l.s.Instance(v.id)
-				w.after(2*w.travel(), func() { w.deliver(l, func() { w.gone(l, &inst) }) })
+				w.after(2*w.messageDelay(), func() { w.deliver(l, func() { w.reportReplaced(l, &inst) }) })
 				return
 			}
 		}
 		closed()
-	case !w.calm && w.chance(4):
+	case !w.faultFree && w.chance(4):
 		w.after(500*time.Millisecond+w.upTo(5*time.Second), func() {
-			w.late = true
+			w.lateDelivery = true
 			arriveLate()
-			w.late = false
+			w.lateDelivery = false
 		})
 		lost()
-	case !w.calm && w.chance(4):
-		w.after(w.travel(), func() { arrive() })
+	case !w.faultFree && w.chance(4):
+		w.after(w.messageDelay(), func() { arrive() })
 		lost()
 	default:
-		w.after(w.travel(), func() {
+		w.after(w.messageDelay(), func() {
 			if !arrive() {
 				closed()
 				return
 			}
-			w.after(w.travel(), func() { w.deliver(l, answer) })
+			w.after(w.messageDelay(), func() { w.deliver(l, answer) })
 		})
 	}
 }
@@ -196,8 +196,8 @@
 	do()
 }
 
-// takeDue takes what arrives by now off a queue.
-func takeDue(queue *[]message, now Time) []message {
+// popDue takes what arrives by now off a queue.
+func popDue(queue *[]message, now Time) []message {
 	var due, rest []message
 	for _, m := range *queue {
 		if m.at <= now {
@@ -213,33 +213,33 @@
 // step lets one random thing happen, and what is due.
 func (w *world) step() {
 	w.now += time.Duration(5+w.rng.IntN(100)) * time.Millisecond
-	due := takeDue(&w.messages, w.now)
+	due := popDue(&w.messages, w.now)
 	w.rng.Shuffle(len(due), func(i, k int) { due[i], due[k] = due[k], due[i] })
 	for _, m := range due {
 		m.do()
 	}
-	w.carryLog()
+	w.deliverLogMessages()
 	for _, v := range w.vms {
-		w.tendVM(v)
+		w.stepVM(v)
 	}
-	if !w.calm {
-		w.disturb()
+	if !w.faultFree {
+		w.injectFaults()
 	}
 	w.elect()
 	for _, l := range w.leaders {
-		w.tendLeader(l)
-		w.act(l)
+		w.stepLeader(l)
+		w.runLeader(l)
 	}
 }
 
-// disturb lets jobs come, and something go wrong now and then.
-func (w *world) disturb() {
+// injectFaults lets jobs come, and something go wrong now and then.
+func (w *world) injectFaults() {
 	jobs := 6
 	switch {
 	case w.now < w.splitUntil:
 		// The VMs that are left have room for what ran on the others.
 		jobs = 2
-	case w.faults.alone:
+	case w.faults.splitLeaders:
 		// Their tasks run longer.
 		jobs = 4
 	}
@@ -247,34 +247,34 @@
 		w.submit()
 	}
 	if w.rng.IntN(1000) < 3 {
-		w.cancelOne()
+		w.cancelRecentJob()
 	}
 	// While a leader is alone, the next one mostly lives long enough to wait it out.
 	if w.rng.IntN(1000) < 15 && (w.now >= w.splitUntil || w.chance(20)) {
-		w.disturbLeader()
+		w.injectLeaderFault()
 	}
-	if w.faults.successions && w.now < w.splitUntil && w.rng.IntN(1000) < 40 {
-		w.succeed()
+	if w.faults.quickSuccessions && w.now < w.splitUntil && w.rng.IntN(1000) < 40 {
+		w.replaceLeader()
 	}
-	if w.faults.list && w.rng.IntN(1000) < 20 {
-		w.disturbVM()
+	if w.faults.unlistedVMs && w.rng.IntN(1000) < 20 {
+		w.injectVMFault()
 	}
-	if w.faults.restarts && !w.faults.crashes && w.rng.IntN(1000) < 5 {
+	if w.faults.restarts && !w.faults.crashingTasks && w.rng.IntN(1000) < 5 {
 		// Beside tasks that end their VMs nobody could tell which VMs they have ended.
-		w.dieTogether()
+		w.killManyVMs()
 	}
 	if w.faults.resizes && w.rng.IntN(1000) < 15 {
 		w.resizeVM()
 	}
 }
 
-// disturbLeader takes the lead away: the process dies, is frozen or cut off, or the
+// injectLeaderFault takes the lead away: the process dies, is frozen or cut off, or the
 // store is down or takes the key away.
-func (w *world) disturbLeader() {
+func (w *world) injectLeaderFault() {
 	l := w.store.holder
 	w.electAt = w.now + w.upTo(300*time.Millisecond)
 	n := w.rng.IntN(20)
-	if w.faults.late && w.chance(50) {
+	if w.faults.lateWatches && w.chance(50) {
 		n = 8
 	}
 	switch {
@@ -285,37 +285,37 @@
 		if w.chance(40) {
 			// Its next life takes the key over at once.
 			w.store.keyUntil = w.now
-		} else if w.faults.asks {
+		} else if w.faults.predecessorQueries {
 			l.restartAt = w.now + time.Second + w.upTo(20*time.Second)
 		}
 	case n < 11:
 		w.tracef("the key of leader %d is taken away", l.fence)
 		w.store.keyUntil = w.now
-		if w.faults.late {
-			w.overlap(l)
+		if w.faults.lateWatches {
+			w.overlapLeaders(l)
 		}
-		if w.faults.revoked && w.chance(70) {
-			w.split(l, 0)
+		if w.faults.revokedKeys && w.chance(70) {
+			w.splitLeader(l, 0)
 		}
 	case n < 16:
-		if w.faults.alone && w.chance(70) {
-			w.split(l, 6*time.Second)
+		if w.faults.splitLeaders && w.chance(70) {
+			w.splitLeader(l, 6*time.Second)
 			return
 		}
-		w.storeless(l, time.Second)
+		w.cutFromStore(l, time.Second)
 	case n < 18:
 		l.frozenUntil = w.now + time.Second + w.upTo(7*time.Second)
 		w.tracef("leader %d is frozen until %v", l.fence, l.frozenUntil)
-		if w.faults.wakes {
-			w.restartBefore(l.frozenUntil)
+		if w.faults.wakeRestarts {
+			w.restartVMsBefore(l.frozenUntil)
 		}
 	default:
-		w.storeDown(500*time.Millisecond + w.upTo(8*time.Second))
+		w.stopStore(500*time.Millisecond + w.upTo(8*time.Second))
 	}
 }
 
-// succeed has the leader's process die and begin anew at once, or takes the key away from it.
-func (w *world) succeed() {
+// replaceLeader has the leader's process die and begin anew at once, or takes the key away from it.
+func (w *world) replaceLeader() {
 	l := w.store.holder
 	if l.ended {
 		return
@@ -329,52 +329,52 @@
 	l.ended, l.died, l.restartAt = true, true, w.now
 }
 
-// restartBefore ends VMs so that most have started again just before a moment.
-func (w *world) restartBefore(until Time) {
+// restartVMsBefore ends VMs so that most have started again just before a moment.
+func (w *world) restartVMsBefore(until Time) {
 	for _, v := range w.living() {
 		w.after(until-w.now-500*time.Millisecond-w.upTo(time.Second), func() {
 			if !v.dead && !v.draining {
-				w.die(v, false)
+				w.killVM(v, false)
 			}
 		})
 	}
 }
 
-// storeless cuts a leader off from the store.
-func (w *world) storeless(l *modelLeader, least time.Duration) {
+// cutFromStore cuts a leader off from the store.
+func (w *world) cutFromStore(l *modelLeader, least time.Duration) {
 	l.storelessUntil = w.now + least + w.upTo(8*time.Second)
 	w.tracef("leader %d is without the store until %v", l.fence, l.storelessUntil)
 }
 
-// overlap lets jobs come while a leader whose key was taken away has not heard of it,
+// overlapLeaders lets jobs come while a leader whose key was taken away has not heard of it,
 // since renewals of its are lost, and another one leads.
-func (w *world) overlap(l *modelLeader) {
+func (w *world) overlapLeaders(l *modelLeader) {
 	w.electAt = w.now + w.upTo(100*time.Millisecond)
-	l.renewAt = w.now + w.upTo(keyConfirmed)
+	l.nextRenewal = w.now + w.upTo(keyConfirmedTimeout)
 	for range 4 {
-		w.after(w.upTo(keyConfirmed), w.submit)
+		w.after(w.upTo(keyConfirmedTimeout), w.submit)
 	}
 	// The next one does not reach all VMs that it reaches.
 	until := w.now + 2*time.Second + w.upTo(12*time.Second)
 	for _, v := range w.living() {
 		if w.chance(25) {
-			v.heldBy, v.heldByUntil = l, until
+			v.onlyLeader, v.onlyLeaderUntil = l, until
 			w.tracef("%s reaches nobody but leader %d until %v", v.id, l.fence, until)
 		}
 	}
 }
 
-// split leaves a leader alone with some of the VMs, while no other reaches those:
+// splitLeader leaves a leader alone with some of the VMs, while no other reaches those:
 // from the others it is cut off up to so long before it is from the store.
-func (w *world) split(l *modelLeader, before time.Duration) {
+func (w *world) splitLeader(l *modelLeader, before time.Duration) {
 	until := w.now + 6*time.Second + w.upTo(20*time.Second)
 	w.splitUntil = until
 	for _, v := range w.living() {
 		if w.chance(50) {
-			l.cut[v.id] = until
+			l.cutUntil[v.id] = until
 			continue
 		}
-		v.heldBy, v.heldByUntil = l, until
+		v.onlyLeader, v.onlyLeaderUntil = l, until
 		w.tracef("%s reaches nobody but leader %d until %v", v.id, l.fence, until)
 	}
 	w.after(w.upTo(before+time.Millisecond), func() {
@@ -383,20 +383,20 @@
 	})
 }
 
-// storeDown stops the store. What expires by time may do so meanwhile, or not.
-func (w *world) storeDown(d time.Duration) {
+// stopStore stops the store. What expires by time may do so meanwhile, or not.
+func (w *world) stopStore(d time.Duration) {
 	w.store.downUntil = w.now + d
 	w.tracef("the store is down until %v", w.store.downUntil)
 	if w.chance(50) {
 		w.store.keyUntil += d
 		for _, v := range w.vms {
-			v.lastBeat += d
+			v.lastHeartbeat += d
 		}
 	}
 }
 
-// disturbVM cuts VMs off, or ends their lives.
-func (w *world) disturbVM() {
+// injectVMFault cuts VMs off, or ends their lives.
+func (w *world) injectVMFault() {
 	living := slices.DeleteFunc(w.living(), func(v *modelVM) bool { return v.draining })
 	if len(living) == 0 {
 		return
@@ -420,13 +420,13 @@
 	case n < 12:
 		v.storelessUntil = until
 		w.tracef("%s is without the store until %v", v.id, until)
-	case len(living) <= fewestVMs:
+	case len(living) <= minLivingVMs:
 	case n < 13:
-		w.die(v, false)
+		w.killVM(v, false)
 	case n < 14:
-		w.drain(v)
+		w.drainVM(v)
 	default:
-		w.drain(v)
+		w.drainVM(v)
 		w.after(w.upTo(3*time.Second), func() {
 			v.cutUntil = w.now + 3*time.Second + w.upTo(14*time.Second)
 			w.tracef("%s, which drains, is cut off until %v", v.id, v.cutUntil)
@@ -436,19 +436,19 @@
 
 // settle ends all faults and waits until everything has come to its end.
 func (w *world) settle() {
-	w.calm, w.calmAt = true, w.now
-	w.zoneCut = [zones]Time{}
+	w.faultFree, w.faultFreeSince = true, w.now
+	w.zoneCut = [zoneCount]Time{}
 	w.store.downUntil = 0
 	for _, v := range w.vms {
-		v.cutUntil, v.storelessUntil, v.heldByUntil = 0, 0, 0
+		v.cutUntil, v.storelessUntil, v.onlyLeaderUntil = 0, 0, 0
 	}
 	for _, l := range w.leaders {
 		l.storelessUntil, l.frozenUntil = 0, 0
-		clear(l.cut)
+		clear(l.cutUntil)
 	}
 	w.tracef("faults end")
-	until := w.now + settleFor
-	for w.now < until && w.broken == "" {
+	until := w.now + settleTimeout
+	for w.now < until && w.violation == "" {
 		for range 20 {
 			w.step()
 		}
@@ -457,6 +457,6 @@
 		}
 	}
 	if what := w.unfinished(); what != "" {
-		w.fail(w.brokenTask, "after %v without faults: %s", settleFor, what)
+		w.fail(w.violationTask, "after %v without faults: %s", settleTimeout, what)
 	}
 }
--- a/internal/scheduler/explore_seeds_test.go
+++ b/internal/scheduler/explore_seeds_test.go
@@ -42,19 +42,19 @@
 // Guards against each failure that a seed of the explorer has shown.
 func TestExploreKnownSeeds(t *testing.T) {
 	for _, k := range knownSeeds {
-		playKnown(t, k.guards, k.mix, k.seeds...)
+		testKnownSeeds(t, k.guards, k.mix, k.seeds...)
 	}
 }
 
-// playKnown plays seeds of a mix, each as a test of its own.
-func playKnown(t *testing.T, guards, mix string, seeds ...uint64) {
+// testKnownSeeds plays seeds of a mix, each as a test of its own.
+func testKnownSeeds(t *testing.T, guards, mix string, seeds ...uint64) {
 	f, err := parseMix(mix)
 	require.NoError(t, err)
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("%s/%d", mix, seed), func(t *testing.T) {
 			t.Parallel()
-			if w := explore(seed, f, breaks{}, nil); w.broken != "" {
-				t.Fatalf("%s: %s\n%s", guards, w.broken, replay(seed, f, breaks{}))
+			if w := explore(seed, f, mutations{}, nil); w.violation != "" {
+				t.Fatalf("%s: %s\n%s", guards, w.violation, failureTrace(seed, f, mutations{}))
 			}
 		})
 	}
@@ -65,86 +65,86 @@
 // can be asked.
 func TestThirdStartWhereLeadersLoseTheirCounts(t *testing.T) {
 	const guards = "started the third time after the third VM"
-	playKnown(t, guards, "crashes", 3323)
-	playKnown(t, guards, "crashes,alone,revoked", 3036, 3986)
-	playKnown(t, guards, "restarts,crashes", 6799)
-	playKnown(t, guards, "crashes,timed", 3535)
-	playKnown(t, guards, "crashes,late", 1079)
-	playKnown(t, guards, "crashes,late,attempts,timed", 17583, 18476, 22493)
-	playKnown(t, guards, "crashes,attempts", 156, 1883, 2680, 3234, 3301)
+	testKnownSeeds(t, guards, "crashes", 3323)
+	testKnownSeeds(t, guards, "crashes,alone,revoked", 3036, 3986)
+	testKnownSeeds(t, guards, "restarts,crashes", 6799)
+	testKnownSeeds(t, guards, "crashes,timed", 3535)
+	testKnownSeeds(t, guards, "crashes,late", 1079)
+	testKnownSeeds(t, guards, "crashes,late,attempts,timed", 17583, 18476, 22493)
+	testKnownSeeds(t, guards, "crashes,attempts", 156, 1883, 2680, 3234, 3301)
 }
 
 // Guards against a task that is started a third time after its third VM had ended under it: two or
 // more of its first starts were given by leaders that could not write, and nobody can ask these.
 func TestThirdStartWhereFirstStartsCannotBeLogged(t *testing.T) {
 	const guards = "started the third time after the third VM"
-	playKnown(t, guards, "crashes", 9569, 405101, 1103210)
-	playKnown(t, guards, "crashes,timed", 4713, 503693, 504666)
-	playKnown(t, guards, "crashes,alone,revoked", 1100197)
-	playKnown(t, guards, "restarts,crashes", 7810, 1201974, 1203051)
-	playKnown(t, guards, "restarts,crashes,wakes", 1301900)
-	playKnown(t, guards, "crashes,lapses", 30320)
+	testKnownSeeds(t, guards, "crashes", 9569, 405101, 1103210)
+	testKnownSeeds(t, guards, "crashes,timed", 4713, 503693, 504666)
+	testKnownSeeds(t, guards, "crashes,alone,revoked", 1100197)
+	testKnownSeeds(t, guards, "restarts,crashes", 7810, 1201974, 1203051)
+	testKnownSeeds(t, guards, "restarts,crashes,wakes", 1301900)
+	testKnownSeeds(t, guards, "crashes,lapses", 30320)
 }
 
 // Guards against an innocent job that is given up, since successors take the ends that their
 // predecessors had in doubt for those of its task.
 func TestInnocentJobIsKeptOverTakeOvers(t *testing.T) {
 	const guards = "a job is given up for crashes, and no task of it has ended a VM"
-	playKnown(t, guards, "restarts,alone,list,revoked,asks", 4500)
-	playKnown(t, guards, "crashes,lapses", 31822)
+	testKnownSeeds(t, guards, "restarts,alone,list,revoked,asks", 4500)
+	testKnownSeeds(t, guards, "crashes,lapses", 31822)
 }
 
 // Guards against a task that is started a third time after its third VM had ended under it: in a storm
 // one of the ends came as another task began beside it, and was no trial.
 func TestThirdStartAfterAnEndBesideAnother(t *testing.T) {
 	const guards = "started the third time after the third VM"
-	playKnown(t, guards, "restarts,crashes", 1201038)
-	playKnown(t, guards, "restarts,crashes,wakes", 1201038)
-	playKnown(t, guards, "crashes,attempts", 500957)
-	playKnown(t, guards, "crashes,alone,revoked", 400730)
+	testKnownSeeds(t, guards, "restarts,crashes", 1201038)
+	testKnownSeeds(t, guards, "restarts,crashes,wakes", 1201038)
+	testKnownSeeds(t, guards, "crashes,attempts", 500957)
+	testKnownSeeds(t, guards, "crashes,alone,revoked", 400730)
 }
 
 // Guards against an innocent job that is given up, since VMs end by themselves just as its task begins
 // there in a trial.
 func TestInnocentJobWhoseTrialsLoseTheirVMsIsKept(t *testing.T) {
-	playKnown(t, "a job is given up for crashes, and no task of it has ended two VMs", "restarts,alone,revoked", 1102387)
+	testKnownSeeds(t, "a job is given up for crashes, and no task of it has ended two VMs", "restarts,alone,revoked", 1102387)
 }
 
 // Guards against an innocent job that is given up: a VM told that it never had a run to a leader that
 // could no longer write, and successors take the doubt about it for an end that the run brought about.
 func TestInnocentJobThatWasClearedWithoutTheStoreIsKept(t *testing.T) {
-	playKnown(t, "a job is given up for crashes, and no task of it has ended two VMs", "crashes,timed", 400806)
+	testKnownSeeds(t, "a job is given up for crashes, and no task of it has ended two VMs", "crashes,timed", 400806)
 }
 
 // Guards against work that has not come to its end 40 s after all faults, where tasks that end
 // their VMs leave few of them to a long queue.
 func TestBacklogBesideTasksThatEndVMsIsServed(t *testing.T) {
 	const guards = "not ended after the calm"
-	playKnown(t, guards, "crashes,late,attempts,timed", 198, 252, 433, 2421, 3973)
-	playKnown(t, guards, "crashes", 6675, 401844)
-	playKnown(t, guards, "crashes,late", 403007, 404612)
+	testKnownSeeds(t, guards, "crashes,late,attempts,timed", 198, 252, 433, 2421, 3973)
+	testKnownSeeds(t, guards, "crashes", 6675, 401844)
+	testKnownSeeds(t, guards, "crashes,late", 403007, 404612)
 }
 
 // Guards against a task that ends its VMs later than a second after it began, and is started
 // again and again.
 func TestTaskThatEndsItsVMsAfterASecondIsGivenUp(t *testing.T) {
-	playKnown(t, "started the third time after the third VM", "crashes,slowcrashes", 1, 2, 4)
+	testKnownSeeds(t, "started the third time after the third VM", "crashes,slowcrashes", 1, 2, 4)
 }
 
 // Guards against a job that is given up since another's task ended its VMs later than a second
 // after it began, beside its trials.
 func TestInnocentJobBesideLateEndsIsKept(t *testing.T) {
-	playKnown(t, "a job is given up for crashes, and no task of it has ended two VMs", "crashes,slowcrashes", 5, 19)
+	testKnownSeeds(t, "a job is given up for crashes, and no task of it has ended two VMs", "crashes,slowcrashes", 5, 19)
 }
 
 // Guards against a VM that carries out an order seconds late which its start before had taken:
 // nobody has spoken to this one yet, so that it has seen no higher fencing token.
 func TestOrderOfTheStartBeforeIsCarriedOut(t *testing.T) {
-	playKnown(t, "an order of the start before", "restarts,carried", 31, 0, 61)
+	testKnownSeeds(t, "an order of the start before", "restarts,carried", 31, 0, 61)
 }
 
 // Guards against a task that is started again after its end was acknowledged: a deposed leader wakes
 // just after a VM has started again, which has seen no fencing token yet.
 func TestLeaderThatWakesAtARestartStartsWhatIsDone(t *testing.T) {
-	playKnown(t, "started after its end was acknowledged", "restarts,crashes,wakes", 35181)
+	testKnownSeeds(t, "started after its end was acknowledged", "restarts,crashes,wakes", 35181)
 }
--- a/internal/scheduler/explore_startlog_test.go
+++ b/internal/scheduler/explore_startlog_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// logStarts writes a leader's log of starts, beside what else it writes.
-func (w *world) logStarts(l *modelLeader) {
-	if l.logging || w.breaks.forgetsStarts || w.logRng.IntN(100) >= 50 {
+// writeStartLog writes a leader's log of starts, beside what else it writes.
+func (w *world) writeStartLog(l *modelLeader) {
+	if l.logWritePending || w.mutations.skipStartLog || w.logRng.IntN(100) >= 50 {
 		return
 	}
 	c := l.s.PendingStarts(w.now, false)
@@ -23,31 +23,31 @@
 			panic(err)
 		}
 	}
-	answered := w.calm || w.logRng.IntN(100) >= 4
-	l.logging = true
-	if w.faults.lateWrites && !w.calm && w.logRng.IntN(100) < 10 {
+	answered := w.faultFree || w.logRng.IntN(100) >= 4
+	l.logWritePending = true
+	if w.faults.lateWrites && !w.faultFree && w.logRng.IntN(100) < 10 {
 		// Its answer is lost, and it is carried out late.
-		w.logged = append(w.logged, message{w.now + callLost, func() { w.startsNoted(l, c, false) }})
-		w.logged = append(w.logged, message{w.now + time.Duration(w.logRng.IntN(3000))*time.Millisecond, func() { w.applyLog(l, c, value) }})
+		w.logMessages = append(w.logMessages, message{w.now + callTimeout, func() { w.finishLogWrite(l, c, false) }})
+		w.logMessages = append(w.logMessages, message{w.now + time.Duration(w.logRng.IntN(3000))*time.Millisecond, func() { w.applyLogWrite(l, c, value) }})
 		return
 	}
-	w.afterLog(func() {
+	w.scheduleLogMessage(func() {
 		if !w.reachesStore(l) {
-			w.logged = append(w.logged, message{w.now + callLost, func() { w.startsNoted(l, c, false) }})
+			w.logMessages = append(w.logMessages, message{w.now + callTimeout, func() { w.finishLogWrite(l, c, false) }})
 			return
 		}
-		if !w.leads(l) {
+		if !w.holdsKey(l) {
 			l.ended = true
 			return
 		}
-		w.applyLog(l, c, value)
-		w.afterLog(func() { w.startsNoted(l, c, answered) })
+		w.applyLogWrite(l, c, value)
+		w.scheduleLogMessage(func() { w.finishLogWrite(l, c, answered) })
 	})
 }
 
-// applyLog is the store's side of a write to the log.
-func (w *world) applyLog(l *modelLeader, c *StartLogChange, value []byte) {
-	if !w.reachesStore(l) || !w.leads(l) {
+// applyLogWrite is the store's side of a write to the log.
+func (w *world) applyLogWrite(l *modelLeader, c *StartLogChange, value []byte) {
+	if !w.reachesStore(l) || !w.holdsKey(l) {
 		return
 	}
 	if c.Segment != nil {
@@ -58,9 +58,9 @@
 	}
 }
 
-// startsNoted tells a leader what became of a write to the log.
-func (w *world) startsNoted(l *modelLeader, c *StartLogChange, answered bool) {
-	l.logging = false
+// finishLogWrite tells a leader what became of a write to the log.
+func (w *world) finishLogWrite(l *modelLeader, c *StartLogChange, answered bool) {
+	l.logWritePending = false
 	switch {
 	case l.ended:
 	case answered:
@@ -70,8 +70,8 @@
 	}
 }
 
-// restoreStarts reads what earlier leaders started of late.
-func (w *world) restoreStarts(l *modelLeader) {
+// restoreStartLog reads what earlier leaders started of late.
+func (w *world) restoreStartLog(l *modelLeader) {
 	var log []StartSegment
 	for _, id := range slices.SortedFunc(maps.Keys(w.store.starts), SegmentID.Compare) {
 		g := StartSegment{ID: id}
@@ -83,15 +83,15 @@
 	l.s.RestoreStarts(w.now, log)
 }
 
-// afterLog has a message of a write to the log arrive.
-func (w *world) afterLog(do func()) {
+// scheduleLogMessage has a message of a write to the log arrive.
+func (w *world) scheduleLogMessage(do func()) {
 	travel := time.Millisecond + time.Duration(w.logRng.IntN(30))*time.Millisecond
-	w.logged = append(w.logged, message{w.now + travel, do})
+	w.logMessages = append(w.logMessages, message{w.now + travel, do})
 }
 
-// carryLog delivers what is due of them.
-func (w *world) carryLog() {
-	for _, m := range takeDue(&w.logged, w.now) {
+// deliverLogMessages delivers what is due of them.
+func (w *world) deliverLogMessages() {
+	for _, m := range popDue(&w.logMessages, w.now) {
 		m.do()
 	}
 }
--- a/internal/scheduler/explore_vm_test.go
+++ b/internal/scheduler/explore_vm_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// beatEvery is how often a VM writes to the store, entryLife how long its entry
+	// heartbeatInterval is how often a VM writes to the store, entryTTL how long its entry
 	// outlives the last such write.
-	beatEvery = 1500 * time.Millisecond
-	entryLife = 3 * beatEvery
-	// drainFor is the least time from the announcement of a drain to the VM's exit.
-	drainFor = 2 * time.Second
-	// fewestVMs is how many VMs are left alone by crashes and drains.
-	fewestVMs = 3
+	heartbeatInterval = 1500 * time.Millisecond
+	entryTTL          = 3 * heartbeatInterval
+	// minDrainDuration is the least time from the announcement of a drain to the VM's exit.
+	minDrainDuration = 2 * time.Second
+	// minLivingVMs is how many VMs are left alone by crashes and drains.
+	minLivingVMs = 3
 )
 
 // modelRun is something that runs on a VM of the model.
@@ -31,8 +31,8 @@
 	batch.RunEnd
 	// tick is when it came, in the world's order of things.
 	tick int64
-	// lapsed is set once the VM's lease ran out after it.
-	lapsed bool
+	// leaseExpired is set once the VM's lease ran out after it.
+	leaseExpired bool
 }
 
 // modelVM is one life of a VM.
@@ -40,40 +40,40 @@
 	id, address string
 	// born tells the starts under an ID apart, bornAt is when this one began. before and
 	// next are the starts before and after it under the same ID.
-	born         int64
-	bornAt       Time
-	before, next *modelVM
-	// dark: what is sent to it after its end is left in silence.
-	dark    bool
-	zone    int
-	fence   int64
-	running []modelRun
-	last    map[batch.TaskID]int64
-	ended   []*modelEnd
-	seq     int64
-	// told is the highest end that it has told.
-	told int64
+	born           int64
+	bornAt         Time
+	previous, next *modelVM
+	// noReset: what is sent to it after its end is left in silence.
+	noReset  bool
+	zone     int
+	fence    int64
+	running  []modelRun
+	lastRuns map[batch.TaskID]int64
+	ended    []*modelEnd
+	seq      int64
+	// reportedSeq is the highest end that it has told.
+	reportedSeq int64
 	// lease is on the VM's clock, which runs at rate.
 	lease time.Duration
 	rate  float64
 
 	// cutUntil is when the VM reaches anybody again, storelessUntil the store.
 	cutUntil, storelessUntil Time
-	// heldBy is the only leader that reaches it until heldByUntil.
-	heldBy      *modelLeader
-	heldByUntil Time
+	// onlyLeader is the only leader that reaches it until onlyLeaderUntil.
+	onlyLeader      *modelLeader
+	onlyLeaderUntil Time
 	// listed is whether the store has its entry, announced whether that says that
-	// it drains; its heartbeats are at beatAt, the last one to arrive was at lastBeat.
-	listed, announced bool
-	beatAt, lastBeat  Time
-	// wroteAt is when it last wrote its entry, while lastBeat stands still with a store
+	// it drains; its heartbeats are at nextHeartbeat, the last one to arrive was at lastHeartbeat.
+	listed, drainAnnounced       bool
+	nextHeartbeat, lastHeartbeat Time
+	// entryWrittenAt is when it last wrote its entry, while lastHeartbeat stands still with a store
 	// that is down.
-	wroteAt        Time
+	entryWrittenAt Time
 	draining, dead bool
 	exitAt         Time
 	// milliCPU is what it has, shown what its entry says, sizes what it had of late.
-	milliCPU, shown int64
-	sizes           []modelSize
+	milliCPU, listedMilliCPU int64
+	pastSizes                []modelSize
 }
 
 // modelSize is what a VM had until a moment.
@@ -97,25 +97,25 @@
 		return
 	}
 	v := living[w.rng.IntN(len(living))]
-	v.sizes = append(v.sizes, modelSize{until: w.now, milliCPU: v.milliCPU})
+	v.pastSizes = append(v.pastSizes, modelSize{until: w.now, milliCPU: v.milliCPU})
 	v.milliCPU = fullSize + smallSize - v.milliCPU
 	w.tracef("%s has %dm now", v.id, v.milliCPU)
 }
 
-// sizeThatCounts is the most that a VM had since its heartbeats, and a leader that is not
+// maxRecentSize is the most that a VM had since its heartbeats, and a leader that is not
 // disturbed, have told it for certain.
-func (w *world) sizeThatCounts(v *modelVM) int64 {
+func (w *world) maxRecentSize(v *modelVM) int64 {
 	most := v.milliCPU
-	for _, s := range v.sizes {
-		if w.now-s.until < stableFor+beatEvery {
+	for _, s := range v.pastSizes {
+		if w.now-s.until < stableDuration+heartbeatInterval {
 			most = max(most, s.milliCPU)
 		}
 	}
 	return most
 }
 
-// stableFor is how long nothing has to go wrong for bounds in time to hold.
-const stableFor = 3 * time.Second
+// stableDuration is how long nothing has to go wrong for bounds in time to hold.
+const stableDuration = 3 * time.Second
 
 func (v *modelVM) clock(now Time) time.Duration {
 	if v.born != 0 {
@@ -124,38 +124,38 @@
 	return time.Hour + time.Duration(float64(now)*v.rate)
 }
 
-// current is the last start under the VM's ID.
-func (v *modelVM) current() *modelVM {
+// latest is the last start under the VM's ID.
+func (v *modelVM) latest() *modelVM {
 	for v.next != nil {
 		v = v.next
 	}
 	return v
 }
 
-// extend prolongs the lease: never beyond the longest that VMs grant.
-func (w *world) extend(v *modelVM, until time.Duration) {
+// extendLease prolongs the lease: never beyond the longest that VMs grant.
+func (w *world) extendLease(v *modelVM, until time.Duration) {
 	if v.born != 0 {
-		until = min(until, v.clock(w.now)+w.longestLease())
+		until = min(until, v.clock(w.now)+w.maxLease())
 	}
 	v.lease = max(v.lease, until)
 }
 
-// longestHold is the longest lease that VMs grant, shortHold that where leaders follow each other
+// modelMaxLease is the longest lease that VMs grant, modelShortMaxLease that where leaders follow each other
 // quickly: shorter than a leader acts without the store.
 const (
-	longestHold = 10 * time.Second
-	shortHold   = 3 * time.Second
+	modelMaxLease      = 10 * time.Second
+	modelShortMaxLease = 3 * time.Second
 )
 
-func (w *world) longestLease() time.Duration {
-	if w.faults.successions {
-		return shortHold
+func (w *world) maxLease() time.Duration {
+	if w.faults.quickSuccessions {
+		return modelShortMaxLease
 	}
-	return longestHold
+	return modelMaxLease
 }
 
-// run returns the number of the run of a task, or 0.
-func (v *modelVM) run(task batch.TaskID) int64 {
+// runNumber returns the number of the run of a task, or 0.
+func (v *modelVM) runNumber(task batch.TaskID) int64 {
 	for _, r := range v.running {
 		if r.task == task {
 			return r.number
@@ -166,9 +166,9 @@
 
 func (w *world) instance(v *modelVM) batch.Instance {
 	return batch.Instance{
-		ID: v.id, Born: v.born, Pool: "pool", Address: v.address, Zone: fmt.Sprint(v.zone), Draining: v.announced,
-		Stale:    w.now-v.wroteAt > 2*beatEvery,
-		Capacity: batch.Resources{MilliCPU: v.shown, MemoryMB: 2000},
+		ID: v.id, Born: v.born, Pool: "pool", Address: v.address, Zone: fmt.Sprint(v.zone), Draining: v.drainAnnounced,
+		Stale:    w.now-v.entryWrittenAt > 2*heartbeatInterval,
+		Capacity: batch.Resources{MilliCPU: v.listedMilliCPU, MemoryMB: 2000},
 	}
 }
 
@@ -189,40 +189,40 @@
 	}
 	v := &modelVM{
 		id: fmt.Sprintf("vm%d", len(w.vms)), address: address, zone: zone, rate: rate, bornAt: w.now,
-		last: map[batch.TaskID]int64{}, beatAt: w.now, milliCPU: fullSize, shown: fullSize,
+		lastRuns: map[batch.TaskID]int64{}, nextHeartbeat: w.now, milliCPU: fullSize, listedMilliCPU: fullSize,
 	}
 	if w.faults.restarts {
-		v.born = w.birth()
+		v.born = w.newBorn()
 	}
 	w.vms = append(w.vms, v)
 	w.tracef("%s begins at %s in zone %d", v.id, address, zone)
-	w.beat(v)
+	w.heartbeat(v)
 }
 
-// birth draws the time of day of a start by a clock that jumps: a later one may be less.
-func (w *world) birth() int64 {
+// newBorn draws the time of day of a start by a clock that jumps: a later one may be less.
+func (w *world) newBorn() int64 {
 	w.births++
-	return (w.wall()+w.upTo(8*time.Second).Milliseconds())<<10 + w.births
+	return (w.wallMS()+w.upTo(8*time.Second).Milliseconds())<<10 + w.births
 }
 
-// restart begins a new start under the ID of a VM that has ended. It may be behind the same
+// restartVM begins a new start under the ID of a VM that has ended. It may be behind the same
 // cut, and of another size.
-func (w *world) restart(old *modelVM, address string) {
+func (w *world) restartVM(old *modelVM, address string) {
 	w.addVM(address, old.zone)
 	v := w.vms[len(w.vms)-1]
-	v.id, v.before, old.next = old.id, old, v
+	v.id, v.previous, old.next = old.id, old, v
 	if w.chance(50) {
 		v.cutUntil, v.storelessUntil = old.cutUntil, old.storelessUntil
 	}
 	w.tracef("%s is that start, born %d", v.id, v.born)
 	if v.listed {
-		w.unlistBefore(v)
+		w.unlistPrevious(v)
 	}
 }
 
-// unlistBefore takes the entries of earlier starts off: they have the same key.
-func (w *world) unlistBefore(v *modelVM) {
-	for old := v.before; old != nil; old = old.before {
+// unlistPrevious takes the entries of earlier starts off: they have the same key.
+func (w *world) unlistPrevious(v *modelVM) {
+	for old := v.previous; old != nil; old = old.previous {
 		old.listed = false
 	}
 }
@@ -239,75 +239,75 @@
 
 // reaches reports whether a leader and a VM can talk.
 func (w *world) reaches(l *modelLeader, v *modelVM) bool {
-	if w.now < v.cutUntil || w.now < l.cut[v.id] || (w.now < v.heldByUntil && v.heldBy != l) {
+	if w.now < v.cutUntil || w.now < l.cutUntil[v.id] || (w.now < v.onlyLeaderUntil && v.onlyLeader != l) {
 		return false
 	}
 	return l.zone == v.zone || (w.now >= w.zoneCut[l.zone] && w.now >= w.zoneCut[v.zone])
 }
 
 // tickVM does what is due on a VM, and in the store's list with its entry.
-func (w *world) tendVM(v *modelVM) {
+func (w *world) stepVM(v *modelVM) {
 	if !v.dead {
-		w.lapse(v)
+		w.enforceLease(v)
 		for _, r := range slices.Clone(v.running) {
 			if w.now < r.until {
 				continue
 			}
 			kind := batch.EndDone
-			if !w.calm && w.chance(25) {
+			if !w.faultFree && w.chance(25) {
 				kind = batch.EndFailed
 			}
-			w.end(v, r, kind)
+			w.endRun(v, r, kind)
 		}
-		w.beat(v)
+		w.heartbeat(v)
 		if v.exitAt > 0 && w.now >= v.exitAt {
-			w.die(v, true)
+			w.killVM(v, true)
 		}
 	}
-	if v.listed && w.now-v.lastBeat > entryLife && (w.faults.list || w.faults.restarts || w.faults.lapses) && w.now >= w.store.downUntil {
+	if v.listed && w.now-v.lastHeartbeat > entryTTL && (w.faults.unlistedVMs || w.faults.restarts || w.faults.entryExpiry) && w.now >= w.store.downUntil {
 		v.listed = false
 		w.tracef("entry of %s goes", v.id)
 	}
 }
 
-func (w *world) beat(v *modelVM) {
-	if w.now < v.beatAt {
+func (w *world) heartbeat(v *modelVM) {
+	if w.now < v.nextHeartbeat {
 		return
 	}
-	v.beatAt = w.now + beatEvery
+	v.nextHeartbeat = w.now + heartbeatInterval
 	if w.now < v.cutUntil || w.now < v.storelessUntil || w.now < w.zoneCut[v.zone] || w.now < w.store.downUntil {
 		return
 	}
-	v.lastBeat, v.wroteAt = w.now, w.now
+	v.lastHeartbeat, v.entryWrittenAt = w.now, w.now
 	if !v.listed {
 		w.tracef("entry of %s is there", v.id)
 	}
 	v.listed = true
-	w.unlistBefore(v)
-	if !w.breaks.overfills {
-		v.shown = v.milliCPU
+	w.unlistPrevious(v)
+	if !w.mutations.ignoreResizes {
+		v.listedMilliCPU = v.milliCPU
 	}
-	if v.draining && !v.announced {
-		v.announced = true
+	if v.draining && !v.drainAnnounced {
+		v.drainAnnounced = true
 		// Some take many seconds longer than they must.
 		longest := time.Second
 		if w.chance(60) {
 			longest = 10 * time.Second
 		}
-		v.exitAt = w.now + drainFor + w.upTo(longest)
+		v.exitAt = w.now + minDrainDuration + w.upTo(longest)
 		w.tracef("%s says that it drains", v.id)
 	}
 }
 
-// drain lets a VM announce its end.
-func (w *world) drain(v *modelVM) {
+// drainVM lets a VM announce its end.
+func (w *world) drainVM(v *modelVM) {
 	v.draining = true
-	v.beatAt = w.now
+	v.nextHeartbeat = w.now
 }
 
-// die ends a VM's life, and with it all that runs there; a new one begins, often at
+// killVM ends a VM's life, and with it all that runs there; a new one begins, often at
 // the same address. The entry goes at once only if the VM could take it off.
-func (w *world) die(v *modelVM, clean bool) {
+func (w *world) killVM(v *modelVM, clean bool) {
 	w.tracef("%s dies", v.id)
 	v.dead = true
 	v.running, v.ended = nil, nil
@@ -316,49 +316,49 @@
 	}
 	address := v.address
 	if w.chance(40) {
-		w.moved++
-		address = fmt.Sprintf("10.0.1.%d:1", w.moved)
+		w.movedVMs++
+		address = fmt.Sprintf("10.0.1.%d:1", w.movedVMs)
 	}
 	if w.faults.restarts && w.chance(70) {
-		v.dark = w.chance(50)
+		v.noReset = w.chance(50)
 		longest := time.Second
 		if w.chance(30) {
 			longest = 10 * time.Second
 		}
-		w.after(500*time.Millisecond+w.upTo(longest), func() { w.restart(v, address) })
+		w.after(500*time.Millisecond+w.upTo(longest), func() { w.restartVM(v, address) })
 		return
 	}
 	w.after(500*time.Millisecond+w.upTo(4*time.Second), func() { w.addVM(address, v.zone) })
 }
 
-// dieTogether ends so many VMs at once that their end has a cause of its own.
-func (w *world) dieTogether() {
+// killManyVMs ends so many VMs at once that their end has a cause of its own.
+func (w *world) killManyVMs() {
 	living := slices.DeleteFunc(w.living(), func(v *modelVM) bool { return v.draining })
 	if len(living) <= minMassEnds {
 		return
 	}
 	w.rng.Shuffle(len(living), func(i, k int) { living[i], living[k] = living[k], living[i] })
 	for _, v := range living[:minMassEnds+1+w.rng.IntN(len(living)-minMassEnds)] {
-		w.die(v, false)
+		w.killVM(v, false)
 	}
 }
 
-// held is the VM's side of a hold.
-func (w *world) held(v *modelVM, o batch.HoldOrder) (batch.Report, bool) {
-	w.lapse(v)
-	if o.Fence < v.fence && !w.breaks.noFence {
+// handleHold is the VM's side of a hold.
+func (w *world) handleHold(v *modelVM, o batch.HoldOrder) (batch.Report, bool) {
+	w.enforceLease(v)
+	if o.Fence < v.fence && !w.mutations.noFencing {
 		return batch.Report{}, true
 	}
 	v.fence = max(v.fence, o.Fence)
-	w.extend(v, o.LeaseUntil)
-	if o.Acked > v.told {
-		w.fail(batch.TaskID{}, "%s is to forget its ends up to %d, and has told those up to %d", v.id, o.Acked, v.told)
+	w.extendLease(v, o.LeaseUntil)
+	if o.Acked > v.reportedSeq {
+		w.fail(batch.TaskID{}, "%s is to forget its ends up to %d, and has told those up to %d", v.id, o.Acked, v.reportedSeq)
 	}
 	for len(v.ended) > 0 && v.ended[0].Seq <= o.Acked {
-		w.acknowledged(v, v.ended[0])
+		w.checkAck(v, v.ended[0])
 		v.ended = v.ended[1:]
 	}
-	v.told = v.seq
+	v.reportedSeq = v.seq
 	rep := batch.Report{Born: v.born, Clock: v.clock(w.now)}
 	for _, e := range v.ended {
 		rep.Ended = append(rep.Ended, e.RunEnd)
@@ -369,110 +369,110 @@
 	return rep, false
 }
 
-// lapse kills everything on a VM whose lease is over.
-func (w *world) lapse(v *modelVM) {
+// enforceLease kills everything on a VM whose lease is over.
+func (w *world) enforceLease(v *modelVM) {
 	if v.clock(w.now) <= v.lease {
 		return
 	}
 	for _, e := range v.ended {
-		e.lapsed = true
+		e.leaseExpired = true
 	}
 	for _, r := range slices.Clone(v.running) {
-		w.end(v, r, batch.EndLapsed)
+		w.endRun(v, r, batch.EndLapsed)
 	}
 }
 
-func (w *world) end(v *modelVM, r modelRun, kind batch.EndKind) {
+func (w *world) endRun(v *modelVM, r modelRun, kind batch.EndKind) {
 	v.running = slices.DeleteFunc(v.running, func(other modelRun) bool { return other.task == r.task })
-	v.last[r.task] = max(v.last[r.task], r.number)
+	v.lastRuns[r.task] = max(v.lastRuns[r.task], r.number)
 	v.seq++
 	w.tick++
 	v.ended = append(v.ended, &modelEnd{RunEnd: batch.RunEnd{Seq: v.seq, Task: r.task, Run: r.number, Kind: kind}, tick: w.tick})
-	w.tracef("%s run %s ends on %s: %s", r.task, runName(r.number), v.id, kind)
+	w.tracef("%s run %s ends on %s: %s", r.task, runLabel(r.number), v.id, kind)
 }
 
-// lasts draws how long a run takes: most are short, some outlive a change
+// runDuration draws how long a run takes: most are short, some outlive a change
 // of leader, and a few the wait for VMs that are not reached.
-func (w *world) lasts() time.Duration {
+func (w *world) runDuration() time.Duration {
 	switch n := w.rng.IntN(20); {
-	case n < 12, w.calm:
+	case n < 12, w.faultFree:
 		return 100*time.Millisecond + w.upTo(500*time.Millisecond)
 	case n < 17:
 		return time.Second + w.upTo(2*time.Second)
-	case n < 19 && (!w.faults.alone || n < 18):
+	case n < 19 && (!w.faults.splitLeaders || n < 18):
 		return 4*time.Second + w.upTo(5*time.Second)
 	}
 	return 8*time.Second + w.upTo(12*time.Second)
 }
 
-// started is the VM's side of a start.
-func (w *world) started(v *modelVM, o Order) batch.Refusal {
-	w.lapse(v)
+// handleStart is the VM's side of a start.
+func (w *world) handleStart(v *modelVM, o Order) batch.Refusal {
+	w.enforceLease(v)
 	switch {
-	case o.Start.Fence < v.fence && !w.breaks.noFence:
+	case o.Start.Fence < v.fence && !w.mutations.noFencing:
 		return batch.RefusedFence
 	case o.Start.LeaseUntil < v.clock(w.now):
 		return batch.RefusedLate
 	}
 	v.fence = max(v.fence, o.Start.Fence)
-	w.extend(v, o.Start.LeaseUntil)
-	there := v.run(o.Task)
+	w.extendLease(v, o.Start.LeaseUntil)
+	there := v.runNumber(o.Task)
 	if there == o.Run {
 		return ""
 	}
-	if o.Run <= v.last[o.Task] || there != 0 {
+	if o.Run <= v.lastRuns[o.Task] || there != 0 {
 		return batch.RefusedOld
 	}
-	w.judgeStart(v, o)
+	w.checkStart(v, o)
 	if w.jobs[o.Task.Job].crashes && o.Task.Index == 0 {
-		delay := crashesAfter
+		delay := taskCrashDelay
 		if w.faults.slowCrashes {
-			delay = crashesLate
+			delay = slowTaskCrashDelay
 		}
-		w.after(delay, func() { w.crash(v, o) })
+		w.after(delay, func() { w.crashVM(v, o) })
 	}
-	until := w.now + w.lasts()
+	until := w.now + w.runDuration()
 	if w.faults.slowCrashes && w.jobs[o.Task.Job].crashes {
-		until = max(until, w.now+2*crashesLate)
+		until = max(until, w.now+2*slowTaskCrashDelay)
 	}
 	v.running = append(v.running, modelRun{task: o.Task, number: o.Run, until: until})
 	return ""
 }
 
-// crashesAfter is how long after its start a task ends its VM.
+// taskCrashDelay is how long after its start a task ends its VM.
 const (
-	crashesAfter = 10 * time.Millisecond
-	crashesLate  = 1500 * time.Millisecond
+	taskCrashDelay     = 10 * time.Millisecond
+	slowTaskCrashDelay = 1500 * time.Millisecond
 )
 
-// crash ends a VM under a task that ends its VMs.
-func (w *world) crash(v *modelVM, o Order) {
-	if v.dead || v.run(o.Task) != o.Run {
+// crashVM ends a VM under a task that ends its VMs.
+func (w *world) crashVM(v *modelVM, o Order) {
+	if v.dead || v.runNumber(o.Task) != o.Run {
 		return
 	}
 	w.tracef("%s ends %s", o.Task, v.id)
 	w.history(o.Task).crashes++
-	w.die(v, false)
+	w.killVM(v, false)
 	// The process has ended, not its machine: connections are closed.
-	v.dark = false
+	v.noReset = false
 }
 
-// stopped is the VM's side of a stop. It returns false for a leader that is fenced.
-func (w *world) stopped(v *modelVM, fence int64, o Order) bool {
-	w.lapse(v)
-	if fence < v.fence && !w.breaks.noFence {
+// handleStop is the VM's side of a stop. It returns false for a leader that is fenced.
+func (w *world) handleStop(v *modelVM, fence int64, o Order) bool {
+	w.enforceLease(v)
+	if fence < v.fence && !w.mutations.noFencing {
 		return false
 	}
-	v.last[o.Task] = max(v.last[o.Task], o.Run)
-	if run := v.run(o.Task); run != 0 && run <= o.Run {
-		w.end(v, modelRun{task: o.Task, number: run}, batch.EndStopped)
+	v.lastRuns[o.Task] = max(v.lastRuns[o.Task], o.Run)
+	if run := v.runNumber(o.Task); run != 0 && run <= o.Run {
+		w.endRun(v, modelRun{task: o.Task, number: run}, batch.EndStopped)
 	}
 	return true
 }
 
-// runName is a run's number as its leader's and its place there.
-type runName int64
+// runLabel is a run's number as its leader's and its place there.
+type runLabel int64
 
-func (r runName) String() string {
+func (r runLabel) String() string {
 	return fmt.Sprintf("%d/%d", r>>runNumberBits, r&(1<<runNumberBits-1))
 }
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -216,22 +216,22 @@
 	t.Parallel()
 	for _, seed := range crashSeeds(24) {
 		c := newRestartFleet(t, 6, seed)
-		c.darkDeaths = seed%2 == 1
-		c.play(time.Second)
+		c.noResets = seed%2 == 1
+		c.runFor(time.Second)
 		for strike := range 8 {
 			for k := range 12 {
 				id := fmt.Sprintf("busy-%d-%d", strike, k)
-				c.lasts[id] = time.Duration(60+20*k) * time.Millisecond
-				c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(6, 1000), {Tasks: 4, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}}})
-				c.play(100 * time.Millisecond)
+				c.runDurations[id] = time.Duration(60+20*k) * time.Millisecond
+				c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(6, 1000), {Tasks: 4, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}}})
+				c.runFor(100 * time.Millisecond)
 			}
-			for i, id := range c.ids() {
+			for i, id := range c.livingIDs() {
 				if i%2 == strike%2 {
-					c.kill(id)
+					c.killVM(id)
 				}
 			}
 		}
-		c.play(30 * time.Second)
+		c.runFor(30 * time.Second)
 		c.requireInvariants()
 	}
 }
--- a/internal/scheduler/nextstart_test.go
+++ b/internal/scheduler/nextstart_test.go
@@ -10,19 +10,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// bornFixture is a fixture whose VMs tell that they were born at 1.
-func bornFixture(t *testing.T, vms int) *fixture {
+// newIncarnationFixture is a fixture whose VMs tell that they were born at 1.
+func newIncarnationFixture(t *testing.T, vms int) *fixture {
 	f := newFixture(t, vms)
-	f.reborn(1)
+	f.relistWithBorn(1)
 	for _, inst := range f.list {
 		f.report(inst.ID, batch.Report{Born: 1})
 	}
 	return f
 }
 
-// answer delivers a report of a VM that may have started again, and the next one, of a hold with
+// deliverReport delivers a report of a VM that may have started again, and the next one, of a hold with
 // a higher fencing token, where it has.
-func (f *fixture) answer(vm string, rep batch.Report) {
+func (f *fixture) deliverReport(vm string, rep batch.Report) {
 	f.s.HandleReport(f.now, f.now, vm, rep)
 	if f.s.vms[vm].fenced {
 		return
@@ -35,8 +35,8 @@
 	f.s.HandleReport(f.now, f.now, vm, rep)
 }
 
-// reborn lists all VMs with another birth.
-func (f *fixture) reborn(born int64) {
+// relistWithBorn lists all VMs with another birth.
+func (f *fixture) relistWithBorn(born int64) {
 	for i := range f.list {
 		f.list[i].Born = born
 	}
@@ -45,15 +45,15 @@
 
 // A start that was ordered before its VM started again may be on the VM's new start: it must
 // not be given elsewhere before that has said that it is not.
-func TestStartUnderWayIsSettledWithTheNextStartOfItsVM(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestPendingStartIsResolvedByNewIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
 	require.True(t, f.s.PrepareStart(f.now, o))
 	f.advance(100 * time.Millisecond)
-	f.answer("vm00", batch.Report{Born: 2, Clock: 10 * time.Millisecond})
-	f.reborn(2)
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: 10 * time.Millisecond})
+	f.relistWithBorn(2)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1, "started again while the order is under way")
 	f.s.Started(f.now, f.now, o, 0, "", true)
@@ -61,9 +61,9 @@
 	require.Len(t, f.stops, 1)
 	f.s.Stopped(f.now, f.stops[0])
 	f.advance(100 * time.Millisecond)
-	f.answer("vm00", batch.Report{Born: 2, Clock: 110 * time.Millisecond})
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: 110 * time.Millisecond})
 	f.advance(time.Second)
-	f.answer("vm00", batch.Report{Born: 2, Clock: 1110 * time.Millisecond})
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: 1110 * time.Millisecond})
 	f.s.Tick(f.now)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2, "never started again")
@@ -71,8 +71,8 @@
 
 // A start that went to a VM's next start unknown to anybody may run there for the longest
 // lease that VMs grant: its deadline was meant for another clock.
-func TestLeaseOfAStartThatWasNeverHeardIsWaitedOut(t *testing.T) {
-	f := bornFixture(t, 2)
+func TestUnreportedStartWaitsOutMaxLease(t *testing.T) {
+	f := newIncarnationFixture(t, 2)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	o := f.last("j.0.0.0")
@@ -95,12 +95,12 @@
 
 // Another VM answers at the address that a VM had before it started again elsewhere: that
 // says nothing of the new start, and what runs there goes on.
-func TestAnotherVMAtAnOldAddressEndsNoLaterStart(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestVMAtOldAddressDoesNotEndNewIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	old, _ := f.s.Instance("vm00")
 	f.list[0].Address = "10.0.9.9:1"
-	f.reborn(2)
-	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.relistWithBorn(2)
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.s.RemoveReplaced(f.now, &old)
 	require.Contains(t, f.s.Instances(), "vm00")
 	present, _ := f.s.Instance("vm00")
@@ -110,26 +110,26 @@
 
 // A VM may be of another kind and size after it has started again: until its new entry is
 // there, nobody knows what it may be given.
-func TestNewStartGetsNoWorkByTheEntryOfAnother(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestNewIncarnationWaitsForItsOwnEntry(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	f.advance(time.Second)
-	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	require.Empty(t, f.started)
-	f.reborn(2)
+	f.relistWithBorn(2)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 1)
 }
 
 // A successor that has heard a VM relies on the fencing token that it showed. The VM's next
 // start has not seen it, and takes orders of the leader before.
-func TestNewStartGetsNoWorkBeforeTheLeadIsConfirmed(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestNewIncarnationWaitsForConfirmedLead(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	f.s.leadConfirmedAt = f.now
 	f.advance(time.Second)
-	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
-	f.reborn(2)
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.relistWithBorn(2)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	require.Empty(t, f.started)
@@ -140,8 +140,8 @@
 
 // Runs that were given up when all leases on a VM were over may be acknowledged; a later
 // start of it has runs and leases of its own.
-func TestLapsedRunsAreThoseOfOneStart(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestExpiredRunsBelongToOneIncarnation(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	f.s.vms["vm00"].maxExpiredRun = 9
 	next := newFixture(t, 1)
 	next.s.RestoreExpiredLeases(f.s.ExpiredLeases())
@@ -154,7 +154,7 @@
 }
 
 // What earlier versions kept of lapsed leases is a bare number.
-func TestLapsedIsReadAsItWasWritten(t *testing.T) {
+func TestExpiredRunsOfOldFormatAreRead(t *testing.T) {
 	var read map[string]ExpiredLease
 	require.NoError(t, json.Unmarshal([]byte(`{"a":7,"b":{"run":8,"born":3}}`), &read))
 	require.Equal(t, map[string]ExpiredLease{"a": {Run: 7}, "b": {Run: 8, Born: 3}}, read)
@@ -162,14 +162,14 @@
 
 // Guards against work that runs twice: an order that was taken by a VM's start before is carried
 // out seconds later by the next one, which has seen no higher fencing token.
-func TestNextStartRefusesOrdersOfTheOneBefore(t *testing.T) {
-	f := bornFixture(t, 1)
+func TestNewIncarnationRefusesEarlierOrders(t *testing.T) {
+	f := newIncarnationFixture(t, 1)
 	f.submit("j", tasks(1, 100))
 	f.plan()
 	before := f.last("j.0.0.0").Start.Fence
 	f.advance(time.Second)
 	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
-	f.reborn(2)
+	f.relistWithBorn(2)
 	require.True(t, f.s.NeedsToken())
 	f.submit("second", tasks(1, 100))
 	f.plan()
@@ -228,7 +228,7 @@
 
 // Guards against starts that are ordered again and again from a start that has ended: each makes a
 // connection to the next one, and is refused.
-func TestVMThatRefusesForAnotherStartIsHeardFirst(t *testing.T) {
+func TestRefusedStartWaitsForVMReport(t *testing.T) {
 	f := newFixture(t, 1)
 	f.report("vm00", batch.Report{Born: 1})
 	f.submit("j", tasks(1, 1000))
--- a/internal/scheduler/restarts_advice_test.go
+++ b/internal/scheduler/restarts_advice_test.go
@@ -12,7 +12,7 @@
 // An adviser's leave holds for one start of a VM; the next one refuses the ticket, and may be
 // allowed where the one before was not.
 func TestAdviceHoldsForOneStart(t *testing.T) {
-	f := bornFixture(t, 2)
+	f := newIncarnationFixture(t, 2)
 	f.s.SetConfig(&batch.Config{Version: 2, Queues: []batch.Queue{
 		{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Advice: &batch.Advice{ValidFor: time.Minute}},
 	}})
@@ -23,9 +23,9 @@
 	require.Len(t, f.started, 1)
 	f.advance(200 * time.Millisecond)
 	for _, inst := range f.list {
-		f.answer(inst.ID, batch.Report{Born: 2, Clock: time.Second})
+		f.deliverReport(inst.ID, batch.Report{Born: 2, Clock: time.Second})
 	}
-	f.reborn(2)
+	f.relistWithBorn(2)
 	orders := f.plan()
 	require.Len(t, orders, 1)
 	require.Equal(t, OrderAdvise, orders[0].Kind)
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -59,7 +59,7 @@
 	if spec.Speculative {
 		return
 	}
-	for _, id := range c.ids() {
+	for _, id := range c.livingIDs() {
 		if _, there := c.living[id].runs[task]; there {
 			j.violations = append(j.violations, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
 		}
@@ -82,11 +82,11 @@
 // newRestartFleet returns a fleet whose VMs start again under their IDs.
 func newRestartFleet(t *testing.T, vms int, seed uint64) *crashFleet {
 	c := newCrashFleet(t, 0, seed)
-	c.polled, c.restarts, c.judge = false, true, newRestartChecker()
+	c.pollsMachines, c.restarts, c.checker = false, true, newRestartChecker()
 	for i := range vms {
 		c.addVM(i)
 	}
-	for _, id := range c.ids() {
+	for _, id := range c.livingIDs() {
 		v := c.living[id]
 		v.bornAt, v.inst.Born = c.now, c.nextBirth()
 		c.relist(v)
@@ -96,8 +96,8 @@
 
 // nextBirth is the time of day of a start, by a clock that jumps.
 func (c *crashFleet) nextBirth() int64 {
-	c.lives++
-	return (1_000_000+c.now.Milliseconds()+int64(c.rng.IntN(5000)))<<10 + int64(c.lives)
+	c.incarnations++
+	return (1_000_000+c.now.Milliseconds()+int64(c.rng.IntN(5000)))<<10 + int64(c.incarnations)
 }
 
 // relist brings a VM's entry up to date.
@@ -117,20 +117,20 @@
 func (c *crashFleet) restart(old *fleetVM) {
 	down := 500*time.Millisecond + time.Duration(c.rng.IntN(1000))*time.Millisecond
 	first := time.Duration(0)
-	if c.darkDeaths {
+	if c.noResets {
 		first = holdTimeout
 	}
 	id := old.inst.ID
 	fail := func() {
-		if _, ok := c.s.Hold(c.now, id, hearEvery); ok {
-			c.s.HoldFailed(c.now, id, !c.darkDeaths)
+		if _, ok := c.s.Hold(c.now, id, holdInterval); ok {
+			c.s.HoldFailed(c.now, id, !c.noResets)
 		}
 	}
 	for at := first; at <= max(first, down); at += 100 * time.Millisecond {
 		c.after(at, fail)
 	}
 	c.after(down, func() {
-		v := &fleetVM{inst: old.inst, runs: map[batch.TaskID]fleetRun{}, bornAt: c.now, hearAt: c.now + max(0, first-down) + 100*time.Millisecond}
+		v := &fleetVM{inst: old.inst, runs: map[batch.TaskID]fleetRun{}, bornAt: c.now, nextReport: c.now + max(0, first-down) + 100*time.Millisecond}
 		v.inst.Born = c.nextBirth()
 		c.living[id] = v
 		c.after(time.Duration(c.rng.IntN(800))*time.Millisecond, func() {
@@ -155,58 +155,58 @@
 // seconds. takeOvers lets leaders follow each other meanwhile.
 func playRestarts(t *testing.T, kind string, seed uint64, takeOvers bool) *crashFleet {
 	c := newRestartFleet(t, 12, seed)
-	c.darkDeaths = seed%2 == 1
+	c.noResets = seed%2 == 1
 	if seed%3 == 2 {
-		c.lost = func() bool { return c.rng.IntN(4) == 0 }
+		c.isAnswerLost = func() bool { return c.rng.IntN(4) == 0 }
 	}
-	c.play(2 * time.Second)
+	c.runFor(2 * time.Second)
 	for i := range 12 {
 		for k := range 6 {
 			id := fmt.Sprintf("%s-%d-%d", kind, i, k)
-			c.lasts[id] = time.Duration(200+c.rng.IntN(1500)) * time.Millisecond
+			c.runDurations[id] = time.Duration(200+c.rng.IntN(1500)) * time.Millisecond
 			if kind == "lasting" {
-				c.lasts[id] = 0
+				c.runDurations[id] = 0
 				if k > 0 {
 					continue
 				}
 			} else if kind != "speculative" && c.rng.IntN(3) == 0 {
-				c.judge.failFirst[id] = 1 + c.rng.IntN(4)
+				c.checker.failFirst[id] = 1 + c.rng.IntN(4)
 			}
-			c.hand(&batch.Job{ID: id, Payload: "p", Steps: restartJobs[kind]})
-			c.play(300 * time.Millisecond)
+			c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: restartJobs[kind]})
+			c.runFor(300 * time.Millisecond)
 		}
-		for _, id := range c.ids() {
+		for _, id := range c.livingIDs() {
 			if c.rng.IntN(3) == 0 {
-				c.kill(id)
+				c.killVM(id)
 			}
 		}
-		c.play(2500 * time.Millisecond)
+		c.runFor(2500 * time.Millisecond)
 		if takeOvers && c.rng.IntN(2) == 0 {
-			c.play(time.Duration(c.rng.IntN(1500)) * time.Millisecond)
+			c.runFor(time.Duration(c.rng.IntN(1500)) * time.Millisecond)
 			c.takeOver()
 		}
 	}
-	c.lost = nil
-	c.play(40 * time.Second)
+	c.isAnswerLost = nil
+	c.runFor(40 * time.Second)
 	return c
 }
 
 // requireInvariants fails where a rule was broken, or work that could be done was not.
 func (c *crashFleet) requireInvariants() {
-	require.Empty(c.t, c.judge.violations[:min(len(c.judge.violations), 3)], "seed %d", c.seed)
+	require.Empty(c.t, c.checker.violations[:min(len(c.checker.violations), 3)], "seed %d", c.seed)
 	for _, job := range c.jobs {
 		if job.Steps[0].Lasting {
 			c.requireRunning(job)
 			continue
 		}
 		want := batch.Completed
-		if c.judge.failFirst[job.ID] >= testAttempts {
+		if c.checker.failFirst[job.ID] >= testAttempts {
 			want = batch.Failed
 		}
 		state, _ := c.s.State(job.ID)
 		if want == batch.Completed && state == batch.Failed {
 			// Failed runs that were lost with their VMs have been made again.
-			require.GreaterOrEqual(c.t, c.judge.failFirst[job.ID], 1, "job %s, seed %d", job.ID, c.seed)
+			require.GreaterOrEqual(c.t, c.checker.failFirst[job.ID], 1, "job %s, seed %d", job.ID, c.seed)
 			continue
 		}
 		if want == batch.Failed && state == batch.Completed {
@@ -220,7 +220,7 @@
 func (c *crashFleet) requireRunning(job *batch.Job) {
 	for k := range job.Steps[0].Tasks {
 		task := batch.TaskID{Job: job.ID, Index: k}
-		require.True(c.t, slices.ContainsFunc(c.ids(), func(id string) bool {
+		require.True(c.t, slices.ContainsFunc(c.livingIDs(), func(id string) bool {
 			_, there := c.living[id].runs[task]
 			return there
 		}), "%s does not run, seed %d", task, c.seed)
@@ -231,7 +231,7 @@
 // VMs start again under their IDs.
 func TestRestartsKeepEachKindOfJob(t *testing.T) {
 	t.Parallel()
-	eachKind(t, "take-overs", func(t *testing.T, kind string, takeOvers bool) {
+	forEachKind(t, "take-overs", func(t *testing.T, kind string, takeOvers bool) {
 		for seed := range 12 * *exploreScale {
 			playRestarts(t, kind, seed, takeOvers).requireInvariants()
 		}
@@ -292,7 +292,7 @@
 	f.list[0].Born = 2
 	f.s.SetInstances(f.now, f.list)
 	for n := int64(1); n <= testAttempts; n++ {
-		f.answer("vm00", batch.Report{Born: 2, Clock: time.Second + time.Duration(n), Ended: []batch.RunEnd{endOfOrder(n, o, batch.EndFailed)}})
+		f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second + time.Duration(n), Ended: []batch.RunEnd{endOfOrder(n, o, batch.EndFailed)}})
 		f.advance(time.Second)
 		f.plan()
 		if n < testAttempts {
@@ -315,7 +315,7 @@
 	v.ackLimit = 4
 	f.list[0].Born = 2
 	f.s.SetInstances(f.now, f.list)
-	f.answer("vm00", batch.Report{Born: 2, Clock: time.Second})
+	f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.submit("second", tasks(1, 100))
 	f.plan()
 	require.Len(t, f.started["second.0.0.0"], 1)
@@ -325,11 +325,11 @@
 // taken for a sign that they live.
 func TestTaskThatCrashesVMsThatStartAgainIsGivenUp(t *testing.T) {
 	t.Parallel()
-	eachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
+	forEachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
 		for seed := range 20 * *exploreScale {
 			c := newRestartFleet(t, 12, seed)
-			c.darkDeaths = dark
-			c.playCrashing(kind)
+			c.noResets = dark
+			c.runCrashing(kind)
 		}
 	})
 }
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -21,35 +21,35 @@
 	t.Parallel()
 	for _, seed := range crashSeeds(2) {
 		c := newCrashFleet(t, 40, seed)
-		c.play(2 * time.Second)
+		c.runFor(2 * time.Second)
 		// Something is new on every VM at any time.
 		var held []string
 		busy := func() {
 			for range 40 {
-				id := fmt.Sprintf("busy%d", c.others)
-				c.others++
-				c.lasts[id] = 1500 * time.Millisecond
-				c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
+				id := fmt.Sprintf("busy%d", c.harmlessJobs)
+				c.harmlessJobs++
+				c.runDurations[id] = 1500 * time.Millisecond
+				c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
 			}
 		}
 		busy()
-		c.play(300 * time.Millisecond)
+		c.runFor(300 * time.Millisecond)
 		const suspects = 200
 		for i := range suspects {
 			id := fmt.Sprintf("suspect%d", i)
 			held = append(held, id)
-			c.lasts[id] = 300 * time.Millisecond
-			c.hand(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
+			c.runDurations[id] = 300 * time.Millisecond
+			c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
 			c.markSuspect(id)
 		}
 		handed := c.now
 		for c.now < handed+suspectStartTimeout {
-			c.play(400 * time.Millisecond)
+			c.runFor(400 * time.Millisecond)
 			busy()
 		}
 		waiting := 0
 		for _, id := range held {
-			if len(c.starts[batch.TaskID{Job: id}]) == 0 {
+			if len(c.startTimes[batch.TaskID{Job: id}]) == 0 {
 				waiting++
 			}
 		}
