--- a/internal/edge/docs_test.go
+++ b/internal/edge/docs_test.go
@@ -18,7 +18,7 @@
 	for _, event := range scheduler.Events {
 		require.Contains(t, string(page), "| `"+event+"` |")
 	}
-	m := newMetrics(func() (leader.Figures, bool) { return leader.Figures{}, true })
+	m := newMetrics(func() (leader.Stats, bool) { return leader.Stats{}, true })
 	m.registry.MustRegister(newConfigFigures(newConfiguration(nil, nil)))
 	m.request("job_submitted", 0, nil)
 	m.decision(scheduler.Decision{Event: scheduler.EventRunStarted})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -145,9 +145,9 @@
 		Settings: s.Bounds, Log: log, WallMS: wallMS,
 		Machines: p.Machines, Node: s.Node, Address: s.Peers, Predecessors: &predecessors{client: p.PeerClient}, Waves: e.listWaves, ReportWave: p.ReportWave,
 	}
-	e.metrics = newMetrics(e.leader.Figures)
+	e.metrics = newMetrics(e.leader.Stats)
 	e.metrics.registry.MustRegister(newConfigFigures(e.config))
-	e.leader.Observe, e.leader.ObserveEnd, e.leader.ObserveDelay = e.metrics.decision, e.metrics.end, e.metrics.delay
+	e.leader.ObserveDecision, e.leader.ObserveEnd, e.leader.ObserveDelay = e.metrics.decision, e.metrics.end, e.metrics.delay
 	e.relays.ObserveDelay = func(waited time.Duration) { e.metrics.delay(leader.DelayReport, waited) }
 	e.election = leader.NewElection(p.Store, leader.Record{Node: s.Node, Address: s.Peers}, s.Processor, log, e.leader.Lead)
 	local := &peerServer{node: s.Node, leader: e.leader, election: e.election, store: p.Store, relays: e.relays, config: e.config, known: e.known, lookUp: e.lookUpConfig}
@@ -156,10 +156,10 @@
 		leader: e.election.Leader, known: e.known, client: p.PeerClient, log: log, wake: make(chan struct{}, 1),
 	}
 	e.configPeers = &configPeers{
-		config: e.config, known: e.known, leader: e.election.Leader, told: e.election.Told, answered: e.peerAnswered,
+		config: e.config, known: e.known, leader: e.election.Leader, told: e.election.LearnLeader, answered: e.peerAnswered,
 		client: p.PeerClient, log: log, wake: make(chan struct{}, 1),
 	}
-	e.election.Seen = func(leader.Record) { e.offers.soon() }
+	e.election.OnLeaderSeen = func(leader.Record) { e.offers.soon() }
 	e.operator = &follow.Follower{
 		Store: p.Store, Prefix: p.OperatorPrefix, Wait: configWatch, ReadEvery: configReadEvery, Handle: e.observeOperator,
 		Read:   e.config.read,
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -9,13 +9,13 @@
 // figures are the leader's state as metrics. They are worked out when they are
 // asked for; a process that does not lead tells only that.
 type figures struct {
-	read func() (f leader.Figures, leading bool)
+	read func() (f leader.Stats, leading bool)
 
 	leads, confirmed, fence, vms, lease, runs, ends, endAge *prometheus.Desc
 	window, waiting, relays, relayed, oldestWaiting         *prometheus.Desc
 }
 
-func newFigures(read func() (leader.Figures, bool)) *figures {
+func newFigures(read func() (leader.Stats, bool)) *figures {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("rattanwall_leader_"+name, help, labels, nil)
 	}
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -45,7 +45,7 @@
 func metricsEdge(t *testing.T, address string) (*Edge, *lines) {
 	t.Helper()
 	out := &lines{}
-	e := &Edge{settings: Settings{Metrics: address}, metrics: newMetrics((&leader.Leader{}).Figures), log: eventlog.New(out, logrus.InfoLevel)}
+	e := &Edge{settings: Settings{Metrics: address}, metrics: newMetrics((&leader.Leader{}).Stats), log: eventlog.New(out, logrus.InfoLevel)}
 	return e, out
 }
 
@@ -127,8 +127,8 @@
 // otherwise: the metrics tell what, and who leads by which token.
 func TestMetricsOfALeader(t *testing.T) {
 	leading := true
-	m := newMetrics(func() (leader.Figures, bool) {
-		return leader.Figures{
+	m := newMetrics(func() (leader.Stats, bool) {
+		return leader.Stats{
 			Stats: scheduler.Stats{
 				Fence: 706, VMs: 48, Unlisted: 16, Unreported: 1, Unresponsive: 3, Leased: 47, LeasedUnresponsive: 2, LongestLease: 7500 * time.Millisecond, Awaited: 4, Withheld: 2, Runs: 243,
 			},
--- a/internal/edge/operations.go
+++ b/internal/edge/operations.go
@@ -41,7 +41,7 @@
 }
 
 // newMetrics returns the process's metrics; read tells the leader's state.
-func newMetrics(read func() (leader.Figures, bool)) *metrics {
+func newMetrics(read func() (leader.Stats, bool)) *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -56,14 +56,14 @@
 }
 
 func (p *peerServer) Announce(_ context.Context, r *scheduling.SubmitRequest) (*scheduling.SubmitResponse, error) {
-	if !p.leader.Announced(leader.JobKey(r.GetId()), r.GetRecord()) {
+	if !p.leader.AcceptAnnouncement(leader.JobKey(r.GetId()), r.GetRecord()) {
 		return nil, errNotLeading
 	}
 	return &scheduling.SubmitResponse{}, nil
 }
 
 func (p *peerServer) AnnounceCancel(_ context.Context, r *scheduling.CancelRequest) (*scheduling.CancelResponse, error) {
-	if !p.leader.Announced(leader.CancelKey(r.GetId()), nil) {
+	if !p.leader.AcceptAnnouncement(leader.CancelKey(r.GetId()), nil) {
 		return nil, errNotLeading
 	}
 	return &scheduling.CancelResponse{Known: true}, nil
@@ -93,9 +93,9 @@
 	if r.GetSuccessor() <= r.GetFence() {
 		return nil, twirp.InvalidArgumentError("successor", "is not later than the tenure asked about")
 	}
-	p.election.Succeeded(r.GetSuccessor())
+	p.election.EndTenuresBefore(r.GetSuccessor())
 	said := p.leader.LeasesLeft(r.GetFence(), r.GetVms())
-	resp := &scheduling.LeasesLeftResponse{LeftMs: make([]int64, len(said.Left)), Remembered: said.Remembered}
+	resp := &scheduling.LeasesLeftResponse{LeftMs: make([]int64, len(said.Remaining)), Remembered: said.Remembered}
 	for i := range said.Crashes {
 		c := &said.Crashes[i]
 		resp.Crashes = append(resp.Crashes, &scheduling.Crash{
@@ -103,7 +103,7 @@
 			Run: c.Run, Kind: c.Kind, Vm: c.VM, Born: c.Born,
 		})
 	}
-	for i, d := range said.Left {
+	for i, d := range said.Remaining {
 		// Rounded up: what is told may be too long, never too short.
 		resp.LeftMs[i] = int64((d + time.Millisecond - 1) / time.Millisecond)
 	}
@@ -138,15 +138,15 @@
 var _ leader.Predecessors = (*predecessors)(nil)
 
 // LeasesLeft implements leader.Predecessors.
-func (p *predecessors) LeasesLeft(ctx context.Context, past leader.Past, successor int64, vms []string) (leader.Leases, error) {
+func (p *predecessors) LeasesLeft(ctx context.Context, past leader.PastTenure, successor int64, vms []string) (leader.LeaseReport, error) {
 	remote := scheduling.NewSchedulingProtobufClient("http://"+past.Address, p.client)
 	r, err := remote.LeasesLeft(ctx, &scheduling.LeasesLeftRequest{Node: past.Node, Fence: past.Fence, Successor: successor, Vms: vms})
 	if err != nil {
-		return leader.Leases{}, err
+		return leader.LeaseReport{}, err
 	}
-	said := leader.Leases{Left: make([]time.Duration, len(r.GetLeftMs())), Remembered: r.GetRemembered()}
+	said := leader.LeaseReport{Remaining: make([]time.Duration, len(r.GetLeftMs())), Remembered: r.GetRemembered()}
 	for i, ms := range r.GetLeftMs() {
-		said.Left[i] = time.Duration(ms) * time.Millisecond
+		said.Remaining[i] = time.Duration(ms) * time.Millisecond
 	}
 	for _, c := range r.GetCrashes() {
 		said.Crashes = append(said.Crashes, scheduler.CrashReport{
--- a/internal/leader/absence_test.go
+++ b/internal/leader/absence_test.go
@@ -18,11 +18,11 @@
 // dies; the next leader reads a list with both entries.
 // Cause: of two entries with one address the one that came last on the list counted,
 // so that the new life was taken for one that had ended and was not waited for.
-func TestListedInstanceSurvivesAnEntryWithItsAddress(t *testing.T) {
+func TestInstancesSharingAnAddressAreBothAwaited(t *testing.T) {
 	earlier := batch.Instance{ID: "earlier", Address: "10.0.0.1:1"}
 	later := batch.Instance{ID: "later", Address: "10.0.0.1:1"}
 	for _, list := range [][]batch.Instance{{earlier, later}, {later, earlier}, {earlier}} {
-		te := hearing(map[string]string{instancesKey: `{"earlier":"10.0.0.1:1","later":"10.0.0.1:1"}`})
+		te := newReportedTerm(map[string]string{instancesKey: `{"earlier":"10.0.0.1:1","later":"10.0.0.1:1"}`})
 		te.sched = scheduler.New(scheduler.Settings{}, 9, nil)
 		te.Config = func() *batch.Config { return nil }
 		te.Instances = func(context.Context) ([]batch.Instance, error) { return list, nil }
@@ -38,10 +38,10 @@
 // it may not act any more, some of its loops find that and end; then the store is
 // back, and the renewal that was under way succeeds.
 // Cause: the right to act came back to a tenure that had ended in part.
-func TestTenureThatCouldNotActIsOver(t *testing.T) {
+func TestTenureThatCouldNotActStaysEnded(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tenure := &Tenure{Fence: 1, renewedAt: steady.Now() - actWithoutStore - time.Millisecond, cancel: cancel}
+	tenure := &Tenure{Fence: 1, renewedAt: steady.Now() - maxUnrenewedTenure - time.Millisecond, cancel: cancel}
 	require.False(t, tenure.MayAct())
 	tenure.renewed(steady.Now() - renewTimeout)
 	require.False(t, tenure.MayAct(), "acts again")
--- a/internal/leader/cutoff_test.go
+++ b/internal/leader/cutoff_test.go
@@ -18,27 +18,27 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// cutStore is a store that does not answer until it is back.
-type cutStore struct {
+// unreachableStore is a store that does not answer until it is back.
+type unreachableStore struct {
 	durable.Store
-	back  bool
-	items map[string]durable.Item
+	isReachable bool
+	items       map[string]durable.Item
 
 	mu      sync.Mutex
 	commits []durable.Txn
 }
 
-func (s *cutStore) written() []durable.Txn {
+func (s *unreachableStore) committed() []durable.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits
 }
 
-// removedAt is the revision of what cutStore writes.
-const removedAt = 9
+// commitRevision is the revision of what unreachableStore writes.
+const commitRevision = 9
 
-func (s *cutStore) Get(_ context.Context, key string) (*durable.Item, error) {
-	if !s.back {
+func (s *unreachableStore) Get(_ context.Context, key string) (*durable.Item, error) {
+	if !s.isReachable {
 		return nil, durable.ErrUnknown
 	}
 	if item, ok := s.items[key]; ok {
@@ -47,23 +47,23 @@
 	return nil, nil
 }
 
-func (s *cutStore) Commit(_ context.Context, txn durable.Txn) (int64, error) {
-	if !s.back {
+func (s *unreachableStore) Commit(_ context.Context, txn durable.Txn) (int64, error) {
+	if !s.isReachable {
 		return 0, durable.ErrUnknown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commits = append(s.commits, txn)
-	return removedAt, nil
+	return commitRevision, nil
 }
 
-// heldAgents counts the holds that are sent.
-type heldAgents struct {
+// countingAgents counts the holds that are sent.
+type countingAgents struct {
 	Agents
 	sent atomic.Int64
 }
 
-func (a *heldAgents) Hold(context.Context, *batch.Instance, batch.HoldOrder) (batch.Report, error) {
+func (a *countingAgents) Hold(context.Context, *batch.Instance, batch.HoldOrder) (batch.Report, error) {
 	a.sent.Add(1)
 	return batch.Report{}, nil
 }
@@ -75,12 +75,12 @@
 	return &term{
 		Leader: &Leader{Store: store, WallMS: func() int64 { return 0 }},
 		tenure: &Tenure{Fence: 1, renewedAt: steady.Now() - renewed, cancel: cancel},
-		log:    eventlog.New(io.Discard, logrus.ErrorLevel), kick: make(chan struct{}, 1), carrying: make(chan struct{}, ordersAtOnce), starts: newWindow(ordersAtOnce), backlog: scheduler.NewBacklog(),
+		log:    eventlog.New(io.Discard, logrus.ErrorLevel), planRequested: make(chan struct{}, 1), directCalls: make(chan struct{}, maxConcurrentOrders), startWindow: newStartWindow(maxConcurrentOrders), backlog: scheduler.NewBacklog(),
 		sched: scheduler.New(scheduler.Settings{}, 1, nil), removed: removals{}, cancelledEarly: map[string]time.Duration{},
 	}
 }
 
-var waitingJob = durable.Item{Key: JobKey("j"), Value: []byte(`{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`)}
+var queuedJobItem = durable.Item{Key: JobKey("j"), Value: []byte(`{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`)}
 
 // What happened: a lease was renewed on a VM that the next leader did not reach and
 // had waited out; the VM's tasks ran there and elsewhere.
@@ -88,12 +88,12 @@
 // look at the clock from which the lease is counted; it wakes seconds later.
 // Cause: the question was asked before the clock was read.
 func TestNoLeaseFromAMomentThatWasNotAskedAbout(t *testing.T) {
-	te := newTerm(t, nil, actWithoutStore+time.Second)
-	agents := &heldAgents{}
+	te := newTerm(t, nil, maxUnrenewedTenure+time.Second)
+	agents := &countingAgents{}
 	te.Agents = agents
 	inst := batch.Instance{ID: "vm", Address: "10.0.0.1:1"}
 	te.sched.SetInstances(steady.Now(), []batch.Instance{inst})
-	_, _ = te.holdOnce(context.Background(), &inst, 0, &silence{})
+	_, _ = te.holdOnce(context.Background(), &inst, 0, &holdFailures{})
 	require.Zero(t, agents.sent.Load())
 }
 
@@ -101,18 +101,18 @@
 // Sequence: a leader finds that it is confirmed and waits for its turn to take a job
 // up; meanwhile its lease runs out, and another leads.
 // Cause: it did not ask again once it had its turn.
-func TestJobIsTakenUpOnlyWhileConfirmed(t *testing.T) {
+func TestJobIsAcceptedOnlyWhileConfirmed(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.mu.Lock()
 	taken := make(chan struct{})
 	go func() {
 		defer close(taken)
-		te.observeJobs([]durable.Item{waitingJob}, false)
+		te.observeJobs([]durable.Item{queuedJobItem}, false)
 	}()
-	time.Sleep(3 * confirmPause)
+	time.Sleep(3 * confirmPollInterval)
 	te.tenure.renewed(steady.Now() - 3*time.Second)
 	te.mu.Unlock()
-	time.Sleep(3 * confirmPause)
+	time.Sleep(3 * confirmPollInterval)
 	te.mu.Lock()
 	_, known := te.sched.State("j")
 	te.mu.Unlock()
@@ -127,20 +127,20 @@
 // the leader reads all jobs that there are.
 // Cause: a job that the leader had forgotten was taken for a new one, though its
 // keys were there still.
-func TestForgottenJobIsNotANewOne(t *testing.T) {
-	store := &cutStore{}
+func TestForgottenJobIsNotResubmitted(t *testing.T) {
+	store := &unreachableStore{}
 	te := newTerm(t, store, 0)
-	long := steady.Now() - 2*keepEnded
+	long := steady.Now() - 2*endedJobRetention
 	te.sched.Submit(long, scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Cancelled: true})
 	te.sched.RecordWritten(te.sched.PendingWrites().Records[0], 1)
 	te.forget(context.Background())
-	old := waitingJob
+	old := queuedJobItem
 	old.Created = 5
 	te.observeJobs([]durable.Item{old}, true)
 	state, known := te.sched.State("j")
 	require.True(t, !known || state == batch.Cancelled, "executed again: %s", state)
 
-	store.back = true
+	store.isReachable = true
 	te.forget(context.Background())
 	require.Len(t, store.commits, 1, "removed when the store is back")
 	require.Contains(t, store.commits[0].Deletes, JobKey("j"))
@@ -151,7 +151,7 @@
 	require.False(t, known, "a read that began before the removal")
 
 	again := old
-	again.Created = removedAt + 1
+	again.Created = commitRevision + 1
 	te.observeJobs([]durable.Item{again}, false)
 	_, known = te.sched.State("j")
 	require.True(t, known, "handed in anew after the removal")
@@ -162,13 +162,13 @@
 // Sequence: the new leader reads the model and gets no answer; seconds later it
 // stores what it has learned by itself.
 // Cause: a model that was not read counted as one that does not exist.
-func TestModelThatWasNotReadIsNotReplaced(t *testing.T) {
+func TestUnreadModelIsNotReplaced(t *testing.T) {
 	model := []byte(`{"images":["fill"],"pairs":{"web":{"a":[[1,0],[0,1]],"b":[1,1]}}}`)
-	store := &cutStore{items: map[string]durable.Item{modelKey: {Key: modelKey, Value: model, Revision: 3}}}
+	store := &unreachableStore{items: map[string]durable.Item{modelKey: {Key: modelKey, Value: model, Revision: 3}}}
 	te := newTerm(t, store, 0)
 	te.loadModel(context.Background())
 	te.sched.SetInterferenceModel(scheduler.InterferenceModel{Pairs: map[string]scheduler.NormalEquations{"other": {}}})
-	store.back = true
+	store.isReachable = true
 	require.NoError(t, te.storeModel(context.Background()))
 	require.Contains(t, te.sched.InterferenceModel().Pairs, "web")
 	for _, txn := range store.commits {
@@ -180,19 +180,19 @@
 // Sequence: the scheduler takes the VM out, and its hold loop ends; the VM is on the
 // list again before the leader has looked which VMs are held.
 // Cause: a loop that had ended counted as one that holds the VM.
-func TestInstanceThatIsBackIsHeldAgain(t *testing.T) {
+func TestRelistedInstanceIsHeldAgain(t *testing.T) {
 	te := newTerm(t, nil, 0)
-	agents := &heldAgents{}
+	agents := &countingAgents{}
 	te.Agents = agents
 	ctx, cancel := context.WithCancel(context.Background())
 	te.holds = map[string]context.CancelFunc{"vm": cancel}
 	inst := batch.Instance{ID: "vm", Address: "10.0.0.1:1"}
-	ok, _ := te.holdOnce(ctx, &inst, 0, &silence{})
+	ok, _ := te.holdOnce(ctx, &inst, 0, &holdFailures{})
 	require.False(t, ok, "the scheduler does not know it")
 
 	te.sched.SetInstances(steady.Now(), []batch.Instance{inst})
 	tenure, end := context.WithCancel(context.Background())
-	te.holdAll(tenure)
+	te.syncHolds(tenure)
 	require.Eventually(t, func() bool { return agents.sent.Load() > 0 }, time.Second, time.Millisecond)
 	end()
 	te.work.Wait()
@@ -214,13 +214,13 @@
 	te.sched.Started(now, now, start, 0, "", true)
 	stop := te.sched.Plan(now)[0]
 	require.Equal(t, scheduler.OrderStop, stop.Kind)
-	require.True(t, te.repeatStop(stop, stopFor+time.Second))
+	require.True(t, te.shouldRepeatStop(stop, stopRetryDuration+time.Second))
 	te.sched.Stopped(now, stop)
-	require.False(t, te.repeatStop(stop, stopFor+time.Second))
+	require.False(t, te.shouldRepeatStop(stop, stopRetryDuration+time.Second))
 
 	stop.Run++
-	require.True(t, te.repeatStop(stop, stopFor-time.Second), "a run that the leader did not start")
-	require.False(t, te.repeatStop(stop, stopFor+time.Second))
+	require.True(t, te.shouldRepeatStop(stop, stopRetryDuration-time.Second), "a run that the leader did not start")
+	require.False(t, te.shouldRepeatStop(stop, stopRetryDuration+time.Second))
 }
 
 // What happened: a job was executed after its caller had been told that it is
@@ -229,10 +229,10 @@
 // while; the cancellation is announced; then the watch tells of the job, and of its
 // cancellation only with its next answer.
 // Cause: the cancellation of a job that was not known was forgotten.
-func TestCancellationThatOvertakesItsJob(t *testing.T) {
+func TestCancellationBeforeItsJob(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.observeJobs([]durable.Item{{Key: CancelKey("j")}}, false)
-	te.observeJobs([]durable.Item{waitingJob}, false)
+	te.observeJobs([]durable.Item{queuedJobItem}, false)
 	state, known := te.sched.State("j")
 	require.True(t, known)
 	require.Equal(t, batch.Cancelled, state)
@@ -242,12 +242,12 @@
 // as long as its leader led, and got nothing.
 func TestHoldFollowsItsVMToAnotherAddress(t *testing.T) {
 	te := newTerm(t, nil, 0)
-	te.Agents = &heldAgents{}
+	te.Agents = &countingAgents{}
 	inst := batch.Instance{ID: "vm", Address: "10.0.0.1:1", Born: 1}
 	te.sched.SetInstances(steady.Now(), []batch.Instance{inst})
 	moved := inst
 	moved.Address, moved.Born = "10.0.0.2:1", 2
 	te.sched.SetInstances(steady.Now(), []batch.Instance{moved})
-	_, _ = te.holdOnce(t.Context(), &inst, 0, &silence{})
+	_, _ = te.holdOnce(t.Context(), &inst, 0, &holdFailures{})
 	require.Equal(t, "10.0.0.2:1", inst.Address)
 }
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -19,31 +19,31 @@
 	// leaseTTL is how long the store keeps the leader's key without a renewal:
 	// the time until the others notice its death. Renewals travel a few
 	// milliseconds; two in a row may be lost.
-	leaseTTL     = 1300 * time.Millisecond
-	renewEvery   = 350 * time.Millisecond
-	renewTimeout = 400 * time.Millisecond
+	leaseTTL      = 1300 * time.Millisecond
+	renewInterval = 350 * time.Millisecond
+	renewTimeout  = 400 * time.Millisecond
 	// confirmMargin covers what passes between the look at the clock and the act.
 	confirmMargin = 150 * time.Millisecond
 	// callTimeout bounds one call of the election.
 	callTimeout = 900 * time.Millisecond
-	// actWithoutStore is how long after its last renewal a leader goes on giving
+	// maxUnrenewedTenure is how long after its last renewal a leader goes on giving
 	// orders while the store does not answer. The VMs' fencing tokens keep it
 	// safe: a successor shows its token to every VM it reaches before its first
 	// order, and waits the time out for those that it does not reach.
-	actWithoutStore = 6 * time.Second
+	maxUnrenewedTenure = 6 * time.Second
 	// campaignJitter spreads the candidates, so that most find the key taken
 	// before they write.
 	campaignJitter = 120 * time.Millisecond
-	// handicap delays a candidate on a small VM, so that a large one leads: for
+	// maxHandicap delays a candidate on a small VM, so that a large one leads: for
 	// a VM with no processor at all.
-	handicap = 400 * time.Millisecond
-	// fullProcessor is the share of a core from which a VM has no handicap.
-	fullProcessor = 0.8
-	// leaderWatch is how long one watch of the leader's key waits, leaderReadEvery how often
+	maxHandicap = 400 * time.Millisecond
+	// fullProcessorShare is the share of a core from which a VM has no handicap.
+	fullProcessorShare = 0.8
+	// leaderWatchTimeout is how long one watch of the leader's key waits, leaderReadInterval how often
 	// the key is read beside it: a leader's death that no watch tells of is noticed as soon
 	// as its lease and that are over.
-	leaderWatch     = 5 * time.Second
-	leaderReadEvery = 1500 * time.Millisecond
+	leaderWatchTimeout = 5 * time.Second
+	leaderReadInterval = 1500 * time.Millisecond
 )
 
 // Election takes part in the choice of the leader.
@@ -54,14 +54,14 @@
 	processor float64
 	log       *eventlog.Log
 	lead      func(ctx context.Context, term *Tenure)
-	// Seen is told of each leader that is not this process; may be nil. It must not wait.
-	Seen func(Record)
-
-	mu     sync.Mutex
-	leader Record
-	fence  int64
-	seen   bool
-	tenure *Tenure
+	// OnLeaderSeen is told of each leader that is not this process; may be nil. It must not wait.
+	OnLeaderSeen func(Record)
+
+	mu        sync.Mutex
+	leader    Record
+	fence     int64
+	isKeyRead bool
+	tenure    *Tenure
 	// successor is the highest fencing token of a leader that this process was told of
 	// by that leader itself: no tenure with a lower one begins or goes on.
 	successor int64
@@ -87,7 +87,7 @@
 func (t *Tenure) MayAct() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.ended && steady.Now()-t.renewedAt < actWithoutStore
+	return !t.ended && steady.Now()-t.renewedAt < maxUnrenewedTenure
 }
 
 // Confirmed reports whether the lease can't have run out: nobody else leads.
@@ -117,7 +117,7 @@
 func (t *Tenure) renewed(sentAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if steady.Now()-t.renewedAt >= actWithoutStore {
+	if steady.Now()-t.renewedAt >= maxUnrenewedTenure {
 		t.ended = true
 		t.cancel()
 		return
@@ -129,7 +129,7 @@
 // when its context ends.
 func NewElection(store durable.Store, self Record, processor float64, log *eventlog.Log, lead func(context.Context, *Tenure)) *Election {
 	e := &Election{store: store, self: self, processor: processor, log: log, lead: lead, wake: make(chan struct{}, 1)}
-	e.follower = &follow.Follower{Store: store, Prefix: leaderKey, Wait: leaderWatch, ReadEvery: leaderReadEvery, Handle: e.observe}
+	e.follower = &follow.Follower{Store: store, Prefix: leaderKey, Wait: leaderWatchTimeout, ReadEvery: leaderReadInterval, Handle: e.observe}
 	return e
 }
 
@@ -170,12 +170,12 @@
 		return
 	}
 	e.mu.Lock()
-	if e.seen && e.fence == revisionOf(found) {
+	if e.isKeyRead && e.fence == revisionOf(found) {
 		// Read again, and nothing has changed.
 		e.mu.Unlock()
 		return
 	}
-	e.seen = true
+	e.isKeyRead = true
 	if e.fence = revisionOf(found); e.fence == 0 {
 		e.leader = Record{}
 	} else {
@@ -191,14 +191,14 @@
 		e.log.Event("leader_deposed", eventlog.Fields{"fence": t.Fence, "successor": e.leader.Node})
 		t.End()
 	}
-	e.noteSeen("store")
+	e.reportLeader("store")
 	e.mu.Unlock()
-	e.awake()
+	e.notify()
 }
 
-// Told takes over what a peer knows of the leader, which is believed if its fencing token is
+// LearnLeader takes over what a peer knows of the leader, which is believed if its fencing token is
 // newer: a process that the store turns away has no other way to learn of one.
-func (e *Election) Told(r Record, fence int64, peer string) {
+func (e *Election) LearnLeader(r Record, fence int64, peer string) {
 	e.mu.Lock()
 	if fence <= e.fence {
 		e.mu.Unlock()
@@ -209,22 +209,22 @@
 		e.log.Event("leader_deposed", eventlog.Fields{"fence": t.Fence, "successor": r.Node})
 		t.End()
 	}
-	e.noteSeen(peer)
+	e.reportLeader(peer)
 	e.mu.Unlock()
 	e.follower.Known(fence)
-	e.awake()
+	e.notify()
 }
 
-// noteSeen tells of the leader that is known now. e.mu is held.
-func (e *Election) noteSeen(source string) {
+// reportLeader tells of the leader that is known now. e.mu is held.
+func (e *Election) reportLeader(source string) {
 	e.log.Event("leader_seen", eventlog.Fields{"leader": e.leader.Node, "fence": e.fence, "source": source})
-	if e.Seen != nil && e.fence != 0 && e.leader != e.self {
-		e.Seen(e.leader)
+	if e.OnLeaderSeen != nil && e.fence != 0 && e.leader != e.self {
+		e.OnLeaderSeen(e.leader)
 	}
 }
 
-// awake has the election looked at again.
-func (e *Election) awake() {
+// notify has the election looked at again.
+func (e *Election) notify() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -256,9 +256,9 @@
 	}
 }
 
-// Succeeded ends the tenure of this process, and keeps one from beginning, that has a
+// EndTenuresBefore ends the tenure of this process, and keeps one from beginning, that has a
 // lower fencing token than the leader that says so.
-func (e *Election) Succeeded(successor int64) {
+func (e *Election) EndTenuresBefore(successor int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.successor = max(e.successor, successor)
@@ -268,26 +268,26 @@
 	}
 }
 
-// vacant reports whether nobody leads: there is no leader's key, or it is that of
+// isVacant reports whether nobody leads: there is no leader's key, or it is that of
 // this process's own earlier life, which has certainly ended. Without the latter
 // all processes of a deployment that died together would wait the lease out.
-func (e *Election) vacant() bool {
-	_, ok := e.claim()
+func (e *Election) isVacant() bool {
+	_, ok := e.claimableRevision()
 	return ok
 }
 
-// claim returns the revision of the leader's key that this process may replace:
+// claimableRevision returns the revision of the leader's key that this process may replace:
 // 0 for none, or that of its own earlier life.
-func (e *Election) claim() (revision int64, ok bool) {
+func (e *Election) claimableRevision() (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.fence, e.seen && !e.resigned && e.tenure == nil && (e.fence == 0 || e.leader == e.self)
+	return e.fence, e.isKeyRead && !e.resigned && e.tenure == nil && (e.fence == 0 || e.leader == e.self)
 }
 
 // Serve implements suture.Service.
 func (e *Election) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !e.vacant() {
+		if !e.isVacant() {
 			select {
 			case <-ctx.Done():
 			case <-e.wake:
@@ -301,14 +301,14 @@
 
 // campaign tries to become the leader once, and leads if it succeeds.
 func (e *Election) campaign(ctx context.Context) {
-	small := max(0, 1-e.processor/fullProcessor)
-	delay := time.Duration(small*float64(handicap)) + rand.N(campaignJitter)
+	small := max(0, 1-e.processor/fullProcessorShare)
+	delay := time.Duration(small*float64(maxHandicap)) + rand.N(campaignJitter)
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(delay):
 	}
-	if !e.vacant() {
+	if !e.isVacant() {
 		return
 	}
 	t, err := e.acquire(ctx)
@@ -322,7 +322,7 @@
 			e.observe(current, true)
 			return
 		}
-		if !errors.Is(err, errTaken) {
+		if !errors.Is(err, errKeyTaken) {
 			e.log.Warn("leader_campaign_failed", err, nil)
 		}
 		return
@@ -331,8 +331,8 @@
 	e.serveTenure(ctx, t)
 }
 
-// errTaken: another process came first.
-var errTaken = errors.New("another leads")
+// errKeyTaken: another process came first.
+var errKeyTaken = errors.New("another leads")
 
 func (e *Election) acquire(ctx context.Context) (*Tenure, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -348,9 +348,9 @@
 	}
 	// Asked again after the grant: another may have come first meanwhile, and its
 	// key must not be replaced.
-	previous, ok := e.claim()
+	previous, ok := e.claimableRevision()
 	if !ok {
-		return nil, errTaken
+		return nil, errKeyTaken
 	}
 	revision, err := e.store.Commit(ctx, durable.Txn{
 		Conditions: []durable.Condition{{Key: leaderKey, Revision: previous}},
@@ -392,7 +392,7 @@
 	if e.fence == t.Fence {
 		// Whether the key is still there the follower will tell; until then
 		// nobody is known to lead.
-		e.leader, e.fence, e.seen = Record{}, 0, false
+		e.leader, e.fence, e.isKeyRead = Record{}, 0, false
 		e.follower.Reread()
 	}
 	e.mu.Unlock()
@@ -401,7 +401,7 @@
 
 // renew keeps the lease until it is lost or ctx ends.
 func (e *Election) renew(ctx context.Context, t *Tenure) {
-	ticker := time.NewTicker(renewEvery)
+	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -40,19 +40,19 @@
 	store := &electionStore{}
 	e := NewElection(store, Record{Node: "me", Address: "me:1"}, 1, nil, nil)
 	e.observe(nil, true)
-	require.True(t, e.vacant())
+	require.True(t, e.isVacant())
 	store.onGrant = func() { e.observe([]durable.Item{leaderItem("other", 50)}, false) }
 	_, err := e.acquire(context.Background())
-	require.ErrorIs(t, err, errTaken)
+	require.ErrorIs(t, err, errKeyTaken)
 	require.Empty(t, store.commits)
 }
 
 // A process that was killed and started again replaces its own key at once.
-func TestOwnEarlierLifeIsReplaced(t *testing.T) {
+func TestKeyOfOwnEarlierIncarnationIsReplaced(t *testing.T) {
 	store := &electionStore{onGrant: func() {}}
 	e := NewElection(store, Record{Node: "me", Address: "me:1"}, 1, nil, nil)
 	e.observe([]durable.Item{leaderItem("other", 40)}, true)
-	require.False(t, e.vacant())
+	require.False(t, e.isVacant())
 	e.observe([]durable.Item{leaderItem("me", 50)}, true)
 	tenure, err := e.acquire(context.Background())
 	require.NoError(t, err)
--- a/internal/leader/holds.go
+++ b/internal/leader/holds.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// leastHoldWait is how long a hold waits for an end; it is also how often the
+	// minHoldWait is how long a hold waits for an end; it is also how often the
 	// leases are renewed and the figures of serving tasks told, which cover half a
-	// second. mostHoldWait bounds it where there are many VMs: one that is unheard
+	// second. maxHoldWait bounds it where there are many VMs: one that is unheard
 	// for 1.5 s gets nothing new, and copies start after 1.3 s.
-	leastHoldWait = 600 * time.Millisecond
-	mostHoldWait  = time.Second
+	minHoldWait = 600 * time.Millisecond
+	maxHoldWait = time.Second
 	// holdWaitPerVM keeps the holds below a thousand a second: each takes some
 	// 60 us of processor, and at 3,000 VMs with 5,000 holds a second nothing else
 	// of the leader was in time.
@@ -27,28 +27,28 @@
 	// holdGrace is how much later a hold may answer before its connection
 	// counts as silent.
 	holdGrace = 700 * time.Millisecond
-	// holdPause is the wait after a hold that failed.
-	holdPause = 100 * time.Millisecond
-	// ackPause bounds the wait for the flush of ends before the next hold: a
+	// holdRetryDelay is the wait after a hold that failed.
+	holdRetryDelay = 100 * time.Millisecond
+	// maxAckWait bounds the wait for the flush of ends before the next hold: a
 	// hold that does not acknowledge them returns at once with the same.
-	ackPause = 150 * time.Millisecond
+	maxAckWait = 150 * time.Millisecond
 )
 
 // holdWait is how long a hold waits where there are so many VMs.
 func holdWait(vms int) time.Duration {
-	return min(max(time.Duration(vms)*holdWaitPerVM, leastHoldWait), mostHoldWait)
+	return min(max(time.Duration(vms)*holdWaitPerVM, minHoldWait), maxHoldWait)
 }
 
-// holdAll runs one hold loop for each instance.
-func (t *term) holdAll(ctx context.Context) {
+// syncHolds runs one hold loop for each instance.
+func (t *term) syncHolds(ctx context.Context) {
 	t.mu.Lock()
 	instances := t.sched.Instances()
 	t.mu.Unlock()
-	t.tellFleet(ctx, instances)
+	t.updateRelayFleet(ctx, instances)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wait.Store(int64(holdWait(len(instances))))
-	t.fleet.Store(int64(len(instances)))
+	t.currentHoldWait.Store(int64(holdWait(len(instances))))
+	t.fleetSize.Store(int64(len(instances)))
 	for id := range t.holds {
 		if _, ok := instances[id]; !ok {
 			t.dropHold(id)
@@ -64,8 +64,8 @@
 	}
 }
 
-// tellFleet tells the relays which VMs are held; the first time it waits for some.
-func (t *term) tellFleet(ctx context.Context, instances map[string]batch.Instance) {
+// updateRelayFleet tells the relays which VMs are held; the first time it waits for some.
+func (t *term) updateRelayFleet(ctx context.Context, instances map[string]batch.Instance) {
 	if t.Relays == nil {
 		return
 	}
@@ -76,33 +76,33 @@
 	t.Relays.SetFleet(fleet)
 	if !t.relaysAwaited {
 		t.relaysAwaited = true
-		t.Relays.AwaitReady(ctx, relaysWait)
+		t.Relays.AwaitReady(ctx, relaysReadyTimeout)
 	}
 }
 
-// silence is the time that a VM has left holds without an answer.
-type silence struct {
-	failures int
-	// tellAt is when it is worth a line again.
-	tellAt time.Duration
+// holdFailures is the time that a VM has left holds without an answer.
+type holdFailures struct {
+	count int
+	// nextLogAt is when it is worth a line again.
+	nextLogAt time.Duration
 }
 
-// firstTold is how long after the first line on a VM's silence the second comes;
+// firstLogInterval is how long after the first line on a VM's silence the second comes;
 // the time between lines doubles, so that a dead VM costs a few of them.
-const firstTold = time.Second
+const firstLogInterval = time.Second
 
-// failed counts a failure and reports whether it is worth a line.
-func (s *silence) failed(now, unheard time.Duration) bool {
-	s.failures++
-	if s.failures > 1 && now < s.tellAt {
+// recordFailure counts a failure and reports whether it is worth a line.
+func (s *holdFailures) recordFailure(now, unheard time.Duration) bool {
+	s.count++
+	if s.count > 1 && now < s.nextLogAt {
 		return false
 	}
-	s.tellAt = now + max(firstTold, unheard)
+	s.nextLogAt = now + max(firstLogInterval, unheard)
 	return true
 }
 
-// standingFields are what is believed of a VM, for a line.
-func standingFields(vm string, x scheduler.VMStatus) eventlog.Fields {
+// vmStatusFields are what is believed of a VM, for a line.
+func vmStatusFields(vm string, x scheduler.VMStatus) eventlog.Fields {
 	f := eventlog.Fields{
 		"vm": vm, "unheard_ms": x.SinceReport.Milliseconds(), "lease_left_ms": x.LeaseLeft.Milliseconds(), "runs": x.Runs,
 	}
@@ -115,7 +115,7 @@
 // holdLoop renews the leases of an instance and takes its reports over.
 func (t *term) holdLoop(ctx context.Context, inst batch.Instance) {
 	wait := time.Duration(0)
-	var silent silence
+	var silent holdFailures
 	for ctx.Err() == nil {
 		ok, err := t.holdOnce(ctx, &inst, wait, &silent)
 		if !ok {
@@ -123,17 +123,17 @@
 		}
 		if err != nil {
 			wait = 0
-			pause.For(ctx, holdPause)
+			pause.For(ctx, holdRetryDelay)
 			continue
 		}
-		wait = time.Duration(t.wait.Load())
+		wait = time.Duration(t.currentHoldWait.Load())
 		t.awaitFlush(ctx, inst.ID)
 	}
 }
 
 // holdOnce makes one hold. ok is false when the instance need not, or must not, be
 // held any more.
-func (t *term) holdOnce(ctx context.Context, inst *batch.Instance, wait time.Duration, silent *silence) (ok bool, err error) {
+func (t *term) holdOnce(ctx context.Context, inst *batch.Instance, wait time.Duration, silent *holdFailures) (ok bool, err error) {
 	sentAt := steady.Now()
 	// Asked after the look at the clock, from which the lease is counted: a process
 	// that is suspended between the two must not renew one from when it wakes.
@@ -163,12 +163,12 @@
 	now := steady.Now()
 	switch refusalOf(err) {
 	case batch.RefusedGone:
-		if t.replaced(now, inst) {
+		if t.handleReplaced(now, inst) {
 			return true, err
 		}
 		return false, nil
 	case batch.RefusedFence:
-		t.fenced(inst.ID, order.Fence)
+		t.handleFenceRefusal(inst.ID, order.Fence)
 		return t.tenure.MayAct(), err
 	}
 	t.mu.Lock()
@@ -180,64 +180,64 @@
 	if err != nil {
 		// A hold that fails before it has waited was not left in silence.
 		t.sched.HoldFailed(now, inst.ID, now-sentAt < order.Wait)
-		if silent.failed(now, before.SinceReport) {
-			t.log.Warn("vm_unanswered", err, standingFields(inst.ID, before))
+		if silent.recordFailure(now, before.SinceReport) {
+			t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, before))
 		}
 		return true, err
 	}
-	if silent.failures > 0 {
-		f := standingFields(inst.ID, before)
-		f["failures"], f["running"], f["ended"] = silent.failures, len(report.Running), len(report.Ended)
+	if silent.count > 0 {
+		f := vmStatusFields(inst.ID, before)
+		f["failures"], f["running"], f["ended"] = silent.count, len(report.Running), len(report.Ended)
 		t.log.Event("vm_answers", f)
-		*silent = silence{}
+		*silent = holdFailures{}
 	}
-	t.noteEnds(now, inst.ID, &report)
+	t.trackEnds(now, inst.ID, &report)
 	if !t.sched.HandleReport(now, sentAt, inst.ID, report) {
-		err = errReadLate
-		t.log.Warn("vm_unanswered", err, standingFields(inst.ID, before))
+		err = errLateRead
+		t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, before))
 	}
-	t.awake()
+	t.requestPlan()
 	return true, err
 }
 
-// errReadLate: this process was suspended between a hold and the answer's reading.
-var errReadLate = errors.New("its answer was read too late to tell what the VM is now")
+// errLateRead: this process was suspended between a hold and the answer's reading.
+var errLateRead = errors.New("its answer was read too late to tell what the VM is now")
 
-// replaced takes a VM out at whose address another one answers, and reports whether the VM is
+// handleReplaced takes a VM out at whose address another one answers, and reports whether the VM is
 // known all the same: a later start of it, at another address.
-func (t *term) replaced(now time.Duration, inst *batch.Instance) (known bool) {
+func (t *term) handleReplaced(now time.Duration, inst *batch.Instance) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if x, ok := t.sched.VMStatus(now, inst.ID); ok {
-		t.log.Event("vm_replaced", standingFields(inst.ID, x))
+		t.log.Event("vm_replaced", vmStatusFields(inst.ID, x))
 	}
 	t.sched.RemoveReplaced(now, inst)
-	t.awake()
+	t.requestPlan()
 	_, known = t.sched.Instance(inst.ID)
 	return known
 }
 
-// toldEnds are the ends that a VM goes on telling since they are not acknowledged.
-type toldEnds struct {
+// unackedEnds are the ends that a VM goes on telling since they are not acknowledged.
+type unackedEnds struct {
 	count int
 	// born is the start of the VM that tells them, oldest the sequence of the first, told since.
-	born   int64
-	oldest int64
-	since  time.Duration
-	// late is set once a line has told that it takes long.
-	late bool
+	born      int64
+	oldestSeq int64
+	since     time.Duration
+	// isLogged is set once a line has told that it takes long.
+	isLogged bool
 }
 
-// endsLate is how long an end may be told before it is worth a line: some flushes,
+// unackedEndsLogDelay is how long an end may be told before it is worth a line: some flushes,
 // each of which may wait for the store for a second.
-const endsLate = 3 * time.Second
+const unackedEndsLogDelay = 3 * time.Second
 
-// noteEnds counts the ends of a report before it is taken over, and tells of those
+// trackEnds counts the ends of a report before it is taken over, and tells of those
 // that stay unacknowledged. The caller holds the lock.
-func (t *term) noteEnds(now time.Duration, id string, report *batch.Report) {
+func (t *term) trackEnds(now time.Duration, id string, report *batch.Report) {
 	ends := report.Ended
 	if len(ends) == 0 {
-		delete(t.told, id)
+		delete(t.unackedEnds, id)
 		return
 	}
 	first := &ends[0]
@@ -249,19 +249,19 @@
 			t.ObserveEnd(standing)
 		}
 	}
-	told := t.told[id]
-	if told.oldest != first.Seq || told.born != report.Born {
-		told = toldEnds{born: report.Born, oldest: first.Seq, since: now}
+	told := t.unackedEnds[id]
+	if told.oldestSeq != first.Seq || told.born != report.Born {
+		told = unackedEnds{born: report.Born, oldestSeq: first.Seq, since: now}
 	}
 	told.count = len(ends)
-	if age := now - told.since; age > endsLate && !told.late {
-		told.late = true
+	if age := now - told.since; age > unackedEndsLogDelay && !told.isLogged {
+		told.isLogged = true
 		t.log.Event("ends_unacknowledged", eventlog.Fields{
 			"vm": id, "ends": told.count, "age_ms": age.Milliseconds(),
 			"job": first.Task.Job, "task": first.Task.String(), "run": first.Run, "kind": string(first.Kind),
 		})
 	}
-	t.told[id] = told
+	t.unackedEnds[id] = told
 }
 
 // dropHold notes that the instance's hold loop ends by itself: the instance may be
@@ -271,13 +271,13 @@
 	if cancel := t.holds[id]; cancel != nil {
 		cancel()
 		delete(t.holds, id)
-		delete(t.told, id)
+		delete(t.unackedEnds, id)
 	}
 }
 
 // awaitFlush waits until the ends that the instance has told may be acknowledged.
 func (t *term) awaitFlush(ctx context.Context, id string) {
-	limit := time.NewTimer(ackPause)
+	limit := time.NewTimer(maxAckWait)
 	defer limit.Stop()
 	for {
 		t.mu.Lock()
--- a/internal/leader/inspect.go
+++ b/internal/leader/inspect.go
@@ -11,7 +11,7 @@
 // State returns what callers may be told of a job. leading is false when this
 // process does not lead; known is false when it has not heard of the job.
 func (l *Leader) State(id string) (state batch.State, known, leading bool) {
-	t := l.current()
+	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
 		return "", false, false
 	}
@@ -23,7 +23,7 @@
 
 // Waiting counts a queue's jobs of which nothing has started.
 func (l *Leader) Waiting(queue string) (n int, leading bool) {
-	t := l.current()
+	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
 		return 0, false
 	}
@@ -34,7 +34,7 @@
 
 // Dump returns the scheduler's state, or nil when this process does not lead.
 func (l *Leader) Dump() *scheduler.Dump {
-	t := l.current()
+	t := l.currentTerm()
 	if t == nil {
 		return nil
 	}
@@ -44,8 +44,8 @@
 	return &d
 }
 
-// Figures are the state of a leader in counts.
-type Figures struct {
+// Stats are the state of a leader in counts.
+type Stats struct {
 	scheduler.Stats
 	// Confirmed is set while the lease can't have run out: nobody else leads.
 	Confirmed bool
@@ -60,26 +60,26 @@
 	Relays map[string]int
 }
 
-// Figures returns the state in counts; leading is false when this process does
+// Stats returns the state in counts; leading is false when this process does
 // not lead, or may not give orders any more.
-func (l *Leader) Figures() (f Figures, leading bool) {
-	t := l.current()
+func (l *Leader) Stats() (f Stats, leading bool) {
+	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
 		return f, false
 	}
-	return t.figures(), true
+	return t.stats(), true
 }
 
-func (t *term) figures() Figures {
+func (t *term) stats() Stats {
 	now := steady.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := Figures{Stats: t.sched.Stats(now), Confirmed: t.tenure.Confirmed()}
-	for _, told := range t.told {
+	f := Stats{Stats: t.sched.Stats(now), Confirmed: t.tenure.Confirmed()}
+	for _, told := range t.unackedEnds {
 		f.UnackedEnds += told.count
 		f.OldestUnacked = max(f.OldestUnacked, now-told.since)
 	}
-	f.StartWindow, f.StartsWaiting = t.starts.figures()
+	f.StartWindow, f.StartsWaiting = t.startWindow.stats()
 	if t.Relays != nil {
 		f.Relays = t.Relays.Serving()
 	}
@@ -89,7 +89,7 @@
 // Explain says where a job stands; ok is false when this process does not lead or
 // does not know it.
 func (l *Leader) Explain(id string) (x scheduler.Explanation, ok bool) {
-	t := l.current()
+	t := l.currentTerm()
 	if t == nil {
 		return x, false
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -42,39 +42,39 @@
 type Instances func(ctx context.Context) ([]batch.Instance, error)
 
 const (
-	// listEvery is how often the list of instances is read: a draining one must
+	// listInterval is how often the list of instances is read: a draining one must
 	// get nothing new after 2 s, and one read costs the store as little as one
 	// change of one entry.
-	listEvery = 500 * time.Millisecond
+	listInterval = 500 * time.Millisecond
 	// listTimeout bounds one reading of the list: with 3,000 VMs six pages, one
 	// after the other, on a processor that is busy.
 	listTimeout = 2 * time.Second
-	// planRest is the rest after a plan, as a multiple of its time. Planning takes
+	// planRestFactor is the rest after a plan, as a multiple of its time. Planning takes
 	// longer the more waits; without the rest a leader with a backlog does nothing
 	// else, its calls time out, and it loses its lease.
-	planRest = 3
-	// planRestPerVM is the least rest for each VM: each plan looks at all of them, whatever
-	// there is to decide. mostPlanRest bounds it, since a start waits for the next plan.
-	planRestPerVM = 15 * time.Microsecond
-	mostPlanRest  = 20 * time.Millisecond
-	// planTick is how often the plan is looked at without a cause.
-	planTick = 50 * time.Millisecond
-	// ordersAtOnce bounds the calls under way: one takes some 5 ms, so that 900
+	planRestFactor = 3
+	// planRestFloorPerVM is the least rest for each VM: each plan looks at all of them, whatever
+	// there is to decide. maxPlanRestFloor bounds it, since a start waits for the next plan.
+	planRestFloorPerVM = 15 * time.Microsecond
+	maxPlanRestFloor   = 20 * time.Millisecond
+	// planInterval is how often the plan is looked at without a cause.
+	planInterval = 50 * time.Millisecond
+	// maxConcurrentOrders bounds the calls under way: one takes some 5 ms, so that 900
 	// a second need five. More are given after a change of leader, and their
 	// timeouts must not run while they wait for the processor or a connection.
-	ordersAtOnce = 96
-	// relayedAtOnce bounds those that go through relays, which have no connections
+	maxConcurrentOrders = 96
+	// maxConcurrentRelayed bounds those that go through relays, which have no connections
 	// and few timeouts here: at 25 ms each 4,000 a second need a hundred, and
 	// after a change of leader a whole fleet's are given at once.
-	relayedAtOnce = 2048
-	// relaysWait is how long a new leader waits for relays before it holds a large
+	maxConcurrentRelayed = 2048
+	// relaysReadyTimeout is how long a new leader waits for relays before it holds a large
 	// fleet itself: processes offer themselves when they see its key.
-	relaysWait = 500 * time.Millisecond
+	relaysReadyTimeout = 500 * time.Millisecond
 	// rebuildTimeout bounds one attempt to read all records.
-	rebuildTimeout = 5 * time.Second
-	rebuildPause   = 200 * time.Millisecond
-	// jobsWatch is how long one watch for new jobs waits.
-	jobsWatch = 2 * time.Second
+	rebuildTimeout    = 5 * time.Second
+	rebuildRetryDelay = 200 * time.Millisecond
+	// jobsWatchTimeout is how long one watch for new jobs waits.
+	jobsWatchTimeout = 2 * time.Second
 )
 
 // Leader does the leader's work during a tenure.
@@ -100,8 +100,8 @@
 	Log      *eventlog.Log
 	// WallMS is the time of day in milliseconds since 1970.
 	WallMS func() int64
-	// Observe is told of each decision, for the metrics; may be nil.
-	Observe func(scheduler.Decision)
+	// ObserveDecision is told of each decision, for the metrics; may be nil.
+	ObserveDecision func(scheduler.Decision)
 	// ObserveDelay is told how long work of this leader waited or took; may be nil.
 	ObserveDelay func(Delay, time.Duration)
 	// ObserveEnd is told of each end that a VM tells for the first time; may be nil.
@@ -109,8 +109,8 @@
 
 	mu   sync.Mutex
 	term *term
-	// ended are the tenures of this process that ended, while leases of theirs last.
-	ended []leases
+	// closedTenures are the tenures of this process that ended, while leases of theirs last.
+	closedTenures []closedTenure
 }
 
 // term is the state of one tenure.
@@ -120,38 +120,38 @@
 	log    *eventlog.Log
 
 	// mu guards sched and what follows.
-	mu       sync.Mutex
-	sched    *scheduler.Scheduler
-	recorded instances
-	// lapsed is what the store has under lapsedKey.
-	lapsed map[string]scheduler.ExpiredLease
-	// lapsedRead is set once that is known.
-	lapsedRead bool
+	mu                sync.Mutex
+	sched             *scheduler.Scheduler
+	recordedInstances instanceAddresses
+	// expiredLeases is what the store has under expiredLeasesKey.
+	expiredLeases map[string]scheduler.ExpiredLease
+	// expiredLeasesRead is set once that is known.
+	expiredLeasesRead bool
 	// instancesRevision is that of the record of instances.
 	instancesRevision int64
 	holds             map[string]context.CancelFunc
-	// told are the ends that each VM goes on telling.
-	told   map[string]toldEnds
-	config *batch.Config
+	// unackedEnds are the ends that each VM goes on telling.
+	unackedEnds map[string]unackedEnds
+	config      *batch.Config
 	// closed is set once the leases of the tenure were told to a successor, or kept
 	// for it: no further ones may be taken.
 	closed bool
-	// past are the tenures before this one, pastComplete whether these are all.
-	past         []Past
-	pastComplete bool
-	// wait is how long a hold waits, in nanoseconds.
-	wait atomic.Int64
-	// fleet is how many VMs are held.
-	fleet atomic.Int64
+	// pastTenures are the tenures before this one, pastTenuresComplete whether these are all.
+	pastTenures         []PastTenure
+	pastTenuresComplete bool
+	// currentHoldWait is how long a hold waits, in nanoseconds.
+	currentHoldWait atomic.Int64
+	// fleetSize is how many VMs are held.
+	fleetSize atomic.Int64
 	// flushed is closed and replaced after each flush.
-	flushed chan struct{}
-	kick    chan struct{}
-	work    sync.WaitGroup
-	// starts bounds the starts under way, backlog those that wait to be given, carrying the other calls from this process,
+	flushed       chan struct{}
+	planRequested chan struct{}
+	work          sync.WaitGroup
+	// startWindow bounds the starts under way, backlog those that wait to be given, carrying the other calls from this process,
 	// relayed those through others.
-	starts            *window
-	backlog           *scheduler.Backlog
-	carrying, relayed chan struct{}
+	startWindow               *startWindow
+	backlog                   *scheduler.Backlog
+	directCalls, relayedCalls chan struct{}
 	// relaysAwaited is set once relays were waited for.
 	relaysAwaited bool
 	// modelRead is set once it is known what earlier leaders have learned. Only the
@@ -162,20 +162,20 @@
 	cancelledEarly map[string]time.Duration
 	// removed are the jobs that this leader has removed of late.
 	removed removals
-	// advising is held during a question to the adviser.
-	advising sync.Mutex
+	// adviceMu is held during a question to the adviser.
+	adviceMu sync.Mutex
 }
 
 // Lead does the leader's work until ctx ends.
 func (l *Leader) Lead(ctx context.Context, tenure *Tenure) {
 	t := &term{
-		Leader: l, tenure: tenure, log: l.Log, recorded: instances{}, removed: removals{}, cancelledEarly: map[string]time.Duration{},
-		holds: map[string]context.CancelFunc{}, told: map[string]toldEnds{}, flushed: make(chan struct{}),
-		kick: make(chan struct{}, 1), carrying: make(chan struct{}, ordersAtOnce), relayed: make(chan struct{}, relayedAtOnce),
-		starts: newWindow(ordersAtOnce), backlog: scheduler.NewBacklog(),
+		Leader: l, tenure: tenure, log: l.Log, recordedInstances: instanceAddresses{}, removed: removals{}, cancelledEarly: map[string]time.Duration{},
+		holds: map[string]context.CancelFunc{}, unackedEnds: map[string]unackedEnds{}, flushed: make(chan struct{}),
+		planRequested: make(chan struct{}, 1), directCalls: make(chan struct{}, maxConcurrentOrders), relayedCalls: make(chan struct{}, maxConcurrentRelayed),
+		startWindow: newStartWindow(maxConcurrentOrders), backlog: scheduler.NewBacklog(),
 	}
 	if l.Relays != nil {
-		t.starts = newWindow(relayedAtOnce)
+		t.startWindow = newStartWindow(maxConcurrentRelayed)
 		l.Relays.Lead(ctx, tenure.Fence)
 	}
 	t.sched = scheduler.New(l.Settings, tenure.Fence, t.logDecision)
@@ -184,8 +184,8 @@
 		return
 	}
 	l.setTerm(t)
-	defer l.leave(t)
-	t.log.Event("leader_ready", eventlog.Fields{"fence": tenure.Fence, "jobs": jobs.count, "starts": jobs.starts})
+	defer l.endTerm(t)
+	t.log.Event("leader_ready", eventlog.Fields{"fence": tenure.Fence, "jobs": jobs.jobCount, "starts": jobs.startCount})
 	t.run(ctx, jobs.revision)
 	t.work.Wait()
 	t.logEnd()
@@ -194,7 +194,7 @@
 // logEnd tells what goes on without this leader: where leases that it took may
 // live, and for how long, and which ends its successor will hear.
 func (t *term) logEnd() {
-	f := t.figures()
+	f := t.stats()
 	t.log.Event("leader_ended", eventlog.Fields{
 		"fence": f.Fence, "vms": f.VMs, "runs": f.Runs, "leased_vms": f.Leased, "longest_lease_ms": f.LongestLease.Milliseconds(),
 		"unacknowledged_ends": f.UnackedEnds, "confirmed_ago_ms": t.tenure.sinceRenewed().Milliseconds(),
@@ -207,7 +207,7 @@
 	l.term = t
 }
 
-func (l *Leader) current() *term {
+func (l *Leader) currentTerm() *term {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term
@@ -215,23 +215,23 @@
 
 // run starts the loops of the tenure and waits for its end.
 func (t *term) run(ctx context.Context, revision int64) {
-	jobs := &follow.Follower{Store: t.Store, Prefix: jobsPrefix, Wait: jobsWatch, Handle: t.observeJobs, After: revision}
+	jobs := &follow.Follower{Store: t.Store, Prefix: jobsPrefix, Wait: jobsWatchTimeout, Handle: t.observeJobs, After: revision}
 	for _, loop := range []func(context.Context){
-		func(ctx context.Context) { _ = jobs.Serve(ctx) }, t.listLoop, t.flushLoop, t.untoldLoop, t.predecessorsLoop, t.newSinceLoop, t.livesLoop, t.forgetLoop, t.modelLoop, t.wavesLoop, t.tokenLoop,
+		func(ctx context.Context) { _ = jobs.Serve(ctx) }, t.listLoop, t.flushLoop, t.unknownJobsLoop, t.predecessorsLoop, t.newJobsRevisionLoop, t.livenessLoop, t.forgetLoop, t.modelLoop, t.wavesLoop, t.tokenLoop,
 	} {
 		t.work.Go(func() { loop(ctx) })
 	}
-	ticker := time.NewTicker(planTick)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	confirmed, late := true, time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.kick:
+		case <-t.planRequested:
 		case <-ticker.C:
 		}
-		confirmed = t.logConfirmed(confirmed)
+		confirmed = t.logConfirmation(confirmed)
 		if !t.tenure.MayAct() {
 			t.tenure.End()
 			return
@@ -248,13 +248,13 @@
 
 // restAfterPlan is the rest after a plan that took so long.
 func (t *term) restAfterPlan(took time.Duration) time.Duration {
-	vms := time.Duration(t.fleet.Load())
-	return min(max(planRest*took, min(vms*planRestPerVM, mostPlanRest)), planTick)
+	vms := time.Duration(t.fleetSize.Load())
+	return min(max(planRestFactor*took, min(vms*planRestFloorPerVM, maxPlanRestFloor)), planInterval)
 }
 
-// logConfirmed tells when this leader begins to act without being confirmed, and
+// logConfirmation tells when this leader begins to act without being confirmed, and
 // when that ends: meanwhile another may lead, while leases are renewed here.
-func (t *term) logConfirmed(before bool) bool {
+func (t *term) logConfirmation(before bool) bool {
 	now := t.tenure.Confirmed()
 	if now == before {
 		return now
@@ -275,10 +275,10 @@
 	return steady.Now() - t.renewedAt
 }
 
-// awake makes the plan be looked at soon.
-func (t *term) awake() {
+// requestPlan makes the plan be looked at soon.
+func (t *term) requestPlan() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.planRequested <- struct{}{}:
 	default:
 	}
 }
@@ -295,7 +295,7 @@
 		t.config = c
 		t.sched.SetConfig(c)
 	}
-	t.sched.SetStartBudget(t.startRoom(now, late))
+	t.sched.SetStartBudget(t.startCapacity(now, late))
 	t.sched.ConfirmLeadership(t.tenure.RenewedAt())
 	t.sched.Tick(now)
 	t.sched.OpenDue(now, t.WallMS())
@@ -308,7 +308,7 @@
 	for i := range orders {
 		o := orders[i]
 		t.work.Go(func() {
-			t.carryOut(ctx, o, func(now time.Duration) {
+			t.executeOrder(ctx, o, func(now time.Duration) {
 				t.observeDelay(DelayOrder, now-decidedAt)
 				given(now)
 			})
@@ -316,9 +316,9 @@
 	}
 }
 
-// startRoom is how many starts may be decided now, by a process that is so late.
-func (t *term) startRoom(now, late time.Duration) scheduler.StartBudget {
-	if t.starts.full() {
+// startCapacity is how many starts may be decided now, by a process that is so late.
+func (t *term) startCapacity(now, late time.Duration) scheduler.StartBudget {
+	if t.startWindow.isFull() {
 		return scheduler.StartBudget{}
 	}
 	return t.backlog.Budget(now, late)
@@ -347,8 +347,8 @@
 	}
 }
 
-// confirmPause is how often an unconfirmed leader looks whether it is confirmed.
-const confirmPause = 20 * time.Millisecond
+// confirmPollInterval is how often an unconfirmed leader looks whether it is confirmed.
+const confirmPollInterval = 20 * time.Millisecond
 
 // awaitConfirmed waits until the lease is known to be ours, and reports whether
 // it is. A leader that was cut off and comes back goes on with what it had, but
@@ -359,16 +359,16 @@
 		if !t.tenure.MayAct() {
 			return false
 		}
-		time.Sleep(confirmPause)
+		time.Sleep(confirmPollInterval)
 	}
 	return true
 }
 
-// Announced takes a job, or a cancellation, over that is in the store already. It
+// AcceptAnnouncement takes a job, or a cancellation, over that is in the store already. It
 // returns false when this process does not lead for certain: then the leader's
 // watch tells it.
-func (l *Leader) Announced(key string, value []byte) bool {
-	t := l.current()
+func (l *Leader) AcceptAnnouncement(key string, value []byte) bool {
+	t := l.currentTerm()
 	if t == nil || !t.tenure.Confirmed() {
 		return false
 	}
@@ -401,12 +401,12 @@
 		}
 	}
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 }
 
 func (t *term) observeJob(item *durable.Item) {
 	now := steady.Now()
-	id, cancelled := jobKey(item.Key)
+	id, cancelled := parseJobKey(item.Key)
 	if cancelled {
 		if _, known := t.sched.State(id); !known {
 			t.cancelledEarly[id] = now
@@ -414,7 +414,7 @@
 		t.sched.Cancel(now, id)
 		return
 	}
-	if t.removed.has(id, item) {
+	if t.removed.covers(id, item) {
 		return
 	}
 	r, err := decodeJob(id, item.Value)
@@ -422,7 +422,7 @@
 		t.log.Warn("job_unreadable", err, eventlog.Fields{"job": id})
 		return
 	}
-	sub := r.submission(t.age(r))
+	sub := r.submission(t.jobAge(r))
 	sub.CreatedRevision = item.Created
 	// A job that this leader does not know and that has ended: what it did is in its
 	// record, and its payload is gone.
@@ -431,19 +431,19 @@
 	t.sched.Submit(now, sub)
 }
 
-// maxAge bounds the age of a submission: it comes from two clocks of the time of
+// maxJobAge bounds the age of a submission: it comes from two clocks of the time of
 // day, which may jump.
-const maxAge = time.Minute
+const maxJobAge = time.Minute
 
-// age is how long ago a job was submitted.
-func (t *term) age(r *JobRecord) time.Duration {
+// jobAge is how long ago a job was submitted.
+func (t *term) jobAge(r *JobRecord) time.Duration {
 	age := time.Duration(t.WallMS()-r.SubmittedMS) * time.Millisecond
-	return min(max(age, 0), maxAge)
+	return min(max(age, 0), maxJobAge)
 }
 
 func (t *term) logDecision(d scheduler.Decision) {
-	if t.Observe != nil {
-		t.Observe(d)
+	if t.ObserveDecision != nil {
+		t.ObserveDecision(d)
 	}
 	t.log.EventOf(d.Event, func() eventlog.Fields { return decisionFields(&d) })
 }
--- a/internal/leader/lives.go
+++ b/internal/leader/lives.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// livesEvery is how often the machine service is asked while VMs are in doubt; it
+	// livenessInterval is how often the machine service is asked while VMs are in doubt; it
 	// takes some tens of calls a second of all processes together.
-	livesEvery = 500 * time.Millisecond
-	// newSinceEvery is the pause between reads of the store's revision until one succeeds.
-	newSinceEvery = 200 * time.Millisecond
+	livenessInterval = 500 * time.Millisecond
+	// newJobsRevisionRetryDelay is the pause between reads of the store's revision until one succeeds.
+	newJobsRevisionRetryDelay = 200 * time.Millisecond
 )
 
-// livesLoop asks the machine service which VMs live while some are unheard. Without its
+// livenessLoop asks the machine service which VMs live while some are unheard. Without its
 // word they are waited for until their leases are over, 8.5 s after they were last heard.
-func (t *term) livesLoop(ctx context.Context) {
-	pause.Every(ctx, livesEvery, func() {
+func (t *term) livenessLoop(ctx context.Context) {
+	pause.Every(ctx, livenessInterval, func() {
 		t.mu.Lock()
 		doubtful := t.sched.NeedsLivenessCheck(steady.Now())
 		t.mu.Unlock()
@@ -41,16 +41,16 @@
 		t.mu.Lock()
 		t.sched.SetLiveInstances(steady.Now(), askedAt, list)
 		t.mu.Unlock()
-		t.awake()
+		t.requestPlan()
 	})
 }
 
-// newSinceLoop reads a revision of the store once earlier leaders have certainly learned
+// newJobsRevisionLoop reads a revision of the store once earlier leaders have certainly learned
 // that they were succeeded. Jobs created after it need not wait for VMs that are silent.
-func (t *term) newSinceLoop(ctx context.Context) {
+func (t *term) newJobsRevisionLoop(ctx context.Context) {
 	pause.For(ctx, scheduler.DeposedAdmissionTimeout)
-	for ctx.Err() == nil && t.awaits() {
-		callCtx, cancel := context.WithTimeout(ctx, untoldCall)
+	for ctx.Err() == nil && t.awaitsVMs() {
+		callCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 		_, revision, err := t.Store.Range(callCtx, leaderKey)
 		cancel()
 		if err == nil {
@@ -60,6 +60,6 @@
 			t.log.Event("new_since", eventlog.Fields{"revision": revision})
 			return
 		}
-		pause.For(ctx, newSinceEvery)
+		pause.For(ctx, newJobsRevisionRetryDelay)
 	}
 }
--- a/internal/leader/model.go
+++ b/internal/leader/model.go
@@ -10,13 +10,13 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// modelEvery is how often the learned model is stored: a successor lacks at most
+// modelStoreInterval is how often the learned model is stored: a successor lacks at most
 // what was learned since.
-const modelEvery = 3 * time.Second
+const modelStoreInterval = 3 * time.Second
 
 // modelLoop stores the learned model.
 func (t *term) modelLoop(ctx context.Context) {
-	pause.Every(ctx, modelEvery, func() {
+	pause.Every(ctx, modelStoreInterval, func() {
 		if err := t.storeModel(ctx); err != nil && ctx.Err() == nil {
 			t.log.Warn("model_not_stored", err, nil)
 		}
@@ -39,7 +39,7 @@
 		return err
 	}
 	_, err = t.commit(ctx, durable.Txn{
-		Conditions: []durable.Condition{t.leads()},
+		Conditions: []durable.Condition{t.leaderCondition()},
 		Writes:     []durable.Write{{Key: modelKey, Value: value}},
 	})
 	return err
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -16,27 +16,27 @@
 const (
 	// orderTimeout bounds one try of an order; tries is how often a start is
 	// repeated before its run is given up.
-	orderTimeout = 500 * time.Millisecond
-	startTries   = 3
-	// stopPause is the wait after the first try of a stop. It doubles up to
-	// longStopPause: a leader that is behind would do nothing but repeat stops.
-	stopPause     = 200 * time.Millisecond
-	longStopPause = 1600 * time.Millisecond
-	// stopFor bounds how long a stop is repeated whose run does not count; while the
+	orderTimeout  = 500 * time.Millisecond
+	maxStartTries = 3
+	// stopRetryDelay is the wait after the first try of a stop. It doubles up to
+	// maxStopRetryDelay: a leader that is behind would do nothing but repeat stops.
+	stopRetryDelay    = 200 * time.Millisecond
+	maxStopRetryDelay = 1600 * time.Millisecond
+	// stopRetryDuration bounds how long a stop is repeated whose run does not count; while the
 	// VM lists it the stop is ordered again.
-	stopFor = 25 * time.Second
+	stopRetryDuration = 25 * time.Second
 )
 
-// fenced takes in that an instance has refused an order with a fencing token. It has seen a
+// handleFenceRefusal takes in that an instance has refused an order with a fencing token. It has seen a
 // successor's, which ends the tenure, or a higher one that this leader has used there since.
-func (t *term) fenced(id string, token int64) {
+func (t *term) handleFenceRefusal(id string, token int64) {
 	if token >= t.token(id) {
-		t.succeeded(id)
+		t.endFenced(id)
 	}
 }
 
-// succeeded ends the tenure: a VM or a machine has seen a successor's fencing token.
-func (t *term) succeeded(id string) {
+// endFenced ends the tenure: a VM or a machine has seen a successor's fencing token.
+func (t *term) endFenced(id string) {
 	t.log.Event("leader_fenced", eventlog.Fields{"vm": id, "fence": t.tenure.Fence})
 	t.tenure.End()
 }
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// carryOut gives an order to its instance. given is told of a start that is given, or dropped.
-func (t *term) carryOut(ctx context.Context, o scheduler.Order, given func(now time.Duration)) {
+// executeOrder gives an order to its instance. given is told of a start that is given, or dropped.
+func (t *term) executeOrder(ctx context.Context, o scheduler.Order, given func(now time.Duration)) {
 	switch o.Kind {
 	case scheduler.OrderStart:
 		t.start(ctx, o, given)
@@ -65,21 +65,21 @@
 	}
 }
 
-// takePlace waits for a place among the calls under way. A stop holds it for one try
+// acquireCall waits for a place among the calls under way. A stop holds it for one try
 // at a time: what is repeated for long must not keep other orders from being given.
 // The place is to be left when the call is over.
-func (t *term) takePlace(vm string) (leave func()) {
-	places := t.carrying
+func (t *term) acquireCall(vm string) (leave func()) {
+	places := t.directCalls
 	if t.Relays != nil && t.Relays.Relayed(vm) {
-		places = t.relayed
+		places = t.relayedCalls
 	}
 	places <- struct{}{}
 	return func() { <-places }
 }
 
-// wanted reports whether a try of a start is still to be made. A task may be done
+// isStartWanted reports whether a try of a start is still to be made. A task may be done
 // elsewhere, or its job cancelled, while an earlier try had no answer.
-func (t *term) wanted(o scheduler.Order, try int) bool {
+func (t *term) isStartWanted(o scheduler.Order, try int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if try == 0 {
@@ -92,7 +92,7 @@
 // after a try that got no answer says nothing of that try, which may be carried
 // out later: the outcome is unknown.
 func (t *term) start(ctx context.Context, o scheduler.Order, given func(now time.Duration)) {
-	release, err := t.starts.acquire(ctx)
+	release, err := t.startWindow.acquire(ctx)
 	given(steady.Now())
 	if err != nil {
 		return
@@ -109,7 +109,7 @@
 			}
 			return
 		}
-		if !t.wanted(o, try) {
+		if !t.isStartWanted(o, try) {
 			if unanswered {
 				break
 			}
@@ -120,14 +120,14 @@
 		value, err := t.Agents.Start(callCtx, &o.Instance, o.Start)
 		cancel()
 		refusal = refusalOf(err)
-		t.starts.outcome(steady.Now()-sentAt, err == nil || refusal != "")
+		t.startWindow.recordOutcome(steady.Now()-sentAt, err == nil || refusal != "")
 		clock = value
 		if err == nil {
 			unanswered = false
 			break
 		}
 		if refusal == batch.RefusedFence {
-			t.fenced(o.Instance.ID, o.Start.Fence)
+			t.handleFenceRefusal(o.Instance.ID, o.Start.Fence)
 			if !t.tenure.MayAct() {
 				return
 			}
@@ -138,19 +138,19 @@
 			break
 		}
 		unanswered = true
-		if try+1 >= startTries {
-			t.log.Warn("start_unanswered", err, orderFields(&o, "tries", startTries))
+		if try+1 >= maxStartTries {
+			t.log.Warn("start_unanswered", err, orderFields(&o, "tries", maxStartTries))
 			break
 		}
 	}
 	now := steady.Now()
 	if refusal == batch.RefusedGone {
-		t.replaced(now, &o.Instance)
+		t.handleReplaced(now, &o.Instance)
 	}
 	t.mu.Lock()
 	t.sched.Started(now, sentAt, o, clock, refusal, unanswered)
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 }
 
 // orderFields are an order's for a line, with one figure.
@@ -158,11 +158,11 @@
 	return eventlog.Fields{"vm": o.Instance.ID, "job": o.Task.Job, "task": o.Task.String(), "run": o.Run, figure: value}
 }
 
-// repeatStop reports whether a stop that has been repeated for a time is to be
+// shouldRepeatStop reports whether a stop that has been repeated for a time is to be
 // repeated again. As long as its run counts nothing else ends the wait for it: the
 // VM's lease is renewed by each hold that it answers.
-func (t *term) repeatStop(o scheduler.Order, lasted time.Duration) bool {
-	if lasted < stopFor {
+func (t *term) shouldRepeatStop(o scheduler.Order, lasted time.Duration) bool {
+	if lasted < stopRetryDuration {
 		return true
 	}
 	t.mu.Lock()
@@ -175,18 +175,18 @@
 
 func (t *term) stopSince(ctx context.Context, o scheduler.Order, began time.Duration) {
 	var err error
-	tellAt := stopFor
-	rest := stopPause
+	tellAt := stopRetryDuration
+	rest := stopRetryDelay
 	for ctx.Err() == nil && t.tenure.MayAct() {
 		age := steady.Now() - began
 		if age >= tellAt {
 			t.log.Warn("stop_unconfirmed", err, orderFields(&o, "age_ms", age.Milliseconds()))
-			tellAt += stopFor
+			tellAt += stopRetryDuration
 		}
-		if !t.repeatStop(o, age) {
+		if !t.shouldRepeatStop(o, age) {
 			return
 		}
-		leave := t.takePlace(o.Instance.ID)
+		leave := t.acquireCall(o.Instance.ID)
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		token := t.token(o.Instance.ID)
 		err = t.Agents.Stop(callCtx, &o.Instance, o.Task, o.Run, token)
@@ -196,7 +196,7 @@
 		case batch.RefusedGone:
 			return
 		case batch.RefusedFence:
-			t.fenced(o.Instance.ID, token)
+			t.handleFenceRefusal(o.Instance.ID, token)
 		}
 		// "Old" says that the run has ended there already.
 		if err == nil || refusalOf(err) == batch.RefusedOld {
@@ -206,12 +206,12 @@
 			return
 		}
 		pause.For(ctx, rest)
-		rest = min(2*rest, longStopPause)
+		rest = min(2*rest, maxStopRetryDelay)
 	}
 }
 
 func (t *term) pace(ctx context.Context, o scheduler.Order) {
-	defer t.takePlace(o.Instance.ID)()
+	defer t.acquireCall(o.Instance.ID)()
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := t.Agents.Pace(callCtx, &o.Instance, o.Task, o.Run, o.Percent, t.token(o.Instance.ID))
@@ -229,8 +229,8 @@
 func (t *term) advise(ctx context.Context, o scheduler.Order) {
 	// Questions are asked one at a time: the adviser takes no more, and a
 	// ticket's life is counted from the question.
-	t.advising.Lock()
-	defer t.advising.Unlock()
+	t.adviceMu.Lock()
+	defer t.adviceMu.Unlock()
 	askedAt := steady.Now()
 	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
@@ -241,5 +241,5 @@
 	t.mu.Lock()
 	t.sched.Advised(steady.Now(), askedAt, o, good, validFor, err == nil)
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 }
--- a/internal/leader/orders_test.go
+++ b/internal/leader/orders_test.go
@@ -12,7 +12,7 @@
 func TestHoldsStayBelowAThousandASecond(t *testing.T) {
 	for _, vms := range []int{1, 48, 350, 600, 750, 1000} {
 		wait := holdWait(vms)
-		require.GreaterOrEqual(t, wait, leastHoldWait)
+		require.GreaterOrEqual(t, wait, minHoldWait)
 		require.LessOrEqual(t, float64(vms)/wait.Seconds(), 1000.0)
 	}
 	// Beyond that leases and suspicions bound the wait.
--- a/internal/leader/own_tenure_test.go
+++ b/internal/leader/own_tenure_test.go
@@ -13,14 +13,14 @@
 // predecessor_answered of its own node and its own fence, 0.3 s after leader_ready;
 // 30 s later 90 jobs were still queued or running.
 func TestLeaderIsNotItsOwnPredecessor(t *testing.T) {
-	before := Past{Fence: 7, Node: "b", Address: "b:1"}
-	te := hearing(map[string]string{
+	before := PastTenure{Fence: 7, Node: "b", Address: "b:1"}
+	te := newReportedTerm(map[string]string{
 		tenuresKey: `[{"fence":9,"node":"a","address":"a:1"},{"fence":9,"node":"a","address":"a:1"},` +
 			`{"fence":7,"node":"b","address":"b:1"},{"fence":7,"node":"b","address":"b:1"}]`,
 	})
 	te.tenure = &Tenure{Fence: 9, cancel: func() {}}
-	past, complete, err := te.readPast(t.Context())
+	past, complete, err := te.readPastTenures(t.Context())
 	require.NoError(t, err)
 	require.True(t, complete)
-	require.Equal(t, []Past{before}, past)
+	require.Equal(t, []PastTenure{before}, past)
 }
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// flushEvery is how often progress is written. Ends wait for it at their
+	// flushInterval is how often progress is written. Ends wait for it at their
 	// VMs, jobs that are done until their callers are told.
-	flushEvery   = 40 * time.Millisecond
-	flushTimeout = time.Second
-	// recordEntries are a record's condition and write; that of an ended job has one
+	flushInterval = 40 * time.Millisecond
+	flushTimeout  = time.Second
+	// entriesPerRecord are a record's condition and write; that of an ended job has one
 	// write more, of the job's key. The leader's key takes a condition.
-	recordEntries = 2
-	txnEntries    = durable.MaxTxnEntries - 1
-	// keepEnded is how long ended jobs are remembered: longer than callers may
+	entriesPerRecord = 2
+	maxTxnEntries    = durable.MaxTxnEntries - 1
+	// endedJobRetention is how long ended jobs are remembered: longer than callers may
 	// ask, and than a repeated submission may come late.
-	keepEnded   = 10 * time.Minute
-	forgetEvery = time.Second
-	// forgetMost bounds the jobs forgotten at once: three keys each.
-	forgetMost = 10
+	endedJobRetention = 10 * time.Minute
+	forgetInterval    = time.Second
+	// maxJobsPerForget bounds the jobs forgotten at once: three keys each.
+	maxJobsPerForget = 10
 )
 
 // flushLoop writes progress.
 func (t *term) flushLoop(ctx context.Context) {
-	pause.Every(ctx, flushEvery, func() { t.flushPending(ctx) })
+	pause.Every(ctx, flushInterval, func() { t.flushPending(ctx) })
 }
 
 func (t *term) flushPending(ctx context.Context) {
@@ -74,10 +74,10 @@
 		if err != nil {
 			return err
 		}
-		n := fitting(rest, len(txn.Writes)+len(txn.Deletes))
-		err = t.write(ctx, txn, rest[:n])
+		n := countFitting(rest, len(txn.Writes)+len(txn.Deletes))
+		err = t.writeRecords(ctx, txn, rest[:n])
 		if starts != nil {
-			t.noteStarts(starts, err)
+			t.recordStartsOutcome(starts, err)
 		}
 		if err != nil {
 			return err
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// noteStarts notes what became of a change of the log of starts.
-func (t *term) noteStarts(starts *scheduler.StartLogChange, err error) {
+// recordStartsOutcome notes what became of a change of the log of starts.
+func (t *term) recordStartsOutcome(starts *scheduler.StartLogChange, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err == nil {
@@ -102,7 +102,7 @@
 
 // startsTxn is a transaction with a change of the log of starts, to which records are added.
 func (t *term) startsTxn(starts *scheduler.StartLogChange) (durable.Txn, error) {
-	txn := durable.Txn{Conditions: []durable.Condition{t.leads()}}
+	txn := durable.Txn{Conditions: []durable.Condition{t.leaderCondition()}}
 	if starts == nil {
 		return txn, nil
 	}
@@ -119,22 +119,22 @@
 	return txn, nil
 }
 
-// fitting is how many of the records fit into a transaction beside so many other entries.
-func fitting(records []scheduler.Record, entries int) int {
+// countFitting is how many of the records fit into a transaction beside so many other entries.
+func countFitting(records []scheduler.Record, entries int) int {
 	for i := range records {
-		entries += recordEntries
+		entries += entriesPerRecord
 		if records[i].Progress.State.Final() {
 			entries++
 		}
-		if entries > txnEntries {
+		if entries > maxTxnEntries {
 			return i
 		}
 	}
 	return len(records)
 }
 
-// write commits a transaction with some records added, on condition that this tenure goes on.
-func (t *term) write(ctx context.Context, txn durable.Txn, records []scheduler.Record) error {
+// writeRecords commits a transaction with some records added, on condition that this tenure goes on.
+func (t *term) writeRecords(ctx context.Context, txn durable.Txn, records []scheduler.Record) error {
 	for i := range records {
 		value, err := json.Marshal(records[i].Progress)
 		if err != nil {
@@ -146,7 +146,7 @@
 		if records[i].Progress.State.Final() {
 			// An answer that was lost leaves this write as conditional on the
 			// record's revision as the record itself.
-			ended, err := endedJob(&records[i])
+			ended, err := encodeEndedJob(&records[i])
 			if err != nil {
 				return err
 			}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// leads is the condition that this tenure goes on.
-func (t *term) leads() durable.Condition {
+// leaderCondition is the condition that this tenure goes on.
+func (t *term) leaderCondition() durable.Condition {
 	return durable.Condition{Key: leaderKey, Revision: t.tenure.Fence}
 }
 
@@ -207,7 +207,7 @@
 
 // forgetLoop removes jobs that ended long ago.
 func (t *term) forgetLoop(ctx context.Context) {
-	pause.Every(ctx, forgetEvery, func() { t.forget(ctx) })
+	pause.Every(ctx, forgetInterval, func() { t.forget(ctx) })
 }
 
 // forget removes jobs that ended long ago, first from the store: a job whose keys
@@ -216,13 +216,13 @@
 	now := steady.Now()
 	t.mu.Lock()
 	t.removed.purge(now)
-	maps.DeleteFunc(t.cancelledEarly, func(_ string, at time.Duration) bool { return now-at > removedFor })
-	ended := t.sched.RemovableJobs(now, keepEnded, forgetMost)
+	maps.DeleteFunc(t.cancelledEarly, func(_ string, at time.Duration) bool { return now-at > removalRetention })
+	ended := t.sched.RemovableJobs(now, endedJobRetention, maxJobsPerForget)
 	t.mu.Unlock()
 	if len(ended) == 0 {
 		return
 	}
-	txn := durable.Txn{Conditions: []durable.Condition{t.leads()}}
+	txn := durable.Txn{Conditions: []durable.Condition{t.leaderCondition()}}
 	for _, id := range ended {
 		txn.Deletes = append(txn.Deletes, JobKey(id), CancelKey(id), ProgressKey(id))
 	}
@@ -248,18 +248,18 @@
 // removals are the jobs that were removed of late, by ID.
 type removals map[string]removal
 
-// removedFor is how long a removal, or a cancellation that came early, is remembered:
+// removalRetention is how long a removal, or a cancellation that came early, is remembered:
 // longer than an announcement, or a read of all jobs that began before it, may take.
-const removedFor = time.Minute
+const removalRetention = time.Minute
 
 func (r removals) purge(now time.Duration) {
-	maps.DeleteFunc(r, func(_ string, one removal) bool { return now-one.at > removedFor })
+	maps.DeleteFunc(r, func(_ string, one removal) bool { return now-one.at > removalRetention })
 }
 
-// has reports whether the item is what was left of a removed job, rather than a job
+// covers reports whether the item is what was left of a removed job, rather than a job
 // that was handed in since. An announcement has no revision; the watch tells of a
 // new job as well.
-func (r removals) has(id string, item *durable.Item) bool {
+func (r removals) covers(id string, item *durable.Item) bool {
 	one, ok := r[id]
 	return ok && item.Created <= one.revision
 }
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -22,9 +22,9 @@
 // meanwhile, and so does its successor.
 // Sequence: hundreds of jobs have ended within the last ten minutes; a leader takes over.
 // Cause: an ended job's record was as long as that of one that runs.
-func TestEndedJobsLeaveTheirPayload(t *testing.T) {
-	store := &keeper{values: map[string]string{}}
-	te := reading(t, store)
+func TestEndedJobsDropTheirPayload(t *testing.T) {
+	store := &memoryStore{values: map[string]string{}}
+	te := newRebuildTerm(t, store)
 	require.NoError(t, te.flush(t.Context(), &scheduler.Flush{Records: []scheduler.Record{recordOf("runs", ""), recordOf("ended", batch.Completed)}}, nil))
 	require.NotContains(t, store.values, JobKey("runs"))
 	r, err := decodeJob("ended", []byte(store.values[JobKey("ended")]))
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	item := durable.Item{Key: JobKey("j"), Value: value}
 	for name, take := range map[string]func(*term){
-		"read":    func(te *term) { te.takeJobs(steady.Now(), []durable.Item{item}, nil) },
+		"read":    func(te *term) { te.submitJobs(steady.Now(), []durable.Item{item}, nil) },
 		"watched": func(te *term) { te.observeJobs([]durable.Item{item}, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -57,14 +57,14 @@
 	}
 }
 
-func TestRecordsFillATransaction(t *testing.T) {
+func TestCountFitting(t *testing.T) {
 	var running, ended []scheduler.Record
 	for range 40 {
 		running = append(running, recordOf("j", ""))
 		ended = append(ended, recordOf("j", batch.Failed))
 	}
-	require.Equal(t, 15, fitting(running, 0))
-	require.Equal(t, 10, fitting(ended, 0))
-	require.Equal(t, 1, fitting(ended[:1], 0))
-	require.Equal(t, 11, fitting(running, 9), "beside a segment of the log of starts and eight that are removed")
+	require.Equal(t, 15, countFitting(running, 0))
+	require.Equal(t, 10, countFitting(ended, 0))
+	require.Equal(t, 1, countFitting(ended[:1], 0))
+	require.Equal(t, 11, countFitting(running, 9), "beside a segment of the log of starts and eight that are removed")
 }
--- a/internal/leader/rebuild.go
+++ b/internal/leader/rebuild.go
@@ -18,17 +18,17 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// rebuilt is what a new leader has read.
-type rebuilt struct {
-	count int
-	// starts counts the starts that earlier leaders may not have noted the ends of.
-	starts int
+// rebuildResult is what a new leader has read.
+type rebuildResult struct {
+	jobCount int
+	// startCount counts the starts that earlier leaders may not have noted the ends of.
+	startCount int
 	// revision is where the watch for new jobs begins.
 	revision int64
 }
 
 // rebuild reads what earlier leaders left, until it succeeds or the tenure ends.
-func (t *term) rebuild(ctx context.Context) (rebuilt, error) {
+func (t *term) rebuild(ctx context.Context) (rebuildResult, error) {
 	for {
 		r, err := t.tryRebuild(ctx)
 		if err == nil || ctx.Err() != nil {
@@ -38,46 +38,46 @@
 		select {
 		case <-ctx.Done():
 			return r, ctx.Err()
-		case <-time.After(rebuildPause):
+		case <-time.After(rebuildRetryDelay):
 		}
 	}
 }
 
-func (t *term) tryRebuild(ctx context.Context) (rebuilt, error) {
+func (t *term) tryRebuild(ctx context.Context) (rebuildResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, rebuildTimeout)
 	defer cancel()
 	progress, err := t.readProgress(ctx)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	jobs, revision, err := t.Store.Range(ctx, jobsPrefix)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	earlier, err := t.readInstances(ctx)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	list, err := t.Instances(ctx)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	starts, err := t.readStarts(ctx)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	t.loadModel(ctx)
-	t.restoreLapsed(ctx)
-	past, complete, err := t.readPast(ctx)
+	t.restoreExpiredLeases(ctx)
+	past, complete, err := t.readPastTenures(ctx)
 	if err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
-	t.past, t.pastComplete = past, complete || earlier == nil
-	if err := t.recordPast(ctx, past); err != nil {
-		return rebuilt{}, err
+	t.pastTenures, t.pastTenuresComplete = past, complete || earlier == nil
+	if err := t.recordTenures(ctx, past); err != nil {
+		return rebuildResult{}, err
 	}
 	if err := t.recordInstances(ctx, list, earlier); err != nil {
-		return rebuilt{}, err
+		return rebuildResult{}, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,12 +91,12 @@
 	// The earlier leader may have renewed its own lease just before this one was
 	// elected, since a key can be taken away before its lease is over, and leases of
 	// VMs for as long as it may act without the store.
-	t.sched.AwaitInstances(used, now+t.Settings.TakeoverWait(actWithoutStore))
+	t.sched.AwaitInstances(used, now+t.Settings.TakeoverWait(maxUnrenewedTenure))
 	for _, id := range used {
 		t.sched.AddUnlisted(now, batch.Instance{ID: id, Address: earlier[id]})
 	}
-	count := t.takeJobs(now, jobs, progress)
-	return rebuilt{count: count, starts: t.sched.RestoreStarts(now, starts), revision: revision}, nil
+	count := t.submitJobs(now, jobs, progress)
+	return rebuildResult{jobCount: count, startCount: t.sched.RestoreStarts(now, starts), revision: revision}, nil
 }
 
 func (t *term) readProgress(ctx context.Context) (map[string]durable.Item, error) {
@@ -111,16 +111,16 @@
 	return byJob, nil
 }
 
-func (t *term) takeJobs(now time.Duration, items []durable.Item, progress map[string]durable.Item) int {
+func (t *term) submitJobs(now time.Duration, items []durable.Item, progress map[string]durable.Item) int {
 	cancelled := map[string]bool{}
 	for i := range items {
-		if id, c := jobKey(items[i].Key); c {
+		if id, c := parseJobKey(items[i].Key); c {
 			cancelled[id] = true
 		}
 	}
 	count := 0
 	for i := range items {
-		id, c := jobKey(items[i].Key)
+		id, c := parseJobKey(items[i].Key)
 		if c {
 			continue
 		}
@@ -129,7 +129,7 @@
 			t.log.Warn("job_unreadable", err, eventlog.Fields{"job": id})
 			continue
 		}
-		sub := r.submission(t.age(r))
+		sub := r.submission(t.jobAge(r))
 		sub.Cancelled = cancelled[id]
 		if item, ok := progress[id]; ok {
 			t.addProgress(&sub, &item)
@@ -156,34 +156,34 @@
 	}
 }
 
-// instances are the addresses of instances by ID.
-type instances map[string]string
+// instanceAddresses are the addresses of instances by ID.
+type instanceAddresses map[string]string
 
 // readInstances returns the instances that earlier leaders may have used.
-func (t *term) readInstances(ctx context.Context) (instances, error) {
+func (t *term) readInstances(ctx context.Context) (instanceAddresses, error) {
 	item, err := t.Store.Get(ctx, instancesKey)
 	if err != nil || item == nil {
 		return nil, err
 	}
-	var used instances
+	var used instanceAddresses
 	if err := json.Unmarshal(item.Value, &used); err != nil {
 		return nil, errors.Wrap(err, "record of instances")
 	}
 	t.mu.Lock()
 	t.instancesRevision = item.Revision
-	t.recorded = used
+	t.recordedInstances = used
 	t.mu.Unlock()
 	return used, nil
 }
 
-// restoreLapsed takes over which leases earlier leaders know to have run out. Without it
+// restoreExpiredLeases takes over which leases earlier leaders know to have run out. Without it
 // ends are withheld that may be acknowledged, so that a failure is no reason not to lead;
 // it is read again before it is written.
-func (t *term) restoreLapsed(ctx context.Context) {
-	if t.lapsedRead {
+func (t *term) restoreExpiredLeases(ctx context.Context) {
+	if t.expiredLeasesRead {
 		return
 	}
-	item, err := t.Store.Get(ctx, lapsedKey)
+	item, err := t.Store.Get(ctx, expiredLeasesKey)
 	var lapsed map[string]scheduler.ExpiredLease
 	if err == nil && item != nil {
 		err = json.Unmarshal(item.Value, &lapsed)
@@ -194,18 +194,18 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapsed, t.lapsedRead = lapsed, true
+	t.expiredLeases, t.expiredLeasesRead = lapsed, true
 	t.sched.RestoreExpiredLeases(lapsed)
 }
 
 // recordInstances makes sure that the store names every instance before it may
 // be given work: a successor has to hear each, or to wait its lease out. Those
 // that are known to have ended are taken off, so that it need not.
-func (t *term) recordInstances(ctx context.Context, list []batch.Instance, earlier instances) error {
+func (t *term) recordInstances(ctx context.Context, list []batch.Instance, earlier instanceAddresses) error {
 	t.mu.Lock()
-	next := instances{}
+	next := instanceAddresses{}
 	for _, id := range t.sched.AwaitedInstances() {
-		next[id] = t.recorded[id]
+		next[id] = t.recordedInstances[id]
 	}
 	for id, inst := range t.sched.RecordedInstances(steady.Now()) {
 		next[id] = inst.Address
@@ -216,8 +216,8 @@
 	}
 	revision := t.instancesRevision
 	lapsed := t.sched.ExpiredLeases()
-	txn := durable.Txn{Conditions: []durable.Condition{t.leads()}}
-	usedChanged, lapsedChanged := !maps.Equal(next, t.recorded), t.lapsedRead && !maps.Equal(lapsed, t.lapsed)
+	txn := durable.Txn{Conditions: []durable.Condition{t.leaderCondition()}}
+	usedChanged, lapsedChanged := !maps.Equal(next, t.recordedInstances), t.expiredLeasesRead && !maps.Equal(lapsed, t.expiredLeases)
 	t.mu.Unlock()
 	if usedChanged {
 		value, err := json.Marshal(next)
@@ -232,7 +232,7 @@
 		if err != nil {
 			return err
 		}
-		txn.Writes = append(txn.Writes, durable.Write{Key: lapsedKey, Value: value})
+		txn.Writes = append(txn.Writes, durable.Write{Key: expiredLeasesKey, Value: value})
 	}
 	if len(txn.Writes) == 0 {
 		return nil
@@ -253,22 +253,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if usedChanged {
-		t.instancesRevision, t.recorded = written, next
+		t.instancesRevision, t.recordedInstances = written, next
 	}
 	if lapsedChanged {
-		t.lapsed = lapsed
+		t.expiredLeases = lapsed
 	}
 	return nil
 }
 
 // listLoop follows the list of instances and holds each of them.
 func (t *term) listLoop(ctx context.Context) {
-	t.holdAll(ctx)
-	pause.Every(ctx, listEvery, func() {
+	t.syncHolds(ctx)
+	pause.Every(ctx, listInterval, func() {
 		if err := t.refreshInstances(ctx); err != nil && ctx.Err() == nil {
 			t.log.Warn("instances_not_read", err, nil)
 		}
-		t.holdAll(ctx)
+		t.syncHolds(ctx)
 	})
 }
 
@@ -279,13 +279,13 @@
 	if err != nil {
 		return err
 	}
-	t.restoreLapsed(ctx)
+	t.restoreExpiredLeases(ctx)
 	if err := t.recordInstances(ctx, list, nil); err != nil {
 		return err
 	}
 	t.mu.Lock()
 	t.sched.SetInstances(steady.Now(), list)
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 	return nil
 }
--- a/internal/leader/rebuild_test.go
+++ b/internal/leader/rebuild_test.go
@@ -14,20 +14,20 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// keeper is a store that keeps what is written, and loses the answer of the first
+// memoryStore is a store that keeps what is written, and loses the answer of the first
 // write of a key.
-type keeper struct {
+type memoryStore struct {
 	values map[string]string
-	// loses is the key, lost whether its first write's answer is lost already.
-	loses string
-	lost  bool
-	// unread is a key whose reads have no answer.
-	unread string
+	// lostKey is the key, lost whether its first write's answer is lost already.
+	lostKey string
+	hasLost bool
+	// unreadableKey is a key whose reads have no answer.
+	unreadableKey string
 	durable.Store
 }
 
-func (s *keeper) Get(_ context.Context, key string) (*durable.Item, error) {
-	if key == s.unread {
+func (s *memoryStore) Get(_ context.Context, key string) (*durable.Item, error) {
+	if key == s.unreadableKey {
 		return nil, durable.ErrUnknown
 	}
 	value, ok := s.values[key]
@@ -37,7 +37,7 @@
 	return &durable.Item{Key: key, Value: []byte(value), Revision: 5}, nil
 }
 
-func (s *keeper) Range(_ context.Context, prefix string) ([]durable.Item, int64, error) {
+func (s *memoryStore) Range(_ context.Context, prefix string) ([]durable.Item, int64, error) {
 	var found []durable.Item
 	for key, value := range s.values {
 		if strings.HasPrefix(key, prefix) {
@@ -47,29 +47,29 @@
 	return found, 5, nil
 }
 
-func (s *keeper) Commit(_ context.Context, txn durable.Txn) (int64, error) {
+func (s *memoryStore) Commit(_ context.Context, txn durable.Txn) (int64, error) {
 	lose := false
 	for _, w := range txn.Writes {
 		s.values[w.Key] = string(w.Value)
-		lose = lose || (w.Key == s.loses && !s.lost)
+		lose = lose || (w.Key == s.lostKey && !s.hasLost)
 	}
 	for _, key := range txn.Deletes {
 		delete(s.values, key)
 	}
 	if lose {
-		s.lost = true
+		s.hasLost = true
 		return 0, durable.ErrUnknown
 	}
 	return 6, nil
 }
 
-// reading is the term of a leader that is to read what earlier ones left.
-func reading(t *testing.T, store durable.Store) *term {
+// newRebuildTerm is the term of a leader that is to read what earlier ones left.
+func newRebuildTerm(t *testing.T, store durable.Store) *term {
 	te := newTerm(t, store, 0)
 	te.Node, te.Address = "self", "y"
-	te.recorded, te.told = instances{}, map[string]toldEnds{}
+	te.recordedInstances, te.unackedEnds = instanceAddresses{}, map[string]unackedEnds{}
 	te.tenure.Fence = 9
-	te.Settings = scheduler.Settings{MaxLease: lease}
+	te.Settings = scheduler.Settings{MaxLease: testLease}
 	te.sched = scheduler.New(te.Settings, 9, nil)
 	te.Config = func() *batch.Config { return nil }
 	te.Instances = func(context.Context) ([]batch.Instance, error) {
@@ -78,13 +78,13 @@
 	return te
 }
 
-// byNode answers as the process at an address does.
-type byNode map[string]*Leader
+// leadersByNode answers as the process at an address does.
+type leadersByNode map[string]*Leader
 
-func (b byNode) LeasesLeft(_ context.Context, past Past, _ int64, vms []string) (Leases, error) {
+func (b leadersByNode) LeasesLeft(_ context.Context, past PastTenure, _ int64, vms []string) (LeaseReport, error) {
 	l := b[past.Node]
 	if l == nil {
-		return Leases{}, durable.ErrUnknown
+		return LeaseReport{}, durable.ErrUnknown
 	}
 	return l.LeasesLeft(past.Fence, vms), nil
 }
@@ -97,31 +97,31 @@
 // one. A VM is silent, so that it asks its predecessors, itself among them.
 // Cause: the question how long leases of a tenure may last keeps that tenure from
 // taking further ones, also where the asker's own tenure is the one asked about.
-func TestLeaderThatReadsTwiceDoesNotCloseItself(t *testing.T) {
-	store := &keeper{
+func TestRepeatedRebuildDoesNotCloseOwnTenure(t *testing.T) {
+	store := &memoryStore{
 		values: map[string]string{
 			instancesKey: `{"vm":"a","silent":"b"}`,
 			tenuresKey:   `[{"fence":1,"node":"before","address":"x"}]`,
 		},
-		loses: tenuresKey,
+		lostKey: tenuresKey,
 	}
-	te := reading(t, store)
-	agents := &heldAgents{}
+	te := newRebuildTerm(t, store)
+	agents := &countingAgents{}
 	te.Agents = agents
 	_, err := te.rebuild(t.Context())
 	require.NoError(t, err)
 	te.setTerm(te)
 
-	te.Predecessors = byNode{"self": te.Leader}
-	asking, stop := context.WithTimeout(t.Context(), 2*predecessorsAfter)
+	te.Predecessors = leadersByNode{"self": te.Leader}
+	asking, stop := context.WithTimeout(t.Context(), 2*predecessorsDelay)
 	defer stop()
 	te.predecessorsLoop(asking)
 	require.True(t, te.tenure.MayAct())
-	ok, err := te.holdOnce(t.Context(), &batch.Instance{ID: "vm", Address: "a"}, 0, &silence{})
+	ok, err := te.holdOnce(t.Context(), &batch.Instance{ID: "vm", Address: "a"}, 0, &holdFailures{})
 	require.NoError(t, err)
 	require.True(t, ok, "a leader that may act sends no hold any more")
 	require.EqualValues(t, 1, agents.sent.Load())
-	for _, p := range te.past {
+	for _, p := range te.pastTenures {
 		require.NotEqual(t, te.tenure.Fence, p.Fence, "its own tenure is taken for an earlier one")
 	}
 }
@@ -130,13 +130,13 @@
 // Sequence: a new leader's read of which leases have run out has no answer; it leads
 // without, and records the list of VMs, which has changed.
 // Cause: what was not read was replaced by what this leader knows, which is nothing.
-func TestLapsedRunsThatWereNotReadAreNotReplaced(t *testing.T) {
-	store := &keeper{values: map[string]string{instancesKey: `{"old":"b"}`, lapsedKey: `{"cut":77}`}, unread: lapsedKey}
-	te := reading(t, store)
+func TestUnreadExpiredLeasesAreNotReplaced(t *testing.T) {
+	store := &memoryStore{values: map[string]string{instancesKey: `{"old":"b"}`, expiredLeasesKey: `{"cut":77}`}, unreadableKey: expiredLeasesKey}
+	te := newRebuildTerm(t, store)
 	_, err := te.rebuild(t.Context())
 	require.NoError(t, err)
 	require.Contains(t, store.values[instancesKey], `"vm"`)
-	require.Contains(t, store.values[lapsedKey], `"cut":77`)
+	require.Contains(t, store.values[expiredLeasesKey], `"cut":77`)
 }
 
 // What happened: the end of a task was acknowledged and forgotten, and the task was
@@ -147,10 +147,10 @@
 // Cause: a job whose record can't be read counted as one that does not exist, so that
 // what VMs tell of it has no effect.
 func TestJobThatCannotBeReadIsNotAbsent(t *testing.T) {
-	te := hearing(map[string]string{JobKey("j"): `{"queue":"q","job":`},
+	te := newReportedTerm(map[string]string{JobKey("j"): `{"queue":"q","job":`},
 		batch.RunEnd{Seq: 1, Task: batch.TaskID{Job: "j"}, Run: 7, Kind: batch.EndDone})
-	require.NoError(t, te.readUntold(t.Context(), "j"))
-	require.Zero(t, te.acked(), "the end of a job that the store has was acknowledged without a record")
+	require.NoError(t, te.readUnknownJob(t.Context(), "j"))
+	require.Zero(t, te.flushAndGetAcked(), "the end of a job that the store has was acknowledged without a record")
 }
 
 // What happened: two runs of one task at once, some seconds after a change of leader.
@@ -160,7 +160,7 @@
 // of the job late, and it starts the job at once.
 // Cause: whether an earlier leader may have known the job was worked out from two clocks
 // of the time of day, which may differ by seconds.
-func TestJobOfTheOverlapByAClockThatIsAhead(t *testing.T) {
+func TestJobSubmittedByAFastClock(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	now := steady.Now()
 	began := now - 4*time.Second
@@ -185,21 +185,21 @@
 	}
 }
 
-// halfAgents answers for one VM and reaches no other.
-type halfAgents struct {
+// oneVMAgents answers for one VM and reaches no other.
+type oneVMAgents struct {
 	Agents
-	began chan string
+	started chan string
 }
 
-func (a halfAgents) Start(_ context.Context, inst *batch.Instance, o batch.StartOrder) (time.Duration, error) {
+func (a oneVMAgents) Start(_ context.Context, inst *batch.Instance, o batch.StartOrder) (time.Duration, error) {
 	if inst.ID != "vm" {
 		return 0, durable.ErrUnknown
 	}
-	a.began <- o.Task.Job
+	a.started <- o.Task.Job
 	return time.Hour, nil
 }
 
-func (a halfAgents) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
+func (a oneVMAgents) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
 	return durable.ErrUnknown
 }
 
@@ -208,11 +208,11 @@
 // nobody knows whether they were carried out; the stops are repeated until they are
 // confirmed.
 // Cause: a stop holds its place among the orders under way for as long as it is repeated.
-func TestStopsThatAreRepeatedLeaveRoomForStarts(t *testing.T) {
+func TestRepeatedStopsDoNotBlockStarts(t *testing.T) {
 	te := newTerm(t, nil, 0)
-	te.carrying = make(chan struct{}, ordersAtOnce)
+	te.directCalls = make(chan struct{}, maxConcurrentOrders)
 	te.Config = func() *batch.Config { return nil }
-	agents := halfAgents{began: make(chan string, 1)}
+	agents := oneVMAgents{started: make(chan string, 1)}
 	te.Agents = agents
 	room := batch.Resources{MilliCPU: 1_000_000, MemoryMB: 1000}
 	now := steady.Now()
@@ -228,7 +228,7 @@
 	}
 	te.sched.HandleReport(now, now, "cut", batch.Report{Clock: time.Hour})
 	te.sched.Hold(now, "cut", time.Second)
-	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "cut", Steps: []batch.Step{{Tasks: 2 * ordersAtOnce, Need: batch.Resources{MilliCPU: 100}}}}, Pool: "cut"})
+	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "cut", Steps: []batch.Step{{Tasks: 2 * maxConcurrentOrders, Need: batch.Resources{MilliCPU: 100}}}}, Pool: "cut"})
 	hear()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer func() {
@@ -248,7 +248,7 @@
 		te.tenure.renewed(steady.Now())
 	}
 	select {
-	case <-agents.began:
+	case <-agents.started:
 	default:
 		require.Fail(t, "not begun in 3 s on a VM that answers")
 	}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -19,9 +19,9 @@
 	leaderKey = "lead/leader"
 	// instancesKey lists the instances that leaders may have given work to.
 	instancesKey = "lead/instances"
-	// lapsedKey holds the instances whose leases were all over once, with the highest
+	// expiredLeasesKey holds the instances whose leases were all over once, with the highest
 	// number that a run had by then.
-	lapsedKey = "lead/lapsed"
+	expiredLeasesKey = "lead/lapsed"
 	// tenuresKey lists the tenures of which leases may last, the current one first.
 	tenuresKey = "lead/tenures"
 	// tokenKey is written by a leader that needs a higher fencing token than its own: the
@@ -66,9 +66,9 @@
 	Ended bool `json:"ended,omitempty"`
 }
 
-// endedJob is the value of an ended job's key. What a leader that takes over has to read
+// encodeEndedJob is the value of an ended job's key. What a leader that takes over has to read
 // of the jobs of the last ten minutes is a tenth with it: 0.4 KB each instead of 4.
-func endedJob(r *scheduler.Record) ([]byte, error) {
+func encodeEndedJob(r *scheduler.Record) ([]byte, error) {
 	spec := *r.Spec
 	spec.Payload = ""
 	return json.Marshal(JobRecord{Queue: r.Queue, Pool: r.Pool, Job: &spec, Ended: true})
@@ -84,8 +84,8 @@
 	return scheduler.Submission{Job: r.Job, Queue: r.Queue, Pool: r.Pool, AcceptedQueue: r.Terms, Age: age}
 }
 
-// jobKey splits a key under jobsPrefix.
-func jobKey(key string) (id string, cancelled bool) {
+// parseJobKey splits a key under jobsPrefix.
+func parseJobKey(key string) (id string, cancelled bool) {
 	id = strings.TrimPrefix(key, jobsPrefix)
 	return strings.CutSuffix(id, cancelSuffix)
 }
--- a/internal/leader/sight_test.go
+++ b/internal/leader/sight_test.go
@@ -18,53 +18,53 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// oneVM is a VM that answers as it is told to.
-type oneVM struct {
+// fakeAgent is a VM that answers as it is told to.
+type fakeAgent struct {
 	report batch.Report
 	err    error
-	// failed is called at each start and stop, held at each hold; may be nil.
-	failed, held func()
+	// onOrder is called at each start and stop, held at each hold; may be nil.
+	onOrder, onHold func()
 }
 
-func (a *oneVM) Start(context.Context, *batch.Instance, batch.StartOrder) (time.Duration, error) {
-	if a.failed != nil {
-		a.failed()
+func (a *fakeAgent) Start(context.Context, *batch.Instance, batch.StartOrder) (time.Duration, error) {
+	if a.onOrder != nil {
+		a.onOrder()
 	}
 	return 0, a.err
 }
 
-func (a *oneVM) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
-	if a.failed != nil {
-		a.failed()
+func (a *fakeAgent) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
+	if a.onOrder != nil {
+		a.onOrder()
 	}
 	return a.err
 }
 
-func (a *oneVM) Pace(context.Context, *batch.Instance, batch.TaskID, int64, int, int64) error {
+func (a *fakeAgent) Pace(context.Context, *batch.Instance, batch.TaskID, int64, int, int64) error {
 	return a.err
 }
 
-func (a *oneVM) Hold(context.Context, *batch.Instance, batch.HoldOrder) (batch.Report, error) {
-	if a.held != nil {
-		a.held()
+func (a *fakeAgent) Hold(context.Context, *batch.Instance, batch.HoldOrder) (batch.Report, error) {
+	if a.onHold != nil {
+		a.onHold()
 	}
 	return a.report, a.err
 }
 
-// logged collects the lines of a log.
-type logged struct {
+// logBuffer collects the lines of a log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
 // line returns the one line of an event once it is written.
-func (l *logged) line(t *testing.T, event string) map[string]any {
+func (l *logBuffer) line(t *testing.T, event string) map[string]any {
 	t.Helper()
 	var found []map[string]any
 	require.Eventually(t, func() bool {
@@ -83,44 +83,44 @@
 	return found[0]
 }
 
-const sightVM = "vm1"
+const testVM = "vm1"
 
-// sightTerm is a tenure with one VM that was heard, and holds a lease.
-func sightTerm(t *testing.T) (*term, *oneVM, *logged) {
+// newLoggedTerm is a tenure with one VM that was heard, and holds a lease.
+func newLoggedTerm(t *testing.T) (*term, *fakeAgent, *logBuffer) {
 	t.Helper()
-	agent, out := &oneVM{report: batch.Report{Clock: time.Hour}}, &logged{}
+	agent, out := &fakeAgent{report: batch.Report{Clock: time.Hour}}, &logBuffer{}
 	log := eventlog.New(out, logrus.InfoLevel)
 	x := &term{
 		Leader: &Leader{Agents: agent, Log: log}, log: log,
-		tenure: &Tenure{Fence: 7, renewedAt: steady.Now(), cancel: func() {}},
-		told:   map[string]toldEnds{}, kick: make(chan struct{}, 1), flushed: make(chan struct{}), carrying: make(chan struct{}, ordersAtOnce), starts: newWindow(ordersAtOnce), backlog: scheduler.NewBacklog(),
+		tenure:      &Tenure{Fence: 7, renewedAt: steady.Now(), cancel: func() {}},
+		unackedEnds: map[string]unackedEnds{}, planRequested: make(chan struct{}, 1), flushed: make(chan struct{}), directCalls: make(chan struct{}, maxConcurrentOrders), startWindow: newStartWindow(maxConcurrentOrders), backlog: scheduler.NewBacklog(),
 	}
 	x.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second}, 7, x.logDecision)
-	x.sched.SetInstances(steady.Now(), []batch.Instance{{ID: sightVM, Address: "10.0.0.1:1"}})
+	x.sched.SetInstances(steady.Now(), []batch.Instance{{ID: testVM, Address: "10.0.0.1:1"}})
 	for range 2 {
-		sightHold(t, x, &silence{}, true)
+		holdTestVM(t, x, &holdFailures{}, true)
 	}
 	return x, agent, out
 }
 
-func sightHold(t *testing.T, x *term, s *silence, answered bool) {
+func holdTestVM(t *testing.T, x *term, s *holdFailures, answered bool) {
 	t.Helper()
-	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: sightVM, Address: "10.0.0.1:1"}, 0, s)
+	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: testVM, Address: "10.0.0.1:1"}, 0, s)
 	require.True(t, ok)
 	require.Equal(t, answered, err == nil)
 }
 
 // A VM doesn't answer, and answers again: the lines tell for how long it was
 // unheard, whether a lease may live there, and what failed.
-func TestLinesOnASilentVMTellTheAgeAndTheLease(t *testing.T) {
-	x, agent, out := sightTerm(t)
-	var s silence
+func TestLogOfUnresponsiveVM(t *testing.T) {
+	x, agent, out := newLoggedTerm(t)
+	var s holdFailures
 	agent.err = &batch.RefusalError{Reason: batch.RefusedUnreached, Cause: errors.New("connection refused")}
 	for range 3 {
-		sightHold(t, x, &s, false)
+		holdTestVM(t, x, &s, false)
 	}
 	agent.err = nil
-	sightHold(t, x, &s, true)
+	holdTestVM(t, x, &s, true)
 	silent := out.line(t, "vm_unanswered")
 	require.Equal(t, "refused: unreached: connection refused", silent["error"])
 	require.Contains(t, silent, "unheard_ms")
@@ -131,20 +131,20 @@
 
 	x.sched.SetInstances(steady.Now(), nil)
 	agent.err = &batch.RefusalError{Reason: batch.RefusedGone}
-	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: sightVM}, 0, &s)
+	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: testVM}, 0, &s)
 	require.False(t, ok)
 	require.NoError(t, err)
 	require.Contains(t, out.line(t, "vm_replaced"), "unlisted_ms")
-	f := x.figures()
+	f := x.stats()
 	require.Zero(t, f.VMs)
 }
 
 // The lines on a VM that stays silent become rarer.
-func TestASilentVMCostsFewLines(t *testing.T) {
-	var s silence
+func TestUnresponsiveVMIsLoggedRarely(t *testing.T) {
+	var s holdFailures
 	told := 0
-	for now := time.Duration(0); now < time.Minute; now += holdPause {
-		if s.failed(now, now) {
+	for now := time.Duration(0); now < time.Minute; now += holdRetryDelay {
+		if s.recordFailure(now, now) {
 			told++
 		}
 	}
@@ -153,8 +153,8 @@
 
 // An end that is told again and again is counted, with its age, and gets one line;
 // each end is observed once.
-func TestEndsThatStayUnacknowledgedAreTold(t *testing.T) {
-	x, _, out := sightTerm(t)
+func TestUnacknowledgedEndsAreLogged(t *testing.T) {
+	x, _, out := newLoggedTerm(t)
 	observed := map[scheduler.EndStatus]int{}
 	x.ObserveEnd = func(s scheduler.EndStatus) { observed[s]++ }
 	ends := []batch.RunEnd{
@@ -162,31 +162,31 @@
 		{Seq: 4, Task: batch.TaskID{Job: "j", Index: 1}, Run: 7<<24 + 2, Kind: batch.EndDone},
 	}
 	began := steady.Now()
-	for _, after := range []time.Duration{0, time.Second, endsLate + time.Second, endsLate + 2*time.Second} {
+	for _, after := range []time.Duration{0, time.Second, unackedEndsLogDelay + time.Second, unackedEndsLogDelay + 2*time.Second} {
 		x.mu.Lock()
-		x.noteEnds(began+after, sightVM, &batch.Report{Ended: ends})
+		x.trackEnds(began+after, testVM, &batch.Report{Ended: ends})
 		x.mu.Unlock()
-		x.sched.HandleReport(began+after, began+after, sightVM, batch.Report{Clock: time.Hour, Ended: ends})
+		x.sched.HandleReport(began+after, began+after, testVM, batch.Report{Clock: time.Hour, Ended: ends})
 	}
 	require.Equal(t, map[scheduler.EndStatus]int{scheduler.EndUnknownJob: 2}, observed)
-	require.Equal(t, 2, x.figures().UnackedEnds)
+	require.Equal(t, 2, x.stats().UnackedEnds)
 	line := out.line(t, "ends_unacknowledged")
 	require.Equal(t, "j.0.0.1", line["task"])
 	require.InDelta(t, 4000, line["age_ms"], 0)
-	x.noteEnds(began, sightVM, &batch.Report{})
-	require.Zero(t, x.figures().UnackedEnds)
+	x.trackEnds(began, testVM, &batch.Report{})
+	require.Zero(t, x.stats().UnackedEnds)
 }
 
 // A leader that the store doesn't answer goes on for a while: lines tell since when
 // it is unconfirmed, and at its end where leases may outlive it.
-func TestLinesOfALeaderThatActsUnconfirmed(t *testing.T) {
-	x, _, out := sightTerm(t)
-	require.True(t, x.logConfirmed(true))
+func TestLogOfUnconfirmedLeader(t *testing.T) {
+	x, _, out := newLoggedTerm(t)
+	require.True(t, x.logConfirmation(true))
 	x.tenure.renewed(steady.Now() - 2*leaseTTL)
-	require.False(t, x.logConfirmed(true))
-	require.False(t, x.logConfirmed(false))
+	require.False(t, x.logConfirmation(true))
+	require.False(t, x.logConfirmation(false))
 	x.tenure.renewed(steady.Now())
-	require.True(t, x.logConfirmed(false))
+	require.True(t, x.logConfirmation(false))
 	require.InDelta(t, 2*leaseTTL.Milliseconds(), out.line(t, "leader_unconfirmed")["confirmed_ago_ms"], 500)
 	out.line(t, "leader_confirmed")
 	x.logEnd()
@@ -198,12 +198,12 @@
 // Orders whose outcome stays unknown have a line that names the run and what
 // failed: a start that nobody answered, one that the end of the tenure cut short,
 // and a stop that was given up.
-func TestLinesOfOrdersWithoutAnOutcome(t *testing.T) {
-	x, agent, out := sightTerm(t)
+func TestLogOfOrdersWithoutOutcome(t *testing.T) {
+	x, agent, out := newLoggedTerm(t)
 	x.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	now := steady.Now()
 	x.sched.SetInstances(now, []batch.Instance{{
-		ID: sightVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
+		ID: testVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
 	}})
 	step := batch.Step{Tasks: 2, Need: batch.Resources{MilliCPU: 100, MemoryMB: 10}, Estimate: time.Second}
 	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
@@ -216,18 +216,18 @@
 	require.Equal(t, "timed out", unanswered["error"])
 	require.Equal(t, orders[0].Task.String(), unanswered["task"])
 
-	agent.failed = func() { x.tenure.End() }
+	agent.onOrder = func() { x.tenure.End() }
 	x.start(t.Context(), orders[1], func(time.Duration) {})
 	require.Equal(t, orders[1].Task.String(), out.line(t, "start_abandoned")["task"])
 
 	calls := 0
 	x.tenure.ended = false
-	agent.failed = func() {
+	agent.onOrder = func() {
 		if calls++; calls == 2 {
 			x.tenure.End()
 		}
 	}
-	x.stopSince(t.Context(), orders[0], steady.Now()-stopFor+time.Millisecond)
+	x.stopSince(t.Context(), orders[0], steady.Now()-stopRetryDuration+time.Millisecond)
 	require.Equal(t, "timed out", out.line(t, "stop_unconfirmed")["error"])
 	require.Equal(t, 2, calls, "goes on after the line")
 }
@@ -236,12 +236,12 @@
 // Sequence: a start has no answer; a copy of the run elsewhere is done, so that the run
 // is ordered to stop; the next try of the start is made, and carried out.
 // Cause: whether a start is still wanted was asked before its first try only.
-func TestStartThatIsNotWantedAnyMoreIsNotTriedAgain(t *testing.T) {
-	x, agent, _ := sightTerm(t)
+func TestUnwantedStartIsNotRetried(t *testing.T) {
+	x, agent, _ := newLoggedTerm(t)
 	x.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	now := steady.Now()
 	x.sched.SetInstances(now, []batch.Instance{{
-		ID: sightVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
+		ID: testVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
 	}})
 	step := batch.Step{Tasks: 1, Need: batch.Resources{MilliCPU: 100, MemoryMB: 10}, Estimate: time.Second}
 	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
@@ -249,7 +249,7 @@
 	require.Len(t, orders, 1)
 	agent.err = errors.New("timed out")
 	calls := 0
-	agent.failed = func() {
+	agent.onOrder = func() {
 		calls++
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -260,17 +260,17 @@
 }
 
 // A process that doesn't lead has no figures; one that leads has them.
-func TestFiguresOfALeader(t *testing.T) {
-	x, _, _ := sightTerm(t)
-	_, leading := x.Figures()
+func TestStats(t *testing.T) {
+	x, _, _ := newLoggedTerm(t)
+	_, leading := x.Stats()
 	require.False(t, leading)
 	x.setTerm(x)
-	f, leading := x.Figures()
+	f, leading := x.Stats()
 	require.True(t, leading)
 	require.True(t, f.Confirmed)
 	require.Equal(t, int64(7), f.Fence)
 	require.Equal(t, 1, f.VMs)
 	x.tenure.End()
-	_, leading = x.Figures()
+	_, leading = x.Stats()
 	require.False(t, leading)
 }
--- a/internal/leader/starts_test.go
+++ b/internal/leader/starts_test.go
@@ -11,12 +11,12 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// oneJob is an accepted job of one task.
-const oneJob = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`
+// oneTaskJob is an accepted job of one task.
+const oneTaskJob = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`
 
-// startOne has a leader start the job "j" on "vm", and write.
-func startOne(t *testing.T, store *keeper) *term {
-	te := reading(t, store)
+// startOneJob has a leader start the job "j" on "vm", and write.
+func startOneJob(t *testing.T, store *memoryStore) *term {
+	te := newRebuildTerm(t, store)
 	te.flushed = make(chan struct{})
 	te.tenure.renewedAt = steady.Now()
 	_, err := te.rebuild(t.Context())
@@ -29,7 +29,7 @@
 	return te
 }
 
-func segments(store *keeper) int {
+func countSegments(store *memoryStore) int {
 	n := 0
 	for key := range store.values {
 		if _, err := decodeStarts(key, []byte("{}")); err == nil {
@@ -41,36 +41,36 @@
 
 // Guards against a start that is in no record when its leader dies: the successor learns of it,
 // and removes the log once that is over.
-func TestSuccessorReadsTheLogOfStarts(t *testing.T) {
-	store := &keeper{values: map[string]string{JobKey("j"): oneJob}}
-	startOne(t, store)
-	require.Equal(t, 1, segments(store))
+func TestSuccessorReadsStartLog(t *testing.T) {
+	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}}
+	startOneJob(t, store)
+	require.Equal(t, 1, countSegments(store))
 
-	next := reading(t, store)
+	next := newRebuildTerm(t, store)
 	next.flushed = make(chan struct{})
 	next.tenure.Fence = 10
 	next.sched = scheduler.New(next.Settings, 10, nil)
 	r, err := next.rebuild(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, 1, r.starts)
+	require.Equal(t, 1, r.startCount)
 	next.flushPending(t.Context())
-	require.Equal(t, 1, segments(store), "nobody has heard the VM")
+	require.Equal(t, 1, countSegments(store), "nobody has heard the VM")
 	next.sched.RemoveInstance(steady.Now(), "vm", "machine ended it")
 	next.flushPending(t.Context())
 	require.Contains(t, store.values[ProgressKey("j")], `"v":"vm"`)
 	next.flushPending(t.Context())
 	require.Eventually(t, func() bool {
 		next.flushPending(t.Context())
-		return segments(store) == 0
-	}, 5*time.Second, flushEvery)
+		return countSegments(store) == 0
+	}, 5*time.Second, flushInterval)
 }
 
 // Guards against starts that are in no record: the answer of their write was lost. They are written
 // under another key, so that the first write may come late.
-func TestLogOfStartsIsWrittenAgain(t *testing.T) {
+func TestStartLogIsRewrittenUnderAnotherKey(t *testing.T) {
 	key := startsKey(scheduler.SegmentID{Fence: 9, Number: 1})
-	store := &keeper{values: map[string]string{JobKey("j"): oneJob}, loses: key}
-	te := startOne(t, store)
+	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}, lostKey: key}
+	te := startOneJob(t, store)
 	delete(store.values, key)
 	te.flushPending(t.Context())
 	require.NotContains(t, store.values, key)
@@ -79,28 +79,28 @@
 
 // Guards against VMs that get nothing new while the store is away: ends that need no record stayed
 // unacknowledged, since the log of starts could not be written.
-func TestEndsThatNeedNoRecordDoNotWaitForTheLog(t *testing.T) {
-	store := &keeper{values: map[string]string{JobKey("j"): oneJob}}
-	te := startOne(t, store)
+func TestEndsWithoutRecordDoNotWaitForStartLog(t *testing.T) {
+	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}}
+	te := startOneJob(t, store)
 	task := batch.TaskID{Job: "j"}
 	now := steady.Now()
 	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 1, Task: task, Run: 9<<24 | 1, Kind: batch.EndStopped}}})
-	require.NotEmpty(t, te.sched.Plan(now+2*flushEvery), "started again")
-	store.loses, store.lost = startsKey(scheduler.SegmentID{Fence: 9, Number: 2}), false
+	require.NotEmpty(t, te.sched.Plan(now+2*flushInterval), "started again")
+	store.lostKey, store.hasLost = startsKey(scheduler.SegmentID{Fence: 9, Number: 2}), false
 	te.flushPending(t.Context())
-	require.True(t, store.lost, "the log was not written")
+	require.True(t, store.hasLost, "the log was not written")
 	require.False(t, te.sched.HasUnackedEnds("vm"))
 }
 
 // What can't be read is no reason not to lead, and goes.
-func TestUnreadableLogOfStartsIsRemoved(t *testing.T) {
-	store := &keeper{values: map[string]string{startsKey(scheduler.SegmentID{Fence: 4, Number: 2}): "{"}}
-	te := reading(t, store)
+func TestUnreadableStartLogIsRemoved(t *testing.T) {
+	store := &memoryStore{values: map[string]string{startsKey(scheduler.SegmentID{Fence: 4, Number: 2}): "{"}}
+	te := newRebuildTerm(t, store)
 	te.flushed = make(chan struct{})
 	_, err := te.rebuild(t.Context())
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		te.flushPending(t.Context())
-		return segments(store) == 0
-	}, 5*time.Second, flushEvery)
+		return countSegments(store) == 0
+	}, 5*time.Second, flushInterval)
 }
--- a/internal/leader/tenure_test.go
+++ b/internal/leader/tenure_test.go
@@ -18,13 +18,13 @@
 // jobs that come; after 5 s the cut ends, and the first leader's watch brings it
 // the same jobs before its next renewal tells it that its lease is gone.
 // Cause: a leader that may still act took new jobs up without knowing whether it leads.
-func TestUnconfirmedLeaderTakesNoNewJobs(t *testing.T) {
+func TestUnconfirmedLeaderAcceptsNoJobs(t *testing.T) {
 	_, cancel := context.WithCancel(context.Background())
 	tenure := &Tenure{Fence: 1, renewedAt: steady.Now() - 3*time.Second, cancel: cancel}
 	require.True(t, tenure.MayAct())
 	require.False(t, tenure.Confirmed())
 	te := &term{
-		Leader: &Leader{WallMS: func() int64 { return 0 }}, tenure: tenure, kick: make(chan struct{}, 1),
+		Leader: &Leader{WallMS: func() int64 { return 0 }}, tenure: tenure, planRequested: make(chan struct{}, 1),
 		sched: scheduler.New(scheduler.Settings{}, 1, nil),
 	}
 	item := durable.Item{Key: JobKey("j"), Value: []byte(`{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`)}
@@ -34,7 +34,7 @@
 		defer close(taken)
 		te.observeJobs([]durable.Item{item}, false)
 	}()
-	time.Sleep(3 * confirmPause)
+	time.Sleep(3 * confirmPollInterval)
 	te.mu.Lock()
 	_, known := te.sched.State("j")
 	te.mu.Unlock()
--- a/internal/leader/tokens.go
+++ b/internal/leader/tokens.go
@@ -9,14 +9,14 @@
 	"github.com/rattanwall/rattanwall/internal/pause"
 )
 
-// tokenEvery is how often it is looked whether a VM that has started again waits for a higher
+// tokenPollInterval is how often it is looked whether a VM that has started again waits for a higher
 // fencing token: it takes nothing new before.
-const tokenEvery = 50 * time.Millisecond
+const tokenPollInterval = 50 * time.Millisecond
 
 // tokenLoop gets higher fencing tokens where they are needed. Most come with the writes of
 // progress.
 func (t *term) tokenLoop(ctx context.Context) {
-	pause.Every(ctx, tokenEvery, func() {
+	pause.Every(ctx, tokenPollInterval, func() {
 		t.mu.Lock()
 		wanted := t.sched.NeedsToken()
 		t.mu.Unlock()
@@ -24,7 +24,7 @@
 			return
 		}
 		token, err := t.commit(ctx, durable.Txn{
-			Conditions: []durable.Condition{t.leads()},
+			Conditions: []durable.Condition{t.leaderCondition()},
 			Writes:     []durable.Write{{Key: tokenKey, Value: []byte(t.Node)}},
 		})
 		if err != nil {
@@ -34,7 +34,7 @@
 			return
 		}
 		t.log.Event("token_raised", eventlog.Fields{"fence": t.tenure.Fence, "token": token})
-		t.awake()
+		t.requestPlan()
 	})
 }
 
--- a/internal/leader/untold_test.go
+++ b/internal/leader/untold_test.go
@@ -17,13 +17,13 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// items is a store that keeps nothing of what is written.
-type items struct {
+// readOnlyStore is a store that keeps nothing of what is written.
+type readOnlyStore struct {
 	durable.Store
 	values map[string]string
 }
 
-func (s items) Get(_ context.Context, key string) (*durable.Item, error) {
+func (s readOnlyStore) Get(_ context.Context, key string) (*durable.Item, error) {
 	value, ok := s.values[key]
 	if !ok {
 		return nil, nil
@@ -31,7 +31,7 @@
 	return &durable.Item{Key: key, Value: []byte(value), Revision: 5}, nil
 }
 
-func (s items) Range(_ context.Context, prefix string) ([]durable.Item, int64, error) {
+func (s readOnlyStore) Range(_ context.Context, prefix string) ([]durable.Item, int64, error) {
 	var found []durable.Item
 	for key, value := range s.values {
 		if strings.HasPrefix(key, prefix) {
@@ -41,15 +41,15 @@
 	return found, 5, nil
 }
 
-func (s items) Commit(context.Context, durable.Txn) (int64, error) { return 6, nil }
+func (s readOnlyStore) Commit(context.Context, durable.Txn) (int64, error) { return 6, nil }
 
-const jobValue = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":2,"need":{}}]}}`
+const twoTaskJob = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":2,"need":{}}]}}`
 
-// hearing returns a tenure that has just heard a VM with ends of one job.
-func hearing(values map[string]string, ends ...batch.RunEnd) *term {
+// newReportedTerm returns a tenure that has just heard a VM with ends of one job.
+func newReportedTerm(values map[string]string, ends ...batch.RunEnd) *term {
 	te := &term{
-		Leader: &Leader{WallMS: func() int64 { return 0 }, Store: items{values: values}}, tenure: &Tenure{Fence: 9},
-		kick: make(chan struct{}, 1), log: eventlog.New(io.Discard, logrus.ErrorLevel), sched: scheduler.New(scheduler.Settings{}, 9, nil),
+		Leader: &Leader{WallMS: func() int64 { return 0 }, Store: readOnlyStore{values: values}}, tenure: &Tenure{Fence: 9},
+		planRequested: make(chan struct{}, 1), log: eventlog.New(io.Discard, logrus.ErrorLevel), sched: scheduler.New(scheduler.Settings{}, 9, nil),
 	}
 	now := steady.Now()
 	te.sched.SetInstances(now, []batch.Instance{{ID: "vm", Pool: "p", Address: "a"}})
@@ -57,8 +57,8 @@
 	return te
 }
 
-// acked writes what is pending and returns the highest end that is acknowledged then.
-func (t *term) acked() int64 {
+// flushAndGetAcked writes what is pending and returns the highest end that is acknowledged then.
+func (t *term) flushAndGetAcked() int64 {
 	if f := t.sched.PendingWrites(); f != nil {
 		for i := range f.Records {
 			t.sched.RecordWritten(f.Records[i], 6)
@@ -69,30 +69,30 @@
 	return hold.Acked
 }
 
-func done(seq int64, index int, run int64) batch.RunEnd {
+func doneEnd(seq int64, index int, run int64) batch.RunEnd {
 	return batch.RunEnd{Seq: seq, Task: batch.TaskID{Job: "j", Index: index}, Run: run, Kind: batch.EndDone}
 }
 
 // A VM tells the end of a job that this leader's watch has not told it of. The store
 // is asked for the job, and the end acknowledged once it is in the job's record.
-func TestUntoldJobIsRead(t *testing.T) {
-	te := hearing(map[string]string{JobKey("j"): jobValue, JobKey("jj"): jobValue}, done(1, 0, 3))
-	require.Zero(t, te.acked())
-	require.NoError(t, te.readUntold(t.Context(), "j"))
+func TestUnknownJobIsRead(t *testing.T) {
+	te := newReportedTerm(map[string]string{JobKey("j"): twoTaskJob, JobKey("jj"): twoTaskJob}, doneEnd(1, 0, 3))
+	require.Zero(t, te.flushAndGetAcked())
+	require.NoError(t, te.readUnknownJob(t.Context(), "j"))
 	_, known := te.sched.State("j")
 	require.True(t, known)
 	_, known = te.sched.State("jj")
 	require.False(t, known, "another job, whose ID begins alike")
-	require.EqualValues(t, 1, te.acked())
+	require.EqualValues(t, 1, te.flushAndGetAcked())
 }
 
 // Where the store has no such job its record was removed long after its end: the end
 // has no effect, and must not keep later ones from being acknowledged.
-func TestAbsentJobIsSettled(t *testing.T) {
-	te := hearing(map[string]string{JobKey("jj"): jobValue}, done(1, 0, 3))
-	require.Zero(t, te.acked())
-	require.NoError(t, te.readUntold(t.Context(), "j"))
-	require.EqualValues(t, 1, te.acked())
+func TestEndOfAbsentJobIsAcknowledged(t *testing.T) {
+	te := newReportedTerm(map[string]string{JobKey("jj"): twoTaskJob}, doneEnd(1, 0, 3))
+	require.Zero(t, te.flushAndGetAcked())
+	require.NoError(t, te.readUnknownJob(t.Context(), "j"))
+	require.EqualValues(t, 1, te.flushAndGetAcked())
 	require.Empty(t, te.sched.UnknownJobs(steady.Now(), 0))
 }
 
@@ -100,9 +100,9 @@
 // Sequence: a leader finds the record of a job's progress and can't read it.
 // Cause: a record that can't be read was taken for none, and written over.
 func TestJobWithAnUnreadableRecordIsHeld(t *testing.T) {
-	te := hearing(nil)
-	jobs := []durable.Item{{Key: JobKey("j"), Value: []byte(jobValue)}}
-	te.takeJobs(steady.Now(), jobs, map[string]durable.Item{"j": {Key: ProgressKey("j"), Value: []byte(`{"open":[{"n"`), Revision: 4}})
+	te := newReportedTerm(nil)
+	jobs := []durable.Item{{Key: JobKey("j"), Value: []byte(twoTaskJob)}}
+	te.submitJobs(steady.Now(), jobs, map[string]durable.Item{"j": {Key: ProgressKey("j"), Value: []byte(`{"open":[{"n"`), Revision: 4}})
 	te.sched.SetConfig(&batch.Config{Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3}}})
 	now := steady.Now()
 	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: now, Running: []batch.RunStatus{{Task: batch.TaskID{Job: "j"}, Run: 3}}})
--- a/internal/leader/waves.go
+++ b/internal/leader/waves.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// wavesEvery is how often waves are looked at. Without one that costs nothing.
-	wavesEvery = 500 * time.Millisecond
+	// wavesInterval is how often waves are looked at. Without one that costs nothing.
+	wavesInterval = 500 * time.Millisecond
 	// machineTimeout bounds one call of the machine service.
 	machineTimeout = 2 * time.Second
 	// wavePrefix holds which machines of a wave have begun.
 	wavePrefix = "wave/"
-	// holderPause is how long a new leader gives no orders to machines: two
+	// machineHolderDelay is how long a new leader gives no orders to machines: two
 	// holders must not take turns within the platform's lease of 3 s.
-	holderPause = 3500 * time.Millisecond
+	machineHolderDelay = 3500 * time.Millisecond
 )
 
 // Machines is the machine service.
@@ -38,9 +38,9 @@
 
 // wavesLoop follows the waves that the operator asks for.
 func (t *term) wavesLoop(ctx context.Context) {
-	pause.For(ctx, holderPause)
+	pause.For(ctx, machineHolderDelay)
 	written := map[int64]scheduler.WaveStatus{}
-	pause.Every(ctx, wavesEvery, func() {
+	pause.Every(ctx, wavesInterval, func() {
 		if waves := t.Waves(); len(waves) > 0 {
 			t.followWaves(ctx, waves, written)
 		}
@@ -73,7 +73,7 @@
 	t.sched.SetMachines(steady.Now(), askedAt, list)
 	statuses := t.sched.WaveStatuses()
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 	for _, st := range statuses {
 		slices.Sort(st.Begun)
 		if old := written[st.Number]; old.Completed != st.Completed || !slices.Equal(old.Begun, st.Begun) || old.Number == 0 {
@@ -114,7 +114,7 @@
 	key, report, err := t.ReportWave(st.Number, st.Completed)
 	if err == nil {
 		_, err = t.commit(ctx, durable.Txn{
-			Conditions: []durable.Condition{t.leads()},
+			Conditions: []durable.Condition{t.leaderCondition()},
 			Writes:     []durable.Write{{Key: wavePrefix + strconv.FormatInt(st.Number, 10), Value: value}, {Key: key, Value: report}},
 		})
 	}
@@ -137,7 +137,7 @@
 	err := t.Machines.Maintain(callCtx, batch.MaintainOrder{Machine: o.Machine, Wave: o.Wave, Holder: t.Node, Fence: t.tenure.Fence})
 	refusal := refusalOf(err)
 	if refusal == batch.RefusedFence {
-		t.succeeded(o.Machine)
+		t.endFenced(o.Machine)
 		return
 	}
 	if err != nil && ctx.Err() == nil {
@@ -146,5 +146,5 @@
 	t.mu.Lock()
 	t.sched.HandleMaintenanceResult(steady.Now(), o, err == nil, refusal)
 	t.mu.Unlock()
-	t.awake()
+	t.requestPlan()
 }
--- a/internal/leader/window_test.go
+++ b/internal/leader/window_test.go
@@ -13,41 +13,41 @@
 // narrowLink carries one message after the other.
 type narrowLink struct {
 	mu sync.Mutex
-	// free is when what is queued has been carried.
-	free time.Time
-	// message is the time that one takes.
-	message time.Duration
+	// freeAt is when what is queued has been carried.
+	freeAt time.Time
+	// messageTime is the time that one takes.
+	messageTime time.Duration
 }
 
-// carry queues a message, and returns whether it was carried within the time that a try
+// send queues a message, and returns whether it was carried within the time that a try
 // of an order has. One that was given up takes the link all the same.
-func (l *narrowLink) carry() bool {
+func (l *narrowLink) send() bool {
 	l.mu.Lock()
-	l.free = maxTime(l.free, time.Now()).Add(l.message)
-	wait := time.Until(l.free)
+	l.freeAt = laterTime(l.freeAt, time.Now()).Add(l.messageTime)
+	wait := time.Until(l.freeAt)
 	l.mu.Unlock()
 	time.Sleep(min(wait, orderTimeout))
 	return wait < orderTimeout
 }
 
-func maxTime(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// giveStarts gives so many starts a second over the link for some time, as term.start
+// sendStarts gives so many starts a second over the link for some time, as term.start
 // does: three tries each, and a stop for one that was left without an answer. It returns
 // how many were answered.
-func giveStarts(w *window, link *narrowLink, perSecond int, length time.Duration) int {
+func sendStarts(w *startWindow, link *narrowLink, perSecond int, length time.Duration) int {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	answered := 0
 	end := time.Now().Add(length)
 	for time.Now().Before(end) {
 		time.Sleep(time.Second / time.Duration(perSecond))
-		if w.full() {
+		if w.isFull() {
 			continue
 		}
 		all.Go(func() {
@@ -56,10 +56,10 @@
 				return
 			}
 			defer release()
-			for range startTries {
+			for range maxStartTries {
 				began := time.Now()
-				ok := link.carry()
-				w.outcome(time.Since(began), ok)
+				ok := link.send()
+				w.recordOutcome(time.Since(began), ok)
 				if ok {
 					mu.Lock()
 					answered++
@@ -67,7 +67,7 @@
 					return
 				}
 			}
-			link.carry()
+			link.send()
 		})
 	}
 	all.Wait()
@@ -81,14 +81,14 @@
 // stopped, so that the link stayed full of what nobody waited for.
 func TestWindowKeepsANarrowLinkUseful(t *testing.T) {
 	const perSecond = 250
-	play := func(w *window) (share float64) {
-		link := &narrowLink{message: time.Second / perSecond}
-		return float64(giveStarts(w, link, 2*perSecond, 10*time.Second)) / (10 * perSecond)
+	play := func(w *startWindow) (share float64) {
+		link := &narrowLink{messageTime: time.Second / perSecond}
+		return float64(sendStarts(w, link, 2*perSecond, 10*time.Second)) / (10 * perSecond)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		fixed := &window{size: relayedAtOnce, most: relayedAtOnce}
+		fixed := &startWindow{size: maxConcurrentRelayed, maxSize: maxConcurrentRelayed}
 		require.Less(t, play(fixed), 0.3, "the load that the window is for")
-		require.Greater(t, play(newWindow(relayedAtOnce)), 0.8)
+		require.Greater(t, play(newStartWindow(maxConcurrentRelayed)), 0.8)
 	})
 }
 
@@ -96,9 +96,9 @@
 // Sequence: a third of the VMs leave starts without an answer.
 // Cause it guards against: places that are held until a start is given up, and a window
 // that shrinks for the VMs' fault.
-func TestVMsThatDoNotAnswerLeaveStartsToOthers(t *testing.T) {
+func TestUnresponsiveVMsDoNotBlockStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWindow(ordersAtOnce)
+		w := newStartWindow(maxConcurrentOrders)
 		var all sync.WaitGroup
 		answered := make(chan struct{}, 10_000)
 		for n := range 3000 {
@@ -110,26 +110,26 @@
 				}
 				defer release()
 				if n%3 == 0 {
-					time.Sleep(startTries * orderTimeout)
-					w.outcome(orderTimeout, false)
+					time.Sleep(maxStartTries * orderTimeout)
+					w.recordOutcome(orderTimeout, false)
 					return
 				}
 				time.Sleep(5 * time.Millisecond)
-				w.outcome(5*time.Millisecond, true)
+				w.recordOutcome(5*time.Millisecond, true)
 				answered <- struct{}{}
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
 		require.GreaterOrEqual(t, len(answered), 1900)
-		size, _ := w.figures()
-		require.Equal(t, ordersAtOnce, size)
+		size, _ := w.stats()
+		require.Equal(t, maxConcurrentOrders, size)
 		all.Wait()
 	})
 }
 
-func TestPlaceThatWasGivenToOneWhoLeftGoesOn(t *testing.T) {
+func TestCancelledWaiterLeavesNoPlaceInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &window{size: 1, most: 1}
+		w := &startWindow{size: 1, maxSize: 1}
 		release, err := w.acquire(t.Context())
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -148,8 +148,8 @@
 		release()
 		release()
 		(<-next)()
-		_, waiting := w.figures()
+		_, waiting := w.stats()
 		require.Zero(t, waiting)
-		require.Zero(t, w.held)
+		require.Zero(t, w.inUse)
 	})
 }
