--- a/internal/scheduler/counted.go
+++ b/internal/scheduler/counted.go
@@ -6,8 +6,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// packRuns packs run numbers as varints of their differences. The runs of a step are
-// mostly started together and numbered in a row: 1 byte each, after 6 for the first.
+// packRuns packs run numbers as varints of their differences. The runs of a step are mostly
+// started together with consecutive numbers: 1 byte each, after 6 for the first.
 func packRuns(numbers []int64) []byte {
 	var packed []byte
 	previous := int64(0)
@@ -18,7 +18,7 @@
 	return packed
 }
 
-// unpackRuns reads what packRuns wrote; what can't be read is left out.
+// unpackRuns decodes the output of packRuns up to the first invalid byte.
 func unpackRuns(packed []byte) []int64 {
 	var numbers []int64
 	previous := int64(0)
@@ -34,12 +34,12 @@
 	return numbers
 }
 
-// maxEndedOccurrences is how many ended occurrences of a job are kept with the runs that
-// count: a run's end is told again until it is acknowledged, at the latest when its
-// VM is heard again after a cut, and occurrences are seconds apart.
+// maxEndedOccurrences bounds the ended occurrences of a job that are kept with their counted
+// runs. The end of a run is reported until it is acknowledged, at the latest when its VM reports
+// again after a network cut, and occurrences are seconds apart.
 const maxEndedOccurrences = 16
 
-// recordCountedRuns keeps which runs count of an occurrence that has ended.
+// recordCountedRuns keeps the counted runs of an occurrence that has ended.
 func (j *job) recordCountedRuns(o *occurrence) {
 	steps := make([]StepProgress, len(o.steps))
 	for i := range o.steps {
@@ -51,7 +51,7 @@
 	}
 }
 
-// countedRuns are the runs that count of the tasks that are done, by index.
+// countedRuns returns the counted runs of the completed tasks, by index.
 func (st *step) countedRuns() []int64 {
 	var numbers []int64
 	for k := range st.tasks {
@@ -62,8 +62,7 @@
 	return numbers
 }
 
-// countedRun is the run that counts of a task of an ended occurrence, 0 when it is
-// not known.
+// countedRun returns the counted run of a task of an ended occurrence, or 0 if unknown.
 func (j *job) countedRun(id batch.TaskID) int64 {
 	for i := range j.recentOccurrences {
 		o := &j.recentOccurrences[i]
--- a/internal/scheduler/counted_test.go
+++ b/internal/scheduler/counted_test.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// A record grows by a byte for each task where the runs are numbered in a row.
+// Guards against records that grow by more than a byte for each task if the runs are numbered
+// consecutively.
 func TestPackedRunsAreSmall(t *testing.T) {
 	var numbers []int64
 	for i := range int64(40) {
@@ -25,13 +26,13 @@
 	require.LessOrEqual(t, len(packRuns(numbers)), 46)
 }
 
-// A record cut short tells of as many runs as can be read.
+// Guards against losing all runs of a truncated record: those before the cut are decoded.
 func TestUnpackWhatIsCutShort(t *testing.T) {
 	packed := packRuns([]int64{5, 9, 1 << 40})
 	require.Equal(t, []int64{5, 9}, unpackRuns(packed[:len(packed)-1]))
 }
 
-// A job with many occurrences keeps the latest ones only.
+// Guards against records that grow with a job's occurrences: only the latest are kept.
 func TestEndedOccurrencesAreBounded(t *testing.T) {
 	j := &job{}
 	for n := range 3 * maxEndedOccurrences {
--- a/internal/scheduler/crashes.go
+++ b/internal/scheduler/crashes.go
@@ -8,42 +8,43 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Some tasks end each VM that begins them, within milliseconds. Nobody tells: the VM's end
-// looks like any other, what ran beside the task is lost with it, and the task, started
-// again elsewhere, ends the next VM. One notices by run_lost lines of one task with a
-// lived_at_most_ms of next to nothing each time. Such a task has to be given up, and no
-// other: neither one that was started beside it, nor one whose VMs were lost with their
-// rack or their power.
+// A faulty task may crash each VM that begins it, within milliseconds. Nothing reports this: the
+// VM's end looks like any other, the runs beside the task are lost with it, and the task,
+// restarted elsewhere, crashes the next VM. The sign is a series of run_lost lines of one task,
+// each with a lived_at_most_ms near zero. Such a task must fail, but neither a task that was
+// started beside it nor one whose VMs were lost with their rack or power may fail for it.
 //
-// A VM that ends while a run on it is new makes the run's task suspect. A suspect is
-// started again in a trial: on a VM where nothing else is new, and where nothing else is
-// started before the trial's run has lived for recentRunDuration. A VM that ends in a trial, and no
-// other VM with it but such as had just begun something, was ended by that task as far as
-// one can tell. What is known to have lived is cleared.
+// A VM that ends while a run on it is recent makes the run's task suspect. A suspect is restarted
+// in a trial: on a VM with no other recent run, where nothing else is started before the trial's
+// run has lived for newFor. If a VM ends in a trial, and the only other VMs that end with it had
+// just begun something too, the end is attributed to the task. A task that has run on a VM for
+// long enough is cleared.
 
-// crashKind is what a VM's end says of a task that had just begun there.
+// crashKind classifies what a VM's end implies about a task that had just begun there.
 type crashKind int64
 
-// The kinds are part of the records of progress; their numbers stay.
+// The numbers are stored in progress records and must not change.
 const (
-	// crashUnconfirmed: the VM leaves holds unanswered; it may live.
+	// crashUnconfirmed: the VM leaves holds unanswered, but may still run.
 	crashUnconfirmed crashKind = iota
-	// crashShared: the VM ended; other runs were as new, or other VMs ended with it.
+	// crashShared: the VM ended, and other runs there were as recent or other VMs ended with it.
 	crashShared
-	// crashIsolated: the VM ended in a trial, by itself.
+	// crashIsolated: the VM ended in a trial, and no other VM ended with it.
 	crashIsolated
-	// crashMass: so many VMs ended together that a cause of their own is likelier.
+	// crashMass: so many VMs ended together that a common cause is likelier.
 	crashMass
-	// crashStorm: the VM ended while VMs ended one after the other by no task.
+	// crashStorm: the VM ended while VMs were ending one after another for reasons other than
+	// tasks.
 	crashStorm
-	// crashUnseen: the VM ended while nobody led who could have seen when, and which other VMs
-	// ended with it.
+	// crashUnseen: the VM ended while no leader could observe when, and which other VMs ended
+	// with it.
 	crashUnseen
-	// crashUnloggedStart is not in records: the run was started, and may not be in the log of starts.
+	// crashUnloggedStart is never recorded: the run was started and may be missing from the log
+	// of starts.
 	crashUnloggedStart
-	// crashPaired: the VM ended in a storm, by itself, as another task began there beside a
-	// suspect. It counts once and a half: more than a shared end, and gives no task up as a
-	// trial does.
+	// crashPaired: the VM alone ended during a storm, just as another task began there beside a
+	// suspect. It counts one and a half times: more than a shared end, but unlike an end in a
+	// trial it doesn't count as isolated.
 	crashPaired
 )
 
@@ -52,43 +53,45 @@
 	crashPaired: "beside another",
 }
 
-// crash is a run whose VM ended, or may have ended, while it was new.
+// crash is a run whose VM ended, or may have ended, while the run was recent.
 type crash struct {
 	run  int64
 	kind crashKind
 	vm   vmIncarnation
-	// lived is set where the run had lived for startCrashWindow when its VM was last heard.
+	// lived is set if the run had lived for startCrashWindow at its VM's last report.
 	lived bool
 }
 
 const (
-	// isolatedCrashLimit in trials give a task up: the first VM's end made it a suspect, so
-	// that three VMs have ended under it.
+	// maxIsolatedCrashes is how many ends in trials make a task fail. The first VM's end made it
+	// a suspect, so three VMs have ended under it by then.
 	isolatedCrashLimit = 2
-	// totalCrashLimit give it up although trials told nothing, since other VMs ended each
-	// time or none was to be had. A task that ends its VMs may be started two times
-	// after the third; the fourth start leaves one for an end that a leader which died
-	// has not recorded.
+	// maxCrashes is how many ends in all make a task fail if trials are inconclusive, because
+	// other VMs ended each time or no VM was free. A task that crashes its VMs may be started
+	// twice after the third end; a limit at the fourth start leaves one for an end that a leader
+	// which died did not record.
 	totalCrashLimit = 4
-	// weakCrashDivisor is how many ends in a storm, or unseen, count as one of the others.
+	// weakCrashDivisor is how many ends during a storm, or unseen ends, count as one other end.
 	weakCrashDivisor = 2
-	// possibleCrashLimit give it up where VMs were never heard of again.
+	// maxPossibleCrashes is how many ends, unconfirmed ones included, make a task fail if its VMs
+	// never report again.
 	possibleCrashLimit = 5
-	// maxUnplacedCrashes bounds the doubts about runs of which no VM is recorded: a leader has to die
-	// between the start and the next write for such a run to have begun.
+	// maxUnplacedCrashes bounds the unconfirmed crashes counted for runs without a recorded VM:
+	// such a run has begun only if a leader died between the start and its next write.
 	maxUnplacedCrashes = 1
-	// durableCrashThreshold is from how many on a task is started again only once the store
-	// has them: a successor must not begin the count anew.
+	// durableCrashThreshold is the number of crashes from which a task is restarted only once the
+	// store has them, so that a successor doesn't restart the count.
 	durableCrashThreshold = 2
-	// failedHoldThreshold is how many holds a VM has to leave unanswered in a row for its new
-	// runs to be recorded as doubted: one fails where a connection is reset.
+	// failedHoldThreshold is how many holds in a row a VM must leave unanswered before its recent
+	// runs are recorded as unconfirmed crashes: a single hold also fails when a connection is
+	// reset.
 	failedHoldThreshold = 2
 )
 
-// HoldFailed notes that a hold of an instance has failed: the instance may have ended,
-// or the path to it. closed is set where the other side closed or refused the connection:
-// then that was just now; a hold that is left in silence tells only that it was since the
-// last answer.
+// HoldFailed records that a hold of an instance has failed: the instance may have ended, or the
+// path to it is broken. closed is set if the other side closed or refused the connection, which
+// dates the end to this moment. A hold that timed out only dates it to some time after the last
+// response.
 func (s *Scheduler) HoldFailed(now Time, id string, closed bool) {
 	v := s.vms[id]
 	if v == nil {
@@ -103,8 +106,8 @@
 	}
 }
 
-// recordRecentRuns records that what is new on a VM may have ended it. The record is written
-// long before the VM's end can be concluded, so that the count outlives this leader.
+// recordRecentRuns records that the recent runs on a VM may have ended it. The record is written
+// long before the VM's end can be confirmed, so that the count outlives this leader.
 func (s *Scheduler) recordRecentRuns(now Time, v *vm) {
 	for _, r := range v.runList {
 		if r.mayHaveCrashed() {
@@ -113,11 +116,10 @@
 	}
 }
 
-// mayHaveCrashed reports whether the run may have ended its VM: it may have begun, and is
-// new.
+// mayHaveCrashed reports whether the run may have ended its VM: it may have begun, and is recent.
 func (r *run) mayHaveCrashed() bool { return r.startSent && r.isRecent() }
 
-// handleCrash records what the end of a run's VM says of its task.
+// handleCrash records what the end of a run's VM implies about its task, and evaluates the task.
 func (s *Scheduler) handleCrash(now Time, r *run, kind crashKind) {
 	t := r.task
 	if t.done || t.step.occ.job.state.Final() {
@@ -130,7 +132,7 @@
 	}
 }
 
-// recordCrash has the job's record tell of a run and the start of a VM that it was on.
+// recordCrash adds a run and the incarnation of the VM that it was on to its job's record.
 func (s *Scheduler) recordCrash(r *run, start vmIncarnation, kind crashKind) {
 	r.task.setCrash(r.toCrash(kind, start))
 	s.markCrashesChanged(r.task)
@@ -139,12 +141,12 @@
 	}
 }
 
-// toCrash is what is noted of the run, where a start of a VM may have ended under it.
+// toCrash returns the record of a crash of the run on an incarnation of a VM.
 func (r *run) toCrash(kind crashKind, start vmIncarnation) crash {
 	return crash{run: r.number, kind: kind, vm: start, lived: r.minLifetime() >= startCrashWindow}
 }
 
-// crash returns what was noted of a run, or nil.
+// crash returns the crash recorded for a run, or nil.
 func (t *task) crash(number int64) *crash {
 	for i := range t.crashes {
 		if t.crashes[i].run == number {
@@ -168,7 +170,7 @@
 	t.crashVersion = j.version
 }
 
-// clearCrash takes a run back whose VM has told of it since.
+// clearCrash removes the crash of a run that its VM has reported since.
 func (s *Scheduler) clearCrash(t *task, number int64) {
 	before := len(t.crashes)
 	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.run == number })
@@ -177,7 +179,7 @@
 	}
 }
 
-// clearCrashes ends the suspicion of a task that has run on a VM without ending it.
+// clearCrashes clears a task that has run on a VM without ending it.
 func (s *Scheduler) clearCrashes(now Time, t *task) {
 	if len(t.crashes) == 0 {
 		return
@@ -190,9 +192,8 @@
 	s.reclassifyBeside(now, t)
 }
 
-// isSuspect reports whether the task has to be started in a trial. The loss of many VMs at
-// once is no ground for suspicion the first time: all that was new there would have to
-// wait for trials.
+// isSuspect reports whether the task has to be started in a trial. A single mass loss of VMs does
+// not make it suspect: otherwise every recent task there would have to wait for a trial.
 func (t *task) isSuspect() bool {
 	mass := 0
 	for _, c := range t.crashes {
@@ -204,17 +205,17 @@
 	return mass > 1
 }
 
-// handleVMEnd takes in that a VM has certainly ended, with what ran there. awaited is set
-// where an earlier leader may have used it.
+// handleVMEnd processes the confirmed end of a VM and of everything that ran there. awaited is
+// set if an earlier leader may have used the VM.
 func (s *Scheduler) handleVMEnd(now Time, v *vm, awaited bool) {
 	start := v.incarnation()
 	if s.hasEnded(start) {
-		// Its entry outlived it for some seconds, and was taken for a VM that is not heard:
-		// that goes with it a second time, at a moment that has to do with neither.
+		// The entry of an ended incarnation stays listed for some seconds and was taken for an
+		// unresponsive VM. It is now removed a second time, at a moment unrelated to the end.
 		return
 	}
 	if !v.hasReported {
-		// Another leader used it. When it ended, and which start it was, is not known.
+		// Another leader used it. When it ended, and as which incarnation, is unknown.
 		if !v.initiallyStale {
 			s.endedUnreported = s.endedUnreported || awaited
 			end := v.end(now)
@@ -232,7 +233,7 @@
 	s.classifyEnds(now)
 }
 
-// crashWeight is how much a crash says against its task, in ascending order.
+// crashWeight ranks how strongly a crash counts against its task, in ascending order.
 type crashWeight int
 
 const (
@@ -244,8 +245,8 @@
 	weightAlone
 )
 
-// weight is how much a crash says against the task. One whose run is under way, or to come, says
-// nothing yet.
+// weight returns how strongly a crash counts against the task. One whose run is running or
+// intended doesn't count yet.
 func (t *task) weight(c *crash) crashWeight {
 	switch c.kind {
 	case crashIsolated:
@@ -265,8 +266,8 @@
 	return weightNone
 }
 
-// isDuplicateEnd reports whether another crash tells of the same end of a VM, and says as much or more: a
-// start of a VM ends once, by one run of the task at most.
+// isDuplicateEnd reports whether another crash of equal or greater weight covers the same end of
+// a VM: an incarnation ends once, by at most one run of the task.
 func (t *task) isDuplicateEnd(i int) bool {
 	c := &t.crashes[i]
 	if c.vm.id == "" {
@@ -284,7 +285,7 @@
 	return false
 }
 
-// evaluateCrashes gives a task up that has ended its VMs.
+// evaluateCrashes fails the job of a task that has crashed too many VMs.
 func (s *Scheduler) evaluateCrashes(now Time, t *task) {
 	alone, counted, doubted, weak, unplaced := 0, 0, 0, 0, 0
 	for i := range t.crashes {
@@ -320,11 +321,11 @@
 	s.finish(now, t.step.occ.job, batch.Failed, "VMs ended as they began "+t.id().String())
 }
 
-// A doubt outlives the run: its leases ran out, or another leader took over. doubts has
-// those of each VM. What the VM tells when it is heard clears them, its certain end
-// concludes them; that it is not heard proves nothing.
+// An unconfirmed crash outlives its run: the leases may have expired, or another leader may have
+// taken over. doubts holds the unconfirmed crashes of each VM. The VM's next report clears them
+// and its confirmed end classifies them; missing reports prove nothing.
 
-// addUnconfirmed notes that a run's VM may have ended under it.
+// addUnconfirmed records that a run's VM may have ended under it.
 func (s *Scheduler) addUnconfirmed(start vmIncarnation, t *task, number int64) {
 	if s.unconfirmedCrashes[start] == nil {
 		s.unconfirmedCrashes[start] = map[*task]int64{}
@@ -332,7 +333,7 @@
 	s.unconfirmedCrashes[start][t] = number
 }
 
-// removeUnconfirmed takes the doubt about a task on a VM back.
+// removeUnconfirmed removes the unconfirmed crash of a task on a VM.
 func (s *Scheduler) removeUnconfirmed(start vmIncarnation, t *task) {
 	delete(s.unconfirmedCrashes[start], t)
 	if len(s.unconfirmedCrashes[start]) == 0 {
@@ -340,7 +341,7 @@
 	}
 }
 
-// restoreUnconfirmed takes over the doubts of an earlier leader.
+// restoreUnconfirmed restores the unconfirmed crashes recorded by an earlier leader.
 func (s *Scheduler) restoreUnconfirmed(o *occurrence) {
 	for i := range o.steps {
 		for k := range o.steps[i].tasks {
@@ -354,7 +355,8 @@
 	}
 }
 
-// sortedTasks returns the tasks of some doubts by their runs' numbers; a gang's share one.
+// sortedTasks returns the tasks of unconfirmed crashes ordered by run number; members of a gang
+// share one.
 func sortedTasks(doubts map[*task]int64) []*task {
 	if len(doubts) == 0 {
 		return nil
@@ -364,8 +366,8 @@
 	})
 }
 
-// clearUnconfirmed takes the doubts about a VM back that lives: what it has not listed, nor
-// told the end of, has never begun there. Runs that are under way stay in doubt.
+// clearUnconfirmed clears the unconfirmed crashes of a VM that is alive: a run that it neither
+// lists nor reported the end of never began there. Runs that are still tracked stay unconfirmed.
 func (s *Scheduler) clearUnconfirmed(start vmIncarnation) {
 	doubts := s.unconfirmedCrashes[start]
 	for _, t := range sortedTasks(doubts) {
@@ -377,7 +379,7 @@
 	}
 }
 
-// resolveUnconfirmed takes in that a VM has ended that runs were doubted on.
+// resolveUnconfirmed classifies the unconfirmed crashes of an incarnation that has ended.
 func (s *Scheduler) resolveUnconfirmed(now Time, start vmIncarnation, verdictOn func(c *crash) crashKind) {
 	doubts := s.unconfirmedCrashes[start]
 	delete(s.unconfirmedCrashes, start)
@@ -389,7 +391,7 @@
 	}
 }
 
-// setCrashKind judges a crash that was in doubt.
+// setCrashKind classifies a crash that was unconfirmed, or reclassifies one.
 func (s *Scheduler) setCrashKind(now Time, t *task, c *crash, kind crashKind) {
 	c.kind = kind
 	s.markCrashesChanged(t)
@@ -404,7 +406,8 @@
 	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.number == number })
 }
 
-// hasDurableCrashes reports whether the store has the task's crashes, as far as it must.
+// hasDurableCrashes reports whether the store has the task's crashes, as far as
+// durableCrashThreshold requires.
 func (t *task) hasDurableCrashes() bool {
 	crashes := len(t.crashes)
 	if t.intendedRun != 0 {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -7,27 +7,28 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// A leader that is deposed or cut off from the store as a VM ends can't record what that says of
-// the tasks there. Its process still knows, and tells its successor.
+// A leader that is deposed or cut off from the store as a VM ends can't record what that implies
+// about the tasks there. Its process still has this state, and reports it to its successor.
 
-// CrashReport is what a leader knows of a run under which a VM ended, or may have.
+// CrashReport is what a leader reports to its successor about a run whose VM ended, or may have.
 type CrashReport struct {
 	Task batch.TaskID
 	Run  int64
-	// Kind is a crashKind, as in the records of progress.
+	// Kind is a crashKind, as in progress records.
 	Kind int64
-	// VM is the instance, Born which start of it.
+	// VM is the instance, Born identifies its incarnation.
 	VM   string
 	Born int64
-	// Lived is as in the records of progress.
+	// Lived is as in progress records.
 	Lived bool
 }
 
-// maxCrashReports bounds what a leader tells, crashes first: a row takes some 80 bytes.
+// maxCrashReports bounds the rows that a leader reports, crashes first. A row takes some 80
+// bytes.
 const maxCrashReports = 2000
 
-// UnrecordedCrashes returns what the store may not have: crashes that were not written, new
-// runs on VMs that leave holds unanswered, and new runs that are not in the log of starts.
+// UnrecordedCrashes returns what the store may lack: crashes that were not written, recent runs
+// on VMs that leave holds unanswered, and recent runs that are not in the log of starts.
 func (s *Scheduler) UnrecordedCrashes() []CrashReport {
 	var crashes, started []CrashReport
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
@@ -46,7 +47,7 @@
 	return news[:min(len(news), maxCrashReports)]
 }
 
-// crashReport is a row about a run.
+// crashReport returns the row for a crash of the task.
 func (t *task) crashReport(c crash) CrashReport {
 	return CrashReport{Task: t.id(), Run: c.run, Kind: int64(c.kind), VM: c.vm.id, Born: c.vm.born, Lived: c.lived}
 }
@@ -70,7 +71,8 @@
 	return news
 }
 
-// unloggedStarts are those of new runs on VMs that answer.
+// unloggedStarts returns rows for recent runs on responsive VMs that are not in the log of
+// starts.
 func (t *task) unloggedStarts() []CrashReport {
 	if t.done || t.step.occ.job.state.Final() {
 		return nil
@@ -84,7 +86,7 @@
 	return news
 }
 
-// AcceptCrashReports takes over what an earlier leader tells.
+// AcceptCrashReports processes the crashes that an earlier leader reports.
 func (s *Scheduler) AcceptCrashReports(now Time, news []CrashReport) {
 	for i := range news {
 		n := &news[i]
@@ -92,7 +94,7 @@
 			continue
 		}
 		if _, known := crashKindNames[crashKind(n.Kind)]; !known {
-			// Another version's.
+			// The kind is from another version of the program.
 			continue
 		}
 		if crashKind(n.Kind) == crashUnloggedStart {
--- a/internal/scheduler/handover_test.go
+++ b/internal/scheduler/handover_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a task that is started too often after its third VM: a leader that was deposed
-// as the VM ended took the count along.
+// Guards against a task that is started again after its third VM: a leader was deposed as the VM
+// ended, and its count was lost.
 func TestSuccessorLearnsOfCrashesThatWereNotWritten(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
@@ -43,7 +43,7 @@
 	require.Empty(t, f.s.UnrecordedCrashes(), "the store has it")
 }
 
-// What names no task of a job that is known is passed over.
+// Guards against a failure on reports about unknown tasks: they are skipped.
 func TestNewsOfUnknownTasksIsPassedOver(t *testing.T) {
 	f := newFixture(t, 1)
 	f.submit("j", tasks(1, 1000))
@@ -61,8 +61,8 @@
 	require.Empty(t, f.taskOf("j").crashes)
 }
 
-// Guards against a task that is started too often after its third VM: a leader could not write what
-// it had started, and was deposed before a hold failed.
+// Guards against a task that is started again after its third VM: a leader could not write its
+// starts, and was deposed before a hold failed.
 func TestSuccessorLearnsOfStartsThatAreNotLogged(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -7,12 +7,12 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// What earlier leaders started of late is settled VM by VM: one that is heard tells what became of
-// it; what was on one that has ended may have ended it.
+// Recent starts by earlier leaders are resolved VM by VM. A VM that reports shows what became of
+// them; on a VM that has ended, any of them may have caused the end.
 
-// inheritedStart is a start by an earlier leader. It is settled once it is known what became of it:
-// then live is the run, if its VM has it, and noted the task whose record has to tell, if it may have
-// ended its VM.
+// inheritedStart is a start by an earlier leader. It is resolved once its outcome is known: then
+// adopted is the run if its VM has it, and crashedTask is the task whose record has to hold the
+// crash if it may have ended its VM.
 type inheritedStart struct {
 	task        batch.TaskID
 	run         int64
@@ -22,7 +22,7 @@
 	crashedTask *task
 }
 
-// isAccountedFor reports whether a successor needs the log no more to know of the start.
+// isAccountedFor reports whether a successor no longer needs the log for the start.
 func (i *inheritedStart) isAccountedFor() bool {
 	switch {
 	case !i.resolved:
@@ -36,7 +36,7 @@
 	return true
 }
 
-// resolveAlive takes in that the VM has told what it runs.
+// resolveAlive resolves the start after its VM has reported what it runs.
 func (i *inheritedStart) resolveAlive(v *vm) {
 	i.resolved = true
 	if r := v.runs[i.task]; r != nil && r.number == i.run {
@@ -44,8 +44,8 @@
 	}
 }
 
-// RestoreStarts takes over what earlier leaders started of late. Call it once the VMs that they
-// used and their jobs are known. It returns how many starts these are.
+// RestoreStarts restores the recent starts of earlier leaders and returns their number. Call it
+// once the VMs that they used and their jobs are loaded.
 func (s *Scheduler) RestoreStarts(now Time, log []StartSegment) int {
 	count := 0
 	for i := range log {
@@ -59,7 +59,7 @@
 	return count
 }
 
-// inheritStart takes a start by an earlier leader over.
+// inheritStart adds a start by an earlier leader.
 func (s *Scheduler) inheritStart(now Time, i *inheritedStart) {
 	v := s.vms[i.vm.id]
 	switch {
@@ -70,14 +70,15 @@
 	case !v.hasReported || s.isAwaited(i.vm.id):
 		s.startLog.inherited[i.vm] = append(s.startLog.inherited[i.vm], i)
 	case v.matchesBirth(i.vm.born):
-		// It has seen this leader's fencing token, and begins nothing of an earlier one any more.
+		// The VM has seen this leader's fencing token and refuses later starts by an earlier one.
 		i.resolveAlive(v)
 	default:
 		s.recordInheritedCrash(now, i, crashUnseen)
 	}
 }
 
-// inheritedStarts returns what the segment names. What another program has written may name nothing.
+// inheritedStarts returns the starts in the segment. Indexes out of range, as another program may
+// have written them, are skipped.
 func (g *StartSegment) inheritedStarts() []*inheritedStart {
 	var out []*inheritedStart
 	for _, st := range g.Steps {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// inheritedOn returns the starts of a VM to which earlier leaders gave something, by birth.
+// inheritedOn returns the incarnations of a VM with inherited starts, ordered by birth.
 func (s *Scheduler) inheritedOn(id string) []vmIncarnation {
 	var on []vmIncarnation
 	for start := range s.startLog.inherited {
@@ -107,8 +108,8 @@
 	return on
 }
 
-// resolveFromReport takes in a VM's first whole report: what it tells of is known from now on, and
-// what it does not tell of has never begun there. Its earlier starts have ended.
+// resolveFromReport resolves the starts on a VM by its first complete report: a start that the
+// report does not list never began there. Earlier incarnations of the VM have ended.
 func (s *Scheduler) resolveFromReport(now Time, v *vm, rep *batch.Report) {
 	if rep.MoreEnded || len(s.startLog.inherited) == 0 {
 		return
@@ -125,7 +126,8 @@
 	}
 }
 
-// resolveEndedVM takes in that a VM has ended. One that was to end was ended by nothing there.
+// resolveEndedVM resolves the starts on a VM that has ended. A VM that was about to end was not
+// ended by a task.
 func (s *Scheduler) resolveEndedVM(now Time, v *vm) {
 	if !v.inst.Draining && !v.closed {
 		s.resolveInherited(now, v.inst.ID, crashUnseen)
@@ -138,7 +140,7 @@
 	}
 }
 
-// resolveInherited notes what is to be thought of all that earlier leaders started on a VM.
+// resolveInherited records a crash of the given kind for every inherited start on a VM.
 func (s *Scheduler) resolveInherited(now Time, id string, kind crashKind) {
 	for _, start := range s.inheritedOn(id) {
 		for _, i := range s.removeInherited(start) {
@@ -153,7 +155,7 @@
 	return taken
 }
 
-// recordInheritedCrash records what the end of a VM says of a start by an earlier leader.
+// recordInheritedCrash records what the end of a VM implies about a start by an earlier leader.
 func (s *Scheduler) recordInheritedCrash(now Time, i *inheritedStart, kind crashKind) {
 	i.resolved = true
 	s.openReported(now, i.task)
@@ -179,9 +181,10 @@
 	s.evaluateCrashes(now, t)
 }
 
-// recordUnseenEnd takes in that a VM has ended with a start of an earlier leader. Where several have, with
-// more starts than there are trials at one time, a rack or power was lost with that leader: as where a
-// leader lives to see it, the first such end is no ground for suspicion.
+// recordUnseenEnd records that a VM has ended with a start by an earlier leader. If several VMs
+// have ended, with more starts than trials can handle at one time, a rack or power was lost
+// together with that leader. As when a leader observes such a loss, the first such end does not
+// make a task suspect.
 func (s *Scheduler) recordUnseenEnd(i *inheritedStart) {
 	l := &s.startLog
 	l.unseenStarts = append(l.unseenStarts, i)
--- a/internal/scheduler/judgedends.go
+++ b/internal/scheduler/judgedends.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// That a VM has ended may be known within milliseconds: its next start reports, or another
-// one answers at its address. What its end says of the tasks that had just begun there is
-// judged later, when it is known which other VMs ended with it. Until then the tasks are in
-// doubt.
+// The end of a VM may be confirmed within milliseconds: its next incarnation reports, or another
+// VM responds at its address. What the end implies about the tasks that had just begun there is
+// classified later, once it is known which other VMs ended with it. Until then the crashes are
+// unconfirmed.
 
-// classifyDelay is how long after it was noticed the end of a VM is judged: by then holds to
-// VMs that ended with it have failed.
+// classifyDelay is the time from noticing a VM's end to classifying it. By then, holds to VMs
+// that ended with it have failed.
 const classifyDelay = 2 * time.Second
 
-// vmEndRecord is the end of a start of a VM and what it says of the runs that were new there.
+// vmEndRecord is the end of an incarnation and its classification for the runs that were recent
+// there.
 type vmEndRecord struct {
 	start vmIncarnation
 	end   vmEnd
-	// classifyBy is when it is judged at the latest.
+	// classifyBy is the latest time of classification.
 	classifyBy Time
-	// trials are the runs that were on trial there, or the last to begin and just begun.
+	// trials are the runs on trial there, and those that were the last to begin and had just
+	// begun.
 	trials map[int64]endInTrial
-	// classified is set once kind and others hold: how many VMs ended with it, of which something
-	// had just begun on busy.
+	// classified is set once kind, simultaneous and withRecentStart hold: how many VMs ended with
+	// it, and how many of these had a recent start.
 	classified                    bool
 	kind                          crashKind
 	simultaneous, withRecentStart int
-	// unconfirmed are those of others that did not answer when it was judged.
+	// unconfirmed are those of simultaneous that were unresponsive at the classification.
 	unconfirmed []vmIncarnation
-	// runs are those that were judged by it.
+	// runs are the runs classified by this end.
 	runs map[*task]int64
 }
 
-// endInTrial tells how a VM's end follows the start of a run that was on trial there.
+// endInTrial describes how a VM's end relates to the start of a run on trial there.
 type endInTrial struct {
-	// justBegun is set where the VM ended just after the run had begun.
+	// justBegun is set if the VM ended just after the run had begun.
 	justBegun bool
-	// beside are the other tasks that had just begun there, too, and that are not known to
-	// have run elsewhere since.
+	// beside are the other tasks that had just begun there and are not known to have run
+	// elsewhere since.
 	beside []*task
 }
 
-// kindFor is what the end says of a run. In a storm a trial tells only where the VM ended
-// just as its run began, and less where another task's run began at the same moment.
+// kindFor classifies a run by this end. During a storm, a trial is conclusive only if the VM
+// ended just as the run began, and less so if another task's run began at the same moment.
 func (e *vmEndRecord) kindFor(number int64) crashKind {
 	trial, tried := e.trials[number]
 	switch {
@@ -61,8 +63,8 @@
 	return crashIsolated
 }
 
-// recordEnd takes in that a start of a VM that was heard has ended, nil where that says nothing
-// of what ran there: it was to end, or its end was noted before.
+// recordEnd records the end of an incarnation that had reported. It returns nil if the end
+// implies nothing about its runs: the VM was about to end, or the end is already recorded.
 func (s *Scheduler) recordEnd(now Time, v *vm) *vmEndRecord {
 	start := v.incarnation()
 	if s.hasEnded(start) {
@@ -79,7 +81,7 @@
 	return e
 }
 
-// recordEarlierCrash puts a run in doubt that may have ended its VM's earlier start.
+// recordEarlierCrash records a run that may have ended an earlier incarnation of its VM.
 func (s *Scheduler) recordEarlierCrash(now Time, r *run, e *vmEndRecord) {
 	if e == nil || !r.mayHaveCrashed() {
 		return
@@ -95,15 +97,15 @@
 	s.recordCrash(r, e.start, crashUnconfirmed)
 }
 
-// hasUnconfirmedStart reports whether a run other than r may have begun on the VM at any moment: its
-// start has no answer.
+// hasUnconfirmedStart reports whether a run other than r may have begun on the VM at any moment,
+// since its start order has no response.
 func (v *vm) hasUnconfirmedStart(r *run) bool {
 	return slices.ContainsFunc(v.runList, func(o *run) bool { return o != r && o.startSent && o.confirmedAt == 0 })
 }
 
-// resolveEarlierIncarnations takes in that starts of a VM have ended on which runs were doubted,
-// by another leader, so that nobody can tell when: those before the one that reports, or
-// all where none does.
+// resolveEarlierIncarnations classifies the unconfirmed crashes that another leader recorded on
+// ended incarnations of a VM, whose time of end is unknown. These are the incarnations before the
+// one that reports, or all if none does.
 func (s *Scheduler) resolveEarlierIncarnations(now Time, v *vm) {
 	var ended []vmIncarnation
 	for start := range s.unconfirmedCrashes {
@@ -117,9 +119,9 @@
 	}
 }
 
-// earlierCrashKind is what the end of a VM says of a run that another leader had in doubt, when
-// nobody can tell which other VMs ended with it. A task that ends its VMs does so as it begins:
-// a run that had lived for a while was more likely lost with its VM.
+// earlierCrashKind classifies an unconfirmed crash recorded by another leader when the VMs that
+// ended with its VM are unknown. A task that crashes its VMs does so as it begins: a run that had
+// lived for a while was more likely lost with its VM.
 func earlierCrashKind(c *crash) crashKind {
 	if c.lived {
 		return crashUnseen
@@ -131,16 +133,16 @@
 	return slices.ContainsFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return e.start == start && !e.classified })
 }
 
-// awaitsClassification reports whether the task's next start has to wait until it is known what
-// the ends of its VMs say of it. After a first one it is started again at once.
+// awaitsClassification reports whether the task's next start has to wait until the ends of its
+// VMs are classified. After a first end it is restarted at once.
 func (s *Scheduler) awaitsClassification(t *task) bool {
 	return len(t.crashes) > 1 && slices.ContainsFunc(t.crashes, func(c crash) bool {
 		return c.kind == crashUnconfirmed && c.run != t.intendedRun && s.isUnclassified(c.vm)
 	})
 }
 
-// classifyEnds judges the ends whose time has come, and those of which it is known already
-// whether many VMs ended together: what was new there need not wait.
+// classifyEnds classifies the ends that are due, and those for which it is already known whether
+// many VMs ended together, so that recent tasks needn't wait.
 func (s *Scheduler) classifyEnds(now Time) {
 	if len(s.classifiedVMEnds) == 0 {
 		return
@@ -157,7 +159,7 @@
 	s.classifiedVMEnds = slices.DeleteFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return now-e.classifyBy > endRetention })
 }
 
-// othersReportedSince reports whether all other VMs have been heard since the end.
+// othersReportedSince reports whether all other VMs have reported since the end.
 func (s *Scheduler) othersReportedSince(e *vmEndRecord) bool {
 	for _, v := range s.vmList {
 		if v.inst.ID != e.start.id && v.lastReportAt <= e.end.noticedAt && !s.hasEnded(v.incarnation()) {
@@ -179,9 +181,8 @@
 	s.resolveUnconfirmed(now, e.start, func(c *crash) crashKind { return e.kindFor(c.run) })
 }
 
-// confirmSuspect takes in that a VM has ended in the trial of a task: those on which it had just begun
-// before, and that were taken for others that ended by themselves, were ended by it. Ends that
-// were judged by these are judged again.
+// confirmSuspect attributes to a task the earlier ends of VMs on which it had just begun, after a
+// VM has ended in its trial. Ends that were classified by counting those are reclassified.
 func (s *Scheduler) confirmSuspect(now Time, t *task) {
 	found := false
 	for start, e := range s.recentVMEnds {
@@ -204,8 +205,8 @@
 	}
 }
 
-// reclassifyBeside takes in that a task has run on a VM without ending it: where it had just begun beside
-// another one's trial, it did not end that VM either.
+// reclassifyBeside reclassifies the ends of VMs where a task had just begun beside another task's
+// trial, after the task has run on a VM without ending it: it didn't end that VM either.
 func (s *Scheduler) reclassifyBeside(now Time, t *task) {
 	for _, e := range slices.Clone(s.classifiedVMEnds) {
 		if e.removeBeside(t) && e.classified {
@@ -224,8 +225,8 @@
 	return found
 }
 
-// confirmAlive takes in that a start of a VM lives that had left holds unanswered: it did not end
-// with those that did meanwhile.
+// confirmAlive corrects the ends that counted an unresponsive incarnation as ended with them,
+// after it has responded again.
 func (s *Scheduler) confirmAlive(now Time, start vmIncarnation) {
 	for _, e := range slices.Clone(s.classifiedVMEnds) {
 		if i := slices.Index(e.unconfirmed, start); e.classified && i >= 0 {
@@ -237,7 +238,7 @@
 	}
 }
 
-// reclassifyEnd judges the runs of an end anew that fewer others came with than was believed.
+// reclassifyEnd reclassifies the runs of an end that coincided with fewer others than assumed.
 func (s *Scheduler) reclassifyEnd(now Time, e *vmEndRecord) {
 	if e.kind == crashMass && e.simultaneous < minMassEnds {
 		e.kind = crashShared
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -10,15 +10,15 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// taskOf is the first task of a job of the fixture's.
+// taskOf returns the first task of a job of the fixture.
 func (f *fixture) taskOf(job string) *task { return &f.s.jobs[job].occs[0].steps[0].tasks[0] }
 
-// markSuspect has a job's first task be one that a VM has ended under before.
+// markSuspect makes a job's first task suspect by the end of an earlier VM.
 func (f *fixture) markSuspect(job string) {
 	f.taskOf(job).setCrash(crash{run: 1, kind: crashShared, vm: vmIncarnation{id: "earlier"}})
 }
 
-// startFirst gives the start of j's first task and confirms it, and returns the VM.
+// startFirst starts j's first task, confirms it, and returns its VM.
 func (f *fixture) startFirst() string {
 	const task = "j.0.0.0"
 	for range 10 {
@@ -35,14 +35,14 @@
 	return o.Instance.ID
 }
 
-// failHolds has holds to VMs fail as their processes have ended.
+// failHolds makes holds to VMs fail as if their processes had just ended.
 func (f *fixture) failHolds(vms ...string) {
 	for _, id := range vms {
 		f.s.HoldFailed(f.now, id, true)
 	}
 }
 
-// othersOf are the fixture's VMs but one.
+// othersOf returns the fixture's VMs except one.
 func (f *fixture) othersOf(vm string) []string {
 	var others []string
 	for _, inst := range f.list {
@@ -53,7 +53,7 @@
 	return others
 }
 
-// crashKinds are what is noted of the VMs of j's first task, but for those of suspect.
+// crashKinds returns the crash kinds of j's first task, except for the crash of markSuspect.
 func (f *fixture) crashKinds() []crashKind {
 	var kinds []crashKind
 	for _, c := range f.taskOf("j").crashes {
@@ -64,8 +64,8 @@
 	return kinds
 }
 
-// Guards against a job that is given up for the loss of a rack: the VM of its trial was known
-// to have ended before holds to the others had failed.
+// Guards against a job that fails because of a lost rack: the VM of its trial was confirmed as
+// ended before holds to the others had failed.
 func TestEndIsComparedWithThoseThatAreSeenLater(t *testing.T) {
 	f := newFixture(t, 5)
 	f.reportAll(nil)
@@ -84,7 +84,7 @@
 	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 }
 
-// Guards against waits that serve nothing: an end is judged as soon as all others are heard.
+// Guards against needless waits: an end is classified as soon as all other VMs have reported.
 func TestEndIsJudgedOnceAllOthersAreHeard(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
@@ -102,8 +102,8 @@
 	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
-// Guards against a job that is given up though nothing of it has ended a VM: VMs that this
-// leader had not heard ended one after the other, and so did those of the job.
+// Guards against a job that fails though none of its tasks ended a VM: VMs that had not reported
+// to this leader ended one after another, and then a VM of the job did.
 func TestUnheardVMsThatEndAreAStorm(t *testing.T) {
 	f := newFixture(t, 6)
 	for _, inst := range f.list[:3] {
@@ -125,7 +125,8 @@
 	require.Equal(t, []crashKind{crashStorm}, f.crashKinds())
 }
 
-// Guards against both: four ends in storms do not give a job up, twice as many do.
+// Guards against failing a job too early and too late: four ends in storms don't fail a job,
+// twice as many do.
 func TestEndsInStormsCountHalf(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -139,15 +140,15 @@
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
-// Guards against a task that is started too often after its third VM: a suspect that found no
-// VM of its own in time learned nothing by its start, though its VM ended as it began.
+// Guards against a task that is started again after its third VM: a suspect that found no VM of
+// its own in time was not classified by its start, though its VM ended as it began.
 func TestLastToBeginIsTriedBesideOthers(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.markSuspect("j")
 	vm := f.startFirst()
-	// As where its patience was over: something else is new there.
+	// As after the suspect's wait: another run there is recent.
 	f.s.vms[vm].runs[f.last("j.0.0.0").Task].isTrial = false
 	f.advance(50 * time.Millisecond)
 	f.failHolds(vm)
@@ -157,8 +158,8 @@
 	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
-// Guards against a job that is given up for a VM that another's task ended: both had begun there in
-// one instant, while VMs ended one after the other, and the one that was started last was convicted.
+// Guards against a job that fails for a VM that another job's task ended: both had begun there at
+// the same moment during a storm, and the one started last was classified as the cause.
 func TestOneOfTwoThatBeginInAStormIsNotTried(t *testing.T) {
 	for beside, want := range map[string]crashKind{"": crashIsolated, "k": crashPaired} {
 		f := newFixture(t, 3)
@@ -177,7 +178,7 @@
 			require.True(t, f.s.PrepareStart(f.now, o))
 			f.confirm(o)
 		}
-		// As where it is a suspect whose patience was over.
+		// As for a suspect whose wait is over.
 		f.s.vms[vm].runs[f.last("j.0.0.0").Task].exclusive = true
 		f.advance(50 * time.Millisecond)
 		f.failHolds(vm)
@@ -186,15 +187,15 @@
 		f.s.Tick(f.now)
 		require.Equal(t, []crashKind{want}, f.crashKinds(), "beside %q", beside)
 		if beside != "" {
-			// The other one runs well elsewhere: then it was this one.
+			// The other task has completed elsewhere, so it didn't end the VM.
 			f.s.clearCrashesOnEnd(f.now, f.taskOf(beside), &batch.RunEnd{Kind: batch.EndDone})
 			require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 		}
 	}
 }
 
-// Guards against both: with a trial and a first end an end beside another task does not give a job
-// up, with one more in doubt of the moment it does.
+// Guards against failing a job too early and too late: with a trial and a first end, an end
+// beside another task doesn't fail a job; with one more unseen end it does.
 func TestEndBesideAnotherCountsOnceAndAHalf(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -210,8 +211,8 @@
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
-// Guards against jobs that are given up for restarts of many VMs at once: where something has
-// just begun on each VM, the others' ends were taken for those of other tasks' VMs.
+// Guards against jobs that fail because many VMs restart at once: where each VM has a recent
+// start, the ends of the other VMs were attributed to their own tasks.
 func TestJobsOfABusyFleetAreKeptOverRestarts(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(24) {
@@ -236,8 +237,8 @@
 	}
 }
 
-// Guards against a task whose first end counts for nothing, though the VMs that did not answer
-// as its VM ended live.
+// Guards against a task whose first end isn't counted: the VMs that were unresponsive as its VM
+// ended are alive.
 func TestVMsThatAnswerAgainDidNotEndWithAnother(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
@@ -257,8 +258,9 @@
 	require.Equal(t, []crashKind{crashShared}, f.crashKinds())
 }
 
-// Guards against an innocent job that is given up over take-overs: each successor took the loss of a
-// VM on which the job's task had worked for a while for a VM that the task had ended as it began.
+// Guards against a job that fails after changes of leader though its task ended no VM: each
+// successor classified the loss of a VM on which the task had run for a while as an end at the
+// task's start.
 func TestDoubtAboutARunThatHadLivedCountsHalf(t *testing.T) {
 	for lived, kind := range map[time.Duration]crashKind{0: crashShared, startCrashWindow: crashUnseen} {
 		f := newFixture(t, 2)
@@ -290,8 +292,8 @@
 	}
 }
 
-// Guards against an innocent job that is given up since one end of a VM counted twice: two leaders had
-// started its task there, one after the other, and neither saw what became of it.
+// Guards against a job that fails since one end of a VM is counted twice: two leaders had started
+// its task there, one after the other, and neither saw the outcome.
 func TestOneEndOfAVMCountsOnce(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
--- a/internal/scheduler/lives.go
+++ b/internal/scheduler/lives.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// livenessCheckDelay is how long an instance has to be unheard before the machine service is
-	// asked whether it lives: a hold takes a second, and one lost packet another 0.3 s.
+	// livenessCheckDelay is how long an instance has to be unreported before the machine service
+	// is asked about it: a hold takes a second, and one lost packet another 0.3 s.
 	livenessCheckDelay = 1500 * time.Millisecond
-	// minMissingDuration is how far apart two lists have to be that both lack an instance: its
-	// machine may have moved from one page to another while one of them was read.
+	// minMissingDuration is the minimum time between two lists that both lack an instance: its
+	// machine may have moved from one page to another while one of the lists was read.
 	minMissingDuration = 400 * time.Millisecond
-	// minListedShare is the share of the instances heard of late that a list has to have
-	// to be believed.
+	// minListedShare is the share of the recently reported instances that a list must contain to
+	// be accepted.
 	minListedShare = 0.5
 )
 
-// NeedsLivenessCheck reports whether there are instances that may have ended: unheard for a
-// while, with runs, or waited for.
+// NeedsLivenessCheck reports whether there are instances that may have ended: unreported for a
+// while, and either with runs or awaited.
 func (s *Scheduler) NeedsLivenessCheck(now Time) bool {
 	for id, v := range s.vms {
 		if v.needsLivenessCheck(now) && (len(v.runs) > 0 || s.isAwaited(id)) {
@@ -32,10 +32,10 @@
 
 func (v *vm) needsLivenessCheck(now Time) bool { return now-v.lastReportAt > livenessCheckDelay }
 
-// SetLiveInstances takes over which instances live by the machine service's list, which was
-// asked for at askedAt. It runs the machines: an instance that it does not name as the
-// present life of a machine that is up has ended, and need not be waited for until its
-// lease is over. One that is cut off is named like all others.
+// SetLiveInstances processes the machine service's list, requested at askedAt. The service runs
+// the machines: an instance that the list does not name as the current one of a machine that is
+// up has ended, and need not be awaited until its lease expires. An instance that is cut off from
+// the network is still listed.
 func (s *Scheduler) SetLiveInstances(now, askedAt Time, list []batch.Machine) {
 	up := make(map[string]bool, len(list))
 	for i := range list {
@@ -59,15 +59,15 @@
 	}
 }
 
-// hasPendingStart reports whether a start may arrive that was ordered from the VM: if its
-// machine has just begun another under the same ID, that one takes it.
+// hasPendingStart reports whether a start order sent to the VM may still arrive. If its machine
+// has just begun another incarnation under the same ID, that one accepts it.
 func (v *vm) hasPendingStart(now Time) bool {
 	return v.mayRestart() && slices.ContainsFunc(v.runList, func(r *run) bool {
 		return r.startSent && r.confirmedAt == 0 && now-r.startSentAt < maxOrderDelay
 	})
 }
 
-// isPlausibleList reports whether a list names enough of the instances that certainly live.
+// isPlausibleList reports whether a list names enough of the instances that are certainly alive.
 func (s *Scheduler) isPlausibleList(now Time, up map[string]bool) bool {
 	living, named := 0, 0
 	for id, v := range s.vms {
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -9,7 +9,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// machinesOf is a list of the machine service that names the instances as living.
+// machinesOf returns a list of the machine service with the given instances up.
 func machinesOf(ids ...string) []batch.Machine {
 	var list []batch.Machine
 	for _, id := range ids {
@@ -18,13 +18,13 @@
 	return list
 }
 
-// setLiveInstances tells the scheduler what the machine service says now.
+// setLiveInstances applies a list of the machine service requested now.
 func (f *fixture) setLiveInstances(ids ...string) {
 	f.s.SetLiveInstances(f.now, f.now, machinesOf(ids...))
 }
 
-// unresponsiveVM is a fixture with three VMs, of which the one that runs a task is not heard
-// for a while.
+// unresponsiveVM returns a fixture with three VMs, of which the one that runs a task has not
+// reported for a while.
 func unresponsiveVM(t *testing.T) (f *fixture, first Order, others []string) {
 	f = newFixture(t, 3)
 	f.reportAll(nil)
@@ -44,8 +44,8 @@
 	return f, first, others
 }
 
-// What ran on a VM that has crashed was away for the whole of its lease, 8.5 s. The
-// machine service knows at once: two of its lists lack the VM's life.
+// Guards against tasks of a crashed VM that are down for its whole lease, 8.5 s. The machine
+// service reports the crash at once: two of its lists lack the VM's instance.
 func TestVMThatItsMachineEndedIsGone(t *testing.T) {
 	f, first, others := unresponsiveVM(t)
 	require.True(t, f.s.NeedsLivenessCheck(f.now))
@@ -60,8 +60,8 @@
 	require.False(t, f.s.NeedsLivenessCheck(f.now))
 }
 
-// A VM that is cut off lives, and the machine service says so, whatever the store's list
-// says: its lease counts.
+// Guards against restarting the tasks of a VM that is only cut off: the machine service lists it,
+// and its lease counts whatever the store's list has.
 func TestVMThatIsCutOffLives(t *testing.T) {
 	f, first, others := unresponsiveVM(t)
 	f.s.SetInstances(f.now, []batch.Instance{})
@@ -77,8 +77,8 @@
 	require.Len(t, f.started["j.0.0.0"], 1)
 }
 
-// A list that was asked for before the VM was last heard, one that lacks most of the VMs
-// that are heard, and an empty one say nothing.
+// Guards against VMs that are declared lost by a useless list: one that was requested before the
+// VM's last report, one that lacks most of the reporting VMs, and an empty one.
 func TestListsOfMachinesThatSayNothing(t *testing.T) {
 	for name, tell := range map[string]func(f *fixture, first Order, others []string){
 		"empty":       func(f *fixture, _ Order, _ []string) { f.setLiveInstances() },
@@ -104,8 +104,8 @@
 	}
 }
 
-// A machine that is down, or that another life runs on, has ended the one before; so
-// have VMs of earlier leaders that a new one has yet to hear.
+// Guards against waiting for ended VMs of earlier leaders: a machine that is down, or that runs
+// another instance, has ended the one before.
 func TestEarlierLifeOfAMachineIsNotWaitedFor(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advance(livenessCheckDelay + time.Millisecond)
@@ -119,8 +119,8 @@
 	require.Len(t, f.started, 1)
 }
 
-// A VM that left, and whose lease is over, need not be heard by a successor: it would
-// wait for it, and hold all older jobs back, for as long as for one that is cut off.
+// Guards against a successor that waits for a VM that has left and whose lease has expired: it
+// would delay all older jobs as long as for a VM that is cut off.
 func TestVMThatLeftIsNotRecorded(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -7,20 +7,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// A VM may start again under its ID. All that it holds and counts is then that of the new
-// start: what it runs, the numbers of its ends, its clock, the fencing token that it has
-// seen. A vm is therefore one start. Orders name the ID only, and reach whichever start is
-// there: between the end of one and the first report of the next they may be carried out by
-// either, so that what was ordered in that time is settled with the next one.
+// A VM may restart under its ID. Its state then belongs to the new incarnation: its runs, the
+// sequence numbers of its ends, its clock and the fencing token that it has seen. A vm therefore
+// stands for one incarnation. Orders are addressed by ID only and reach whichever incarnation is
+// running. Between the end of one and the first report of the next, either may carry them out, so
+// that orders from that time are resolved by the next one's report.
 
-// vmIncarnation names one start of a VM; born is 0 where it is not told.
+// vmIncarnation identifies an incarnation of a VM; born is 0 if unknown.
 type vmIncarnation struct {
 	id   string
 	born int64
 }
 
-// incarnation is which start of its VM v is: the one that has reported, or else that of the
-// entry on the list.
+// incarnation returns the incarnation that has reported, or else that of the listed entry.
 func (v *vm) incarnation() vmIncarnation {
 	if v.born != 0 {
 		return vmIncarnation{v.inst.ID, v.born}
@@ -28,35 +27,37 @@
 	return vmIncarnation{v.inst.ID, v.inst.Born}
 }
 
-// matchesBirth reports whether a report with the given birth may come from this start.
+// matchesBirth reports whether a report with the given birth may come from this incarnation.
 func (v *vm) matchesBirth(born int64) bool { return born == 0 || v.born == 0 || v.born == born }
 
-// mayRestart reports whether the VM may start again under its ID: those that may tell their
-// births.
+// mayRestart reports whether the VM may restart under its ID. Only VMs that report their birth
+// do.
 func (v *vm) mayRestart() bool { return v.born != 0 }
 
-// startedSinceConfirmedTenure reports whether the start may have begun after another leader was elected: that one
-// may have heard the start before, whose fencing token this one has not seen.
+// startedSinceConfirmedTenure reports whether the incarnation may have begun after another leader
+// was elected. That leader may have received its reports earlier, and this incarnation has not
+// seen that leader's fencing token.
 func (s *Scheduler) startedSinceConfirmedTenure(v *vm) bool {
 	return v.mayRestart() && v.firstReportAt > s.leadConfirmedAt
 }
 
-// entryMatchesIncarnation reports whether the entry on the list is that of the start that
-// reports. Pool, labels and capacity of another one say nothing of it.
+// entryMatchesIncarnation reports whether the listed entry is that of the reporting incarnation.
+// Pool, labels and capacity of another one don't apply to it.
 func (v *vm) entryMatchesIncarnation() bool { return v.matchesBirth(v.inst.Born) }
 
 const (
-	// maxOrderDelay bounds the time from a try of a start to its arrival: it is given up after
-	// half a second, and a relay carries out none that was under way for longer than 0.6 s.
+	// maxOrderDelay bounds the time from an attempt at a start to its arrival: the attempt times
+	// out after half a second, and a relay discards orders that were under way for longer than
+	// 0.6 s.
 	maxOrderDelay = 1100 * time.Millisecond
-	// maxRestartDetectionDelay bounds the time from a start of a VM until what is sent there is meant for
-	// it: before, nothing is sent to a VM that has left a hold without an answer.
+	// maxRestartDetectionDelay bounds the time from a restart of a VM until orders are meant for
+	// the new incarnation: before, nothing is sent to a VM that has left a hold unanswered.
 	maxRestartDetectionDelay = 2 * time.Second
 )
 
-// maxInitialLease is the longest lease that there may be on a VM that is heard for the first
-// time, by its clock. On one that has started of late, orders that were meant for the
-// start before may have been granted the longest one that VMs grant.
+// maxInitialLease is the longest lease, by its clock, that may exist on a VM at its first report.
+// On a recently restarted VM, orders meant for the previous incarnation may have been granted the
+// longest lease that VMs grant.
 func (s Settings) maxInitialLease(clock time.Duration) time.Duration {
 	if s.recentlyStarted(clock) {
 		return s.MaxLease
@@ -64,15 +65,15 @@
 	return s.Lease()
 }
 
-// recentlyStarted reports whether orders that were meant for the start before may have left
-// something on a VM whose clock tells so much.
+// recentlyStarted reports whether orders meant for the previous incarnation may have left runs on
+// a VM with the given clock.
 func (s Settings) recentlyStarted(clock time.Duration) bool {
 	return clock < maxRestartDetectionDelay+maxOrderDelay+s.MaxLease
 }
 
-// runExpiry is when the run has certainly ended, unless its lease is renewed. A run that no
-// report has listed may be on a later start of the VM, which took the order's deadline for
-// one on its own clock, and granted as much of it as it does at most.
+// runExpiry returns when the run has certainly ended unless its lease is renewed. A run that no
+// report has listed may be on a later incarnation, which interpreted the order's deadline by its
+// own clock and granted at most MaxLease.
 func (s *Scheduler) runExpiry(r *run) Time {
 	if !r.vm.mayRestart() || !r.startSent || r.listedAt > 0 {
 		return r.vm.leaseExpiry
@@ -80,7 +81,7 @@
 	return max(r.vm.leaseExpiry, r.startSentAt+maxOrderDelay+leaseExpiryDelay(s.settings.MaxLease))
 }
 
-// vmLeaseExpiry is when everything on the VM has certainly ended, unless a lease is renewed.
+// vmLeaseExpiry returns when everything on the VM has certainly ended unless a lease is renewed.
 func (s *Scheduler) vmLeaseExpiry(v *vm) Time {
 	over := v.leaseExpiry
 	for _, r := range v.runList {
@@ -89,10 +90,10 @@
 	return over
 }
 
-// reasonRestarted: a VM has started again under its ID.
+// reasonRestarted is the reason for runs lost because their VM restarted under its ID.
 const reasonRestarted = "started again"
 
-// handleRestart takes in that a later start of a VM has reported, and returns it.
+// handleRestart replaces a VM by its next incarnation, which has just reported, and returns it.
 func (s *Scheduler) handleRestart(now, sentAt Time, old *vm, rep *batch.Report) *vm {
 	v := newVM(now, old.inst)
 	v.born = rep.Born
@@ -117,13 +118,13 @@
 	return v
 }
 
-// An order that a VM has taken may be carried out seconds later, and by its next start where it
-// has started again meanwhile. Each start is sent orders with a fencing token of its own, so that
-// it refuses what was meant for the one before once it has seen a hold. A leader may use any
-// revision of the store at which it wrote something on condition that it leads: its successor's
-// token is higher.
+// An order that a VM has accepted may be carried out seconds later, and by its next incarnation
+// if it restarted meanwhile. Each incarnation is sent orders with its own fencing token, so that
+// once it has seen a hold it refuses orders meant for the previous one. A leader may use as a
+// token any revision of the store at which it wrote something on the condition that it leads: its
+// successor's token is higher.
 
-// RaiseToken tells of a higher fencing token that this leader may use.
+// RaiseToken sets a higher fencing token that this leader may use.
 func (s *Scheduler) RaiseToken(token int64) {
 	if token <= s.maxToken {
 		return
@@ -136,12 +137,12 @@
 	}
 }
 
-// NeedsToken reports whether a VM has started again and waits for a higher token.
+// NeedsToken reports whether a restarted VM waits for a higher token.
 func (s *Scheduler) NeedsToken() bool {
 	return slices.ContainsFunc(s.vmList, func(v *vm) bool { return v.needsToken })
 }
 
-// Token returns the fencing token of what is sent to an instance.
+// Token returns the fencing token for orders to an instance.
 func (s *Scheduler) Token(id string) int64 {
 	if v := s.vms[id]; v != nil {
 		return v.token
@@ -149,20 +150,20 @@
 	return s.fence
 }
 
-// recordGuarded takes in that the VM has answered its last hold.
+// recordGuarded marks the VM as guarded once it has answered a hold with its current token.
 func (s *Scheduler) recordGuarded(v *vm) {
 	if !v.fenced && !v.needsToken && v.lastHoldToken == v.token {
 		v.fenced, s.planNeeded = true, true
 	}
 }
 
-// runKey names a run of a task.
+// runKey identifies a run of a task.
 type runKey struct {
 	task   batch.TaskID
 	number int64
 }
 
-// reportedRuns are the runs that a report tells of.
+// reportedRuns returns the runs that a report lists as running or ended.
 func reportedRuns(rep *batch.Report) map[runKey]bool {
 	told := make(map[runKey]bool, len(rep.Running)+len(rep.Ended))
 	for i := range rep.Running {
@@ -174,9 +175,9 @@
 	return told
 }
 
-// mayRunOnIncarnation reports whether a run that was ordered from an earlier start may be on the one
-// that reports: its order was given, and neither has the earlier one listed it, nor was it
-// confirmed before a report was asked for that does not tell of it.
+// mayRunOnIncarnation reports whether a run ordered from an earlier incarnation may be on the
+// reporting one: its order was sent, the earlier one has not listed it, and it was not confirmed
+// before the request for a report that does not list it.
 func (s *Scheduler) mayRunOnIncarnation(sentAt Time, r *run, rep *batch.Report, told map[runKey]bool) bool {
 	if told[runKey{r.task.id(), r.number}] {
 		return true
@@ -187,8 +188,8 @@
 	return rep.MoreEnded || r.confirmedAt == 0 || r.confirmedAt >= sentAt
 }
 
-// moveRun has a run count on a later start of its VM. A stop is ordered again: the later
-// start knows nothing of the first.
+// moveRun assigns a run to a later incarnation of its VM. A stop is ordered again, since the
+// later incarnation has not received the first.
 func (s *Scheduler) moveRun(now Time, r *run, to *vm, end *vmEndRecord) {
 	t := r.task
 	s.detachRun(now, r)
--- a/internal/scheduler/restarts_advice_test.go
+++ b/internal/scheduler/restarts_advice_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// An adviser's leave holds for one start of a VM; the next one refuses the ticket, and may be
-// allowed where the one before was not.
+// Guards against an adviser's permission that outlives the incarnation it was given for: the next
+// one refuses the ticket, and may be allowed where the previous one was not.
 func TestAdviceHoldsForOneStart(t *testing.T) {
 	f := newIncarnationFixture(t, 2)
 	f.s.SetConfig(&batch.Config{Version: 2, Queues: []batch.Queue{
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -11,12 +11,13 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// restartChecker looks at what VMs see that start again under their IDs.
+// restartChecker checks the starts and acknowledged ends on VMs that restart under their IDs.
 type restartChecker struct {
 	// failFirst is how many runs of each task of a job fail.
 	failFirst map[string]int
 	ran       map[batch.TaskID]int
-	// done are the tasks whose end was acknowledged, failed counts their failed ends that were.
+	// done are the tasks whose successful end was acknowledged; failed counts acknowledged
+	// failures.
 	done       map[batch.TaskID]bool
 	failed     map[batch.TaskID]int
 	violations []string
@@ -26,7 +27,7 @@
 	return &restartChecker{failFirst: map[string]int{}, ran: map[batch.TaskID]int{}, done: map[batch.TaskID]bool{}, failed: map[batch.TaskID]int{}}
 }
 
-// endOf is how the next run of a task ends.
+// endOf returns how the next run of a task ends.
 func (j *restartChecker) endOf(task batch.TaskID) batch.EndKind {
 	if j == nil {
 		return batch.EndDone
@@ -50,7 +51,7 @@
 	}
 }
 
-// started judges a start of a task on a VM.
+// started checks a start of a task on a VM.
 func (j *restartChecker) started(c *crashFleet, task batch.TaskID) {
 	if j == nil {
 		return
@@ -79,7 +80,7 @@
 	return c.jobs[slices.IndexFunc(c.jobs, func(job *batch.Job) bool { return job.ID == task.Job })]
 }
 
-// newRestartFleet returns a fleet whose VMs start again under their IDs.
+// newRestartFleet returns a fleet whose VMs restart under their IDs.
 func newRestartFleet(t *testing.T, vms int, seed uint64) *crashFleet {
 	c := newCrashFleet(t, 0, seed)
 	c.pollsMachines, c.restarts, c.checker = false, true, newRestartChecker()
@@ -94,13 +95,13 @@
 	return c
 }
 
-// nextBirth is the time of day of a start, by a clock that jumps.
+// nextBirth returns the time of day at a VM's start, by a clock that jumps.
 func (c *crashFleet) nextBirth() int64 {
 	c.incarnations++
 	return (1_000_000+c.now.Milliseconds()+int64(c.rng.IntN(5000)))<<10 + int64(c.incarnations)
 }
 
-// relist brings a VM's entry up to date.
+// relist updates a VM's entry on the list.
 func (c *crashFleet) relist(v *fleetVM) {
 	for i := range c.list {
 		if c.list[i].ID == v.inst.ID {
@@ -110,10 +111,10 @@
 	c.s.SetInstances(c.now, c.list)
 }
 
-// holdTimeout is how long a hold waits for a VM that has ended without a sign.
+// holdTimeout is how long a hold waits for a VM that has ended without closing its connections.
 const holdTimeout = 1300 * time.Millisecond
 
-// restart begins a new start under the ID of a VM that has just ended.
+// restart begins a new incarnation under the ID of a VM that has just ended.
 func (c *crashFleet) restart(old *fleetVM) {
 	down := 500*time.Millisecond + time.Duration(c.rng.IntN(1000))*time.Millisecond
 	first := time.Duration(0)
@@ -141,7 +142,7 @@
 	})
 }
 
-// restartJobs are a job of each kind that runs long enough to be under way at a restart.
+// restartJobs has the steps of a job of each kind, long enough to be running at a restart.
 var restartJobs = map[string][]batch.Step{
 	"plain":       {tasks(3, 1000)},
 	"second step": {tasks(2, 1000), {Tasks: 2, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}},
@@ -151,8 +152,8 @@
 	"filler":      {{Tasks: 3, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, Filler: true}},
 }
 
-// playRestarts plays jobs of one kind while a third of the VMs starts again every few
-// seconds. takeOvers lets leaders follow each other meanwhile.
+// playRestarts runs jobs of one kind while a third of the VMs restarts every few seconds.
+// takeOvers adds changes of leader meanwhile.
 func playRestarts(t *testing.T, kind string, seed uint64, takeOvers bool) *crashFleet {
 	c := newRestartFleet(t, 12, seed)
 	c.noResets = seed%2 == 1
@@ -191,7 +192,7 @@
 	return c
 }
 
-// requireInvariants fails where a rule was broken, or work that could be done was not.
+// requireInvariants fails if a rule was broken, or if work that could be done was not.
 func (c *crashFleet) requireInvariants() {
 	require.Empty(c.t, c.checker.violations[:min(len(c.checker.violations), 3)], "seed %d", c.seed)
 	for _, job := range c.jobs {
@@ -205,7 +206,7 @@
 		}
 		state, _ := c.s.State(job.ID)
 		if want == batch.Completed && state == batch.Failed {
-			// Failed runs that were lost with their VMs have been made again.
+			// Failed runs that were lost with their VMs have been repeated.
 			require.GreaterOrEqual(c.t, c.checker.failFirst[job.ID], 1, "job %s, seed %d", job.ID, c.seed)
 			continue
 		}
@@ -227,8 +228,8 @@
 	}
 }
 
-// Of each kind of job nothing runs twice, beyond its attempts or not at all, however often
-// VMs start again under their IDs.
+// Guards against tasks of any kind that run twice, more often than their attempts allow, or
+// never, when VMs restart repeatedly under their IDs.
 func TestRestartsKeepEachKindOfJob(t *testing.T) {
 	t.Parallel()
 	forEachKind(t, "take-overs", func(t *testing.T, kind string, takeOvers bool) {
@@ -238,8 +239,8 @@
 	})
 }
 
-// beforeRestart returns a fixture whose one VM has told three ends in its first start, all of
-// them acknowledged, and then starts again while its last hold is still under way.
+// beforeRestart returns a fixture whose one VM has reported three ends in its first incarnation,
+// all of them acknowledged, and then restarts while its last hold is still under way.
 func beforeRestart(t *testing.T) *fixture {
 	f := newFixture(t, 1)
 	f.list[0].Born = 1
@@ -261,8 +262,8 @@
 	return f
 }
 
-// runOnNewIncarnation gives the VM a task while nobody has heard its new start, and lets the hold
-// to the old one fail.
+// runOnNewIncarnation starts a task on the VM before its new incarnation has reported, and lets
+// the hold to the old one fail.
 func (f *fixture) runOnNewIncarnation(job string) Order {
 	_, ok := f.s.Hold(f.now, "vm00", time.Second)
 	require.True(f.t, ok)
@@ -276,16 +277,16 @@
 	return o
 }
 
-// An end that a VM's new start has not told is acknowledged by the count of the one before:
-// the VM forgets it, and the task runs again.
+// Guards against a task that runs again: an end that the VM's new incarnation has not reported
+// yet was acknowledged by the sequence number of the previous one, and the VM forgot it.
 func TestEndsOfANewStartAreNotAcknowledgedUntold(t *testing.T) {
 	f := beforeRestart(t)
 	f.runOnNewIncarnation("second")
 	require.Zero(t, f.acked("vm00"))
 }
 
-// Failures that a VM's new start tells are not counted, since the one before has told as
-// many ends: the task is started beyond its attempts.
+// Guards against a task that is started more often than its attempts allow: failures reported by
+// a VM's new incarnation were ignored since the previous one had reported as many ends.
 func TestFailuresOfANewStartAreCounted(t *testing.T) {
 	f := beforeRestart(t)
 	o := f.runOnNewIncarnation("second")
@@ -306,9 +307,8 @@
 	require.Equal(t, batch.Failed, state)
 }
 
-// An end that is never acknowledged closes its VM to new work; the VM's next start has
-// nothing to do with it. Otherwise each restart takes some VMs away for good, until nothing
-// can be placed any more.
+// Guards against losing VMs with each restart until nothing can be placed: an end that is never
+// acknowledged closes its VM to new work, which must not apply to the VM's next incarnation.
 func TestWithheldEndClosesOneStartOnly(t *testing.T) {
 	f := beforeRestart(t)
 	v := f.s.vms["vm00"]
@@ -321,8 +321,8 @@
 	require.Len(t, f.started["second.0.0.0"], 1)
 }
 
-// A task that ends its VMs goes on doing so if the VMs' next starts, under the same IDs, are
-// taken for a sign that they live.
+// Guards against a task that goes on crashing VMs: their next incarnations, under the same IDs,
+// were taken as proof that the VMs are alive.
 func TestTaskThatCrashesVMsThatStartAgainIsGivenUp(t *testing.T) {
 	t.Parallel()
 	forEachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
--- a/internal/scheduler/restarts_waves_test.go
+++ b/internal/scheduler/restarts_waves_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// A machine that comes back from its maintenance with its VM under the same ID counted as
-// down for ever, and the wave stood still.
+// Guards against a maintenance wave that never goes on: a machine that returned from maintenance
+// with its VM under the same ID counted as down for good.
 func TestMachineThatIsBackUnderItsIDIsNotDown(t *testing.T) {
 	f, machines, first := acceptFirstMaintenance(t)
 	down := append([]batch.Machine(nil), machines...)
--- a/internal/scheduler/startlog.go
+++ b/internal/scheduler/startlog.go
@@ -6,55 +6,57 @@
 	"time"
 )
 
-// A VM's end is in no record before some tenths of a second have passed: holds have to fail
-// first. A leader that dies in this time takes it along, and its successor would count the
-// task's ends from nothing. The log of starts has what was started of late, so that the
-// successor knows what may have ended a VM that it does not find again.
+// The end of a VM is recorded some tenths of a second late, since holds have to fail first. If
+// the leader dies in that time the end is never recorded, and its successor would restart the
+// task's count from zero. The log of starts holds recent starts, so that the successor can tell
+// which tasks may have ended a VM that is gone.
 
 const (
 	// maxObsoleteRemovals bounds the segments that are removed by one write.
 	maxObsoleteRemovals = 8
-	// obsoleteRemovalDelay is how long segments wait for a write to be removed by.
+	// obsoleteRemovalDelay is how long obsolete segments wait for another write to remove them
+	// with.
 	obsoleteRemovalDelay = time.Second
-	// lateWriteWindow bounds how late the store may carry a write out that had no answer.
+	// lateWriteWindow bounds how late the store may carry out a write that had no response.
 	lateWriteWindow = 5 * time.Second
 )
 
-// SegmentID names a segment of the log: the leader's fencing token and its number there.
+// SegmentID identifies a segment of the log by the leader's fencing token and the segment's
+// number within that leader's tenure.
 type SegmentID struct {
 	Fence, Number int64
 }
 
-// Compare orders segments as they were written.
+// Compare orders segments by the time of writing.
 func (a SegmentID) Compare(b SegmentID) int {
 	return cmp.Or(cmp.Compare(a.Fence, b.Fence), cmp.Compare(a.Number, b.Number))
 }
 
-// StartSegment is what a leader started between two writes.
+// StartSegment holds the starts of a leader between two writes.
 type StartSegment struct {
 	ID SegmentID `json:"-"`
-	// VMs are those that Steps name by their place.
+	// VMs are referenced by index from Steps.
 	VMs   []StartVM    `json:"v"`
 	Steps []StepStarts `json:"s"`
 }
 
-// StartVM is one start of a VM.
+// StartVM is an incarnation of a VM.
 type StartVM struct {
 	ID   string `json:"i"`
 	Born int64  `json:"b,omitempty"`
 }
 
-// StepStarts are the starts of one step's tasks.
+// StepStarts holds the starts of one step's tasks.
 type StepStarts struct {
 	Job        string `json:"j"`
 	Occurrence int    `json:"o,omitempty"`
 	Step       int    `json:"s,omitempty"`
-	// Runs are, for each start, the task's index, the run's number without the fencing token in
-	// its upper bits, which is the segment's, and the VM's place.
+	// Runs holds for each start the task's index, the run's number without the fencing token in
+	// its upper bits (which is the segment's), and the VM's index.
 	Runs [][3]int64 `json:"r"`
 }
 
-// StartLogChange is what has to be written of the log.
+// StartLogChange is a pending write to the log.
 type StartLogChange struct {
 	// Segment is to be written under its ID; nil for none.
 	Segment *StartSegment
@@ -62,7 +64,7 @@
 	Obsolete []SegmentID
 }
 
-// Len is how many starts the change adds.
+// Len returns the number of starts that the change adds.
 func (c *StartLogChange) Len() int {
 	n := 0
 	if c == nil || c.Segment == nil {
@@ -74,19 +76,19 @@
 	return n
 }
 
-// startLog is the log of a leader's starts, and what is left of its predecessors'.
+// startLog is the log of a leader's starts, with what remains of its predecessors' logs.
 type startLog struct {
-	// tail has the runs that are in no write that is under way or was answered. sent is under
-	// way, segments may be in the store.
+	// tail has the runs whose write is neither under way nor answered. inFlight is being written;
+	// segments may be in the store.
 	tail     []*run
 	inFlight *segment
 	segments []*segment
 	next     int64
 	// obsoleteSince is when the first of the segments became obsolete; 0 for none.
 	obsoleteSince Time
-	// inherited are the starts of earlier leaders on VMs of which nothing is known yet.
+	// inherited are the starts by earlier leaders on VMs whose status is still unknown.
 	inherited map[vmIncarnation][]*inheritedStart
-	// unseenStarts are those of them whose VMs have ended, lostVMs these VMs.
+	// unseenStarts are those of them whose VMs have ended; lostVMs are these VMs.
 	unseenStarts []*inheritedStart
 	lostVMs      map[string]bool
 }
@@ -94,28 +96,29 @@
 // segment is a part of the log that is written and removed as a whole.
 type segment struct {
 	id SegmentID
-	// reservedUntil is set where its write had no answer: it may be carried out until then.
+	// retainUntil is set if its write had no response: it may be carried out until then.
 	retainUntil Time
 	runs        []*run
 	inherited   []*inheritedStart
 }
 
-// logStart has a successor know of a run that this leader has ordered.
+// logStart adds a run that this leader has ordered to the log.
 func (s *Scheduler) logStart(r *run) {
 	if r.number>>runNumberBits == s.fence {
 		s.startLog.tail = append(s.startLog.tail, r)
 	}
 }
 
-// isAccountedFor reports whether a successor needs the log no more to know of the run: it has
-// ended or lived, or the store has what its VM's end says of it.
+// isAccountedFor reports whether a successor no longer needs the log for the run: it has ended or
+// lived long enough, or the store has what its VM's end implies.
 func (r *run) isAccountedFor() bool {
 	j := r.task.step.occ.job
 	switch {
 	case r.task.done || j.state.Final():
 		return true
 	case !r.released:
-		// What the record says of a suspect's run goes as soon as its VM lists it.
+		// A suspect's recorded run is removed as soon as its VM lists it, so the record does not
+		// suffice.
 		return !r.isRecent()
 	case r.task.crash(r.number) != nil:
 		return j.writtenVersion >= r.task.crashVersion
@@ -123,16 +126,16 @@
 	return true
 }
 
-// prune drops what is accounted for, and reports whether nothing is left.
+// prune drops the starts that are accounted for, and reports whether the segment is obsolete.
 func (g *segment) prune(now Time) bool {
 	g.runs = slices.DeleteFunc(g.runs, (*run).isAccountedFor)
 	g.inherited = slices.DeleteFunc(g.inherited, (*inheritedStart).isAccountedFor)
 	return len(g.runs) == 0 && len(g.inherited) == 0 && now >= g.retainUntil
 }
 
-// PendingStarts returns what has to be written of the log of starts, nil for nothing. otherWrites
-// is set where something else is written in any case. Tell what became of the change with
-// StartsWritten or StartsNotWritten before the next call.
+// PendingStarts returns what has to be written of the log of starts, or nil. otherWrites is set
+// if something else is written in any case. Report the result of the write with StartsWritten or
+// StartsNotWritten before the next call.
 func (s *Scheduler) PendingStarts(now Time, otherWrites bool) *StartLogChange {
 	l := &s.startLog
 	c := &StartLogChange{}
@@ -157,7 +160,7 @@
 	return c
 }
 
-// StartsWritten notes that a change is in the store.
+// StartsWritten records that a change is in the store.
 func (s *Scheduler) StartsWritten(c *StartLogChange) {
 	l := &s.startLog
 	l.segments = slices.DeleteFunc(l.segments, func(g *segment) bool { return slices.Contains(c.Obsolete, g.id) })
@@ -172,8 +175,9 @@
 	}
 }
 
-// StartsNotWritten notes that a change is not in the store, or may not be. Its starts are written
-// again in a segment of another number: a write that is carried out late must not replace a newer one.
+// StartsNotWritten records that a change is not in the store, or may not be. Its starts are
+// written again in a segment with another number: a write that is carried out late must not
+// replace a newer one.
 func (s *Scheduler) StartsNotWritten(now Time, c *StartLogChange, unknown bool) {
 	l := &s.startLog
 	if c.Segment == nil {
@@ -185,7 +189,7 @@
 	l.tail, l.inFlight = append(l.inFlight.runs, l.tail...), nil
 }
 
-// encode returns the segment as it is written.
+// encode returns the segment in its stored form.
 func (g *segment) encode() *StartSegment {
 	type stepKey struct {
 		job              string
--- a/internal/scheduler/startlog_test.go
+++ b/internal/scheduler/startlog_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// writeStarts makes the log of starts durable in store.
+// writeStarts writes the pending part of the log of starts to store.
 func (f *fixture) writeStarts(store map[SegmentID]StartSegment) {
 	c := f.s.PendingStarts(f.now, true)
 	if c == nil {
@@ -21,7 +21,7 @@
 	f.s.StartsWritten(c)
 }
 
-// loggedStart starts a task of the job "old", and returns what the store has of that and the VM.
+// loggedStart starts a task of the job "old" and returns the stored log and the VM.
 func loggedStart(t *testing.T) (store map[SegmentID]StartSegment, vm string) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -33,14 +33,14 @@
 	return store, f.last("old.0.0.0").Instance.ID
 }
 
-// successorWithLog is the fixture of a successor that waits for two VMs.
+// successorWithLog returns the fixture of a successor that restores the log and awaits two VMs.
 func successorWithLog(t *testing.T, store map[SegmentID]StartSegment) *fixture {
 	f := newSuccessorFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
 	f.s.Submit(f.now, oldJob(nil))
 	var log []StartSegment
 	for id, g := range store {
-		// As it is read.
+		// The segments pass through their stored form.
 		raw, err := json.Marshal(g)
 		require.NoError(t, err)
 		read := StartSegment{ID: id}
@@ -51,8 +51,8 @@
 	return f
 }
 
-// Guards against a task that is started too often after its third VM: a leader died between a
-// start and the moment at which it would have noted that the VM had ended.
+// Guards against a task that is started again after its third VM: a leader died after a start,
+// before it could record the end of the VM.
 func TestSuccessorSuspectsAStartWhoseVMHasEnded(t *testing.T) {
 	for name, end := range map[string]func(*fixture, string){
 		"the machine service names it": func(f *fixture, vm string) { f.s.RemoveInstance(f.now, vm, "machine ended it") },
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against innocent tasks under suspicion: their VMs live.
+// Guards against suspects without cause: the VMs of the logged starts are alive.
 func TestStartOnAVMThatLivesIsNoCrash(t *testing.T) {
 	running := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
 	for name, report := range map[string]batch.Report{
@@ -106,7 +106,8 @@
 	}
 }
 
-// A VM that was to end was ended by nothing that had begun there.
+// Guards against suspects without cause: a draining VM is not ended by a task that had begun
+// there.
 func TestStartOnADrainedVMIsNoCrash(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := successorWithLog(t, store)
@@ -115,7 +116,8 @@
 	require.Empty(t, f.taskOf("old").crashes)
 }
 
-// A VM that nobody knows any more may live, or may have ended under the task.
+// Guards against ignoring a start on a VM that is no longer known: it may be alive, or may have
+// ended under the task.
 func TestStartOnAnUnknownVMIsDoubted(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := newSuccessorFixture(t, 0)
@@ -129,7 +131,7 @@
 	require.Empty(t, f.taskOf("old").crashes)
 }
 
-// The log has what is new only.
+// Guards against a log that grows without bound: it holds only recent starts.
 func TestLogDropsWhatHasLived(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -151,7 +153,7 @@
 	require.Empty(t, store)
 }
 
-// applyChange is what the store does with a change.
+// applyChange applies a change as the store does.
 func applyChange(store map[SegmentID]StartSegment, c *StartLogChange) {
 	if c.Segment != nil {
 		store[c.Segment.ID] = *c.Segment
@@ -161,8 +163,8 @@
 	}
 }
 
-// Guards against starts that are in no segment: the answer of a write was lost, others were ordered
-// meanwhile, and the first write is carried out last.
+// Guards against starts that are in no segment: the response to a write was lost, others were
+// ordered meanwhile, and the first write is carried out last.
 func TestLateWriteReplacesNoLaterSegment(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -186,8 +188,8 @@
 	require.True(t, next.taskOf("old").isSuspect())
 }
 
-// Guards against a segment that stays in the store: its write had no answer, and is carried out
-// after all in it has lived.
+// Guards against a segment that stays in the store: its write had no response and is carried out
+// after its runs have lived.
 func TestSegmentOfALateWriteIsRemoved(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -211,7 +213,8 @@
 	require.Empty(t, store)
 }
 
-// A write that was refused needs no care: the next one has its starts.
+// Guards against losing the starts of a refused write: the next write contains them, and no trace
+// of the refused one is kept.
 func TestRefusedStartsAreWrittenAgain(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -226,7 +229,7 @@
 }
 
 // Guards against a suspect's start that is neither in the log nor in its job's record: the VM has
-// listed the run, which takes the doubt off the record, and the run is as new as before.
+// listed the run, which clears the unconfirmed crash, while the run is still recent.
 func TestTrialThatIsListedStaysInTheLog(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
@@ -253,8 +256,8 @@
 	require.Len(t, store, 1)
 }
 
-// Guards against a start that a third leader does not know of: the second has adopted the run, and
-// ends before the run has lived for long under it.
+// Guards against a start that is missing for a third leader: the second adopted the run and ended
+// before the run had lived long enough under it.
 func TestAdoptedRunStaysInTheLogWhileItIsNew(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := successorWithLog(t, store)
@@ -269,8 +272,8 @@
 	require.Empty(t, store)
 }
 
-// Guards against a segment that goes before its job's record tells: a predecessor's process has
-// told of the end already.
+// Guards against a segment that is removed before the job's record holds the crash: a
+// predecessor's process has already reported it.
 func TestSegmentWaitsForTheRecordOfWhatWasTold(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := successorWithLog(t, store)
@@ -283,9 +286,9 @@
 	require.Empty(t, store)
 }
 
-// Guards against tasks that wait for seconds for trials: a rack is lost together with the leader, and
-// all that was new there would be suspect. Where few were, as where each VM was ended by a task of its
-// own, they are.
+// Guards against tasks that wait seconds for trials: a rack is lost together with the leader, and
+// every recent task there would be suspect. If only few starts were recent, as when each VM was
+// ended by its own task, the tasks are suspect.
 func TestFirstEndsOfARackLostWithItsLeaderAreNoGroundForSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		jobs    int
@@ -314,7 +317,8 @@
 	}
 }
 
-// What names no start is passed over.
+// Guards against a failure on segments with unknown tasks and indexes out of range: they are
+// skipped.
 func TestOddSegmentsNameNothing(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	f.s.Submit(f.now, oldJob(nil))
@@ -348,7 +352,8 @@
 	return f
 }
 
-// Guards against a log that fills the leaders' links: large sites start hundreds of tasks a second.
+// Guards against a log that fills the leaders' links: large sites start hundreds of tasks a
+// second.
 func TestLoggedStartsAreSmall(t *testing.T) {
 	for _, vms := range []int{48, 1000} {
 		f := startMany(t, vms, 100)
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -10,19 +10,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// suspectStartTimeout is how long a suspect that fits may wait beside free room: its patience,
-// and the time that the others of as many take to be looked at.
+// suspectStartTimeout is how long a suspect that fits may wait beside free capacity:
+// maxTrialWait, and as long again for the other suspects to be considered.
 const suspectStartTimeout = 2 * maxTrialWait
 
-// Guards against suspects that wait for each other: while the first few of the queue waited
-// for VMs on which nothing is new, nobody looked at those behind them, beside a fleet that was
-// mostly free.
+// Guards against suspects that wait for each other: while the first few of the queue waited for
+// VMs without recent runs, those behind them were not considered, beside a fleet that was mostly
+// free.
 func TestSuspectsDoNotWaitForEachOther(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(2) {
 		c := newCrashFleet(t, 40, seed)
 		c.runFor(2 * time.Second)
-		// Something is new on every VM at any time.
+		// Every VM has a recent run at any time.
 		var held []string
 		busy := func() {
 			for range 40 {
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -9,12 +9,11 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Symptom: 37 tasks run twice, within half a second after the store came back.
-// Sequence: the store is away until the leader's lease is over; on its return
-// another is elected, while the first has not heard of it and follows new jobs
-// still; a job comes, and both start it, each on VMs that the other has not
-// reached yet.
-// Cause: only jobs older than the new leader waited for the VMs to be heard.
+// Guards against tasks that run twice, within half a second after the store's return. The store
+// is away until the leader's lease expires; on its return another leader is elected while the
+// first is not yet aware of it and still accepts new jobs. Both start a job that arrives then,
+// each on VMs that the other has not reached. Only jobs older than the new leader waited for the
+// VMs' reports.
 func TestNewJobsWaitForVMsAfterTakeover(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
@@ -40,7 +39,7 @@
 	f.plan()
 	require.Len(t, f.started, 1)
 	require.Contains(t, f.started, "new.0.0.0")
-	// The watch tells of a job that was announced without its revision.
+	// The watch supplies the revision of a job that was announced without one.
 	job := &batch.Job{ID: "unknown", Steps: []batch.Step{tasks(1, 100)}}
 	f.s.Submit(f.now, Submission{Job: job, Queue: testQueue, Pool: "pool", CreatedRevision: 52})
 	f.advance(100 * time.Millisecond)
@@ -48,8 +47,8 @@
 	require.Contains(t, f.started, "unknown.0.0.0")
 }
 
-// Symptom: a task of an old job runs on two VMs after a change of leader.
-// Sequence: the old leader started it on a VM that the new one does not reach.
+// Guards against a task of an old job that runs on two VMs after a change of leader: the old
+// leader started it on a VM that the new one can't reach.
 func TestOldJobsWaitOutSilentVMs(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
@@ -69,7 +68,7 @@
 	require.Len(t, f.started, 1)
 }
 
-// A run that a VM lists is taken on, not started again.
+// Guards against restarting a run that a VM lists: it is adopted.
 func TestRunningTasksAreAdopted(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00"}, f.now+12*time.Second)
@@ -83,9 +82,9 @@
 	require.NotNil(t, f.s.PendingWrites())
 }
 
-// Symptom: a job fails after fewer failures than it may have.
-// Sequence: a failed end is recorded; the leader dies before it acknowledges it;
-// the next leader reads the record and is told the same end again.
+// Guards against a job that fails after fewer failures than allowed: a failed end is recorded,
+// the leader dies before acknowledging it, and the next leader reads the record and receives the
+// same end again.
 func TestFailedEndToldAgainCountsOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -101,7 +100,7 @@
 	require.Len(t, next.s.task(first.Task).failedRuns, 1)
 }
 
-// An end may be acknowledged only once the record that holds it is written.
+// Guards against lost ends: an end may be acknowledged only once its record is written.
 func TestEndsAreAcknowledgedAfterTheWrite(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -118,7 +117,7 @@
 	require.EqualValues(t, 1, hold.Acked)
 }
 
-// A job is shown as completed only once the store has it.
+// Guards against showing a job as completed before the store has it.
 func TestCompletedIsToldAfterTheWrite(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -133,9 +132,9 @@
 	require.Equal(t, batch.Completed, state)
 }
 
-// A VM of an earlier leader that is off the list and unheard is waited for until
-// every lease that that leader may have taken is over, and no longer: it may be cut
-// off together with it.
+// Guards against a wait that is too short or too long for a VM of an earlier leader that is
+// unlisted and unreported: it may be cut off together with that leader, and is awaited until
+// every lease that the leader may have taken has expired.
 func TestUnlistedVMsAreWaitedForUntilTheirLeasesAreOver(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00", "left"}, f.now+12*time.Second)
@@ -153,7 +152,8 @@
 	require.Len(t, f.started, 1)
 }
 
-// One that only lost the store is heard, and what it runs is taken over.
+// Guards against restarting the runs of an unlisted VM that has only lost the store: it responds,
+// and its runs are adopted.
 func TestUnlistedVMThatAnswersIsHeard(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00", "cut"}, f.now+12*time.Second)
@@ -165,11 +165,11 @@
 	require.Empty(t, f.started)
 }
 
-// A VM is unheard for longer than its lease, while its one run ends well; the task is
-// started elsewhere; the VM comes back and tells the end. The run was given up rightly,
-// though the VM, which ran nothing when the lease ran out, tells of no lapse: the end is
-// acknowledged, the task done, and the VM gets new work. It was withheld, and such VMs
-// stood idle for as long as the leader led.
+// Guards against VMs that stay idle for the rest of a leader's tenure. A VM is unreported for
+// longer than its lease while its one run ends well; the task is restarted elsewhere; the VM
+// returns and reports the end. The run was rightly declared lost, although the VM, which ran
+// nothing when the lease expired, reports no expiry. The end has to be acknowledged, the task
+// completed and the VM given new work; the acknowledgement used to be withheld.
 func TestEndOfARunWhoseLeaseRanOutIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -201,7 +201,8 @@
 	require.Len(t, f.started["new.0.0.1"], 1)
 }
 
-// Where the VM says that its lease lapsed after that end, it may be acknowledged.
+// Guards against withholding the acknowledgement of an end that a VM reports before the expiry of
+// its lease.
 func TestEndBeforeLapseIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -218,11 +219,9 @@
 	require.EqualValues(t, 2, hold.Acked)
 }
 
-// Symptom: a job is said to have failed though its tasks failed less often than
-// its queue allows.
-// Sequence: a leader takes over before it has a configuration, or with one that
-// does not have the job's queue any more; a task fails once.
-// Cause: a queue that is not known allowed one attempt.
+// Guards against a job that fails though its tasks failed less often than its queue allows: a
+// leader takes over without a configuration, or with one that lacks the job's queue, and a task
+// fails once. An unknown queue allowed a single attempt.
 func TestAttemptsOfAQueueThatIsNotConfigured(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s = New(Settings{MaxLease: 10 * time.Second}, 2, nil)
@@ -244,11 +243,10 @@
 	require.Len(t, f.started["j.0.0.0"], 2)
 }
 
-// Symptom: a task of a timed job runs twice after a change of leader.
-// Sequence: a new leader takes the job up; a VM tells that a task of an occurrence
-// is done, or that it runs, before the leader has looked at the time of day, or by
-// a clock that is behind the earlier leader's.
-// Cause: the end of a task that is not open was acknowledged and forgotten.
+// Guards against a task of a timed job that runs twice after a change of leader. A new leader
+// accepts the job, and a VM reports that a task of an occurrence runs or is done before the
+// leader has checked the time of day, or while its clock is behind the earlier leader's. The end
+// of a task that is not open was acknowledged and dropped.
 func TestEndOfAnOccurrenceThatIsNotOpenYet(t *testing.T) {
 	f := newFixture(t, 2)
 	job := &batch.Job{ID: "j", Steps: []batch.Step{tasks(1, 1000)}, Schedule: &batch.Schedule{FirstMS: 1000, IntervalMS: 1000, Count: 3}}
--- a/internal/scheduler/trials.go
+++ b/internal/scheduler/trials.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxTrialWait is how long a suspect waits for a VM of its own: a VM that takes
-	// nothing new has nothing new after two reports. Then it is started beside others; a
-	// task whose turn has come may not wait for much longer.
+	// maxTrialWait is how long a suspect waits for a VM without other recent runs: a VM that
+	// accepts nothing new has none after two reports. After that the suspect is started beside
+	// other runs, since a task whose turn has come may not wait much longer.
 	maxTrialWait = 2200 * time.Millisecond
-	// trialReservationDuration is how long a VM is kept for a suspect, which starts there as soon as
-	// nothing is new.
+	// trialReservationDuration is how long a VM is reserved for a suspect, which starts there as
+	// soon as no other run is recent.
 	trialReservationDuration = maxTrialWait + 300*time.Millisecond
-	// maxTrialShare is the share of the VMs that may be in use for trials at one time: the
-	// others go on taking what is new.
+	// maxTrialShare is the share of the VMs that may be used for trials at one time; the others
+	// go on accepting new tasks.
 	maxTrialShare = 0.25
-	// maxTrialCandidates bounds the VMs that are compared for one trial, maxSuspectsPerPass the
-	// suspects that are looked at in one pass: a thousand VMs are many, and suspects few.
+	// maxTrialCandidates bounds the VMs compared for one trial, maxSuspectsPerPass the suspects
+	// considered in one pass: there may be a thousand VMs, but suspects are few.
 	maxTrialCandidates = 64
 	maxSuspectsPerPass = 16
 )
 
-// trialUnit is what is on trial together: a gang, or a task.
+// trialUnit identifies what is on trial together: a gang or a single task.
 type trialUnit struct {
 	task *task
 	gang *step
@@ -35,7 +35,7 @@
 	return trialUnit{task: t}
 }
 
-// onTrial reports whether the VM is in use, or kept, for the trial of another task.
+// onTrial reports whether the VM is used or reserved for the trial of another task.
 func (v *vm) onTrial(now Time, t *task) bool {
 	if v.trialRun != nil && v.trialRun.task.unit() != t.unit() {
 		return true
@@ -43,7 +43,8 @@
 	return v.reservedTask != nil && now < v.reservedUntil && v.reservedTask.unit() != t.unit()
 }
 
-// hasRecentRunsOfOthers reports whether something is new on the VM beside the task.
+// hasRecentRunsOfOthers reports whether the VM has recent runs other than the task's and its
+// gang's.
 func (v *vm) hasRecentRunsOfOthers(t *task) bool {
 	for _, r := range v.runList {
 		if r.isRecent() && r.task.unit() != t.unit() {
@@ -53,7 +54,7 @@
 	return false
 }
 
-// endTrial opens the VM of a run for others, where the run was on trial.
+// endTrial reopens the VM of a run for other tasks if the run was on trial.
 func (s *Scheduler) endTrial(r *run) {
 	if r.vm.trialRun != r {
 		return
@@ -61,7 +62,7 @@
 	r.vm.trialRun = nil
 	for _, o := range r.vm.runList {
 		if o != r && o.task.unit() == r.task.unit() && o.isRecent() {
-			// Another member of the gang.
+			// The trial goes on with another member of the gang.
 			r.vm.trialRun = o
 			return
 		}
@@ -69,7 +70,7 @@
 	s.planNeeded = true
 }
 
-// countTrials counts the VMs that are in use or kept for trials.
+// countTrials counts the VMs that are used or reserved for trials.
 func (s *Scheduler) countTrials(now Time) int {
 	n := 0
 	for _, v := range s.vmList {
@@ -80,7 +81,8 @@
 	return n
 }
 
-// countResponding counts the VMs that are heard: the entry of one that has ended stays for seconds.
+// countResponding counts the responsive VMs. The entry of a VM that has ended stays for some
+// seconds.
 func (s *Scheduler) countResponding(now Time) int {
 	n := 0
 	for _, v := range s.vmList {
@@ -91,8 +93,8 @@
 	return n
 }
 
-// admitsSuspect reports whether a suspect is looked at in this pass, and lets its patience
-// begin in any case: those that wait for trials must not keep the others from starting.
+// admitsSuspect reports whether a suspect is considered in this pass. It starts the suspect's
+// wait in any case: suspects that wait for trials must not keep the others from starting.
 func (r *planPass) admitsSuspect(t *task) bool {
 	if t.suspectSince == 0 {
 		t.suspectSince = r.now
@@ -105,11 +107,11 @@
 	return *count <= maxSuspectsPerPass
 }
 
-// isOverdue reports whether a suspect has waited for a VM of its own for long enough.
+// isOverdue reports whether a suspect has waited for a VM of its own for maxTrialWait.
 func (t *task) isOverdue(now Time) bool { return now-t.suspectSince > maxTrialWait }
 
-// startSuspect starts a suspect in a trial, or keeps a VM for it. Of the VMs on which
-// nothing is new it takes the one that runs least: all that is lost if it ends.
+// startSuspect starts a suspect in a trial, or reserves a VM for it. Among the VMs without recent
+// runs it prefers the one with the fewest runs, since all of them are lost if it ends.
 func (s *Scheduler) startSuspect(now Time, t *task) {
 	s.clearStaleIntents(t)
 	s.evaluateCrashes(now, t)
@@ -135,7 +137,7 @@
 	}
 }
 
-// isSuspect reports whether a member of the gang is.
+// isSuspect reports whether a member of the gang is suspect.
 func (st *step) isSuspect() bool {
 	for k := range st.tasks {
 		if st.tasks[k].isSuspect() {
@@ -145,7 +147,7 @@
 	return false
 }
 
-// reserveGangTrial takes room for a gang in a trial: on VMs where nothing else is new.
+// reserveGangTrial reserves capacity for a gang in a trial, on VMs without other recent runs.
 func (s *Scheduler) reserveGangTrial(now Time, st *step) []*run {
 	first := &st.tasks[0]
 	for k := range st.tasks {
@@ -178,8 +180,8 @@
 	return held
 }
 
-// chooseForTrial returns the best VM on which nothing else is new, or nil. Members of a
-// gang share VMs: keeping some for them one by one would keep them from each other.
+// chooseForTrial returns the best VM without other recent runs, or nil. It reserves none: members
+// of a gang share VMs, and VMs reserved for single members would block the other members.
 func (s *Scheduler) chooseForTrial(now Time, t *task) *vm {
 	if v, free := s.trialVM(now, t); free {
 		return v
@@ -187,13 +189,13 @@
 	return nil
 }
 
-// reserveForTrial keeps a VM for a suspect.
+// reserveForTrial reserves a VM for a suspect.
 func (s *Scheduler) reserveForTrial(now Time, v *vm, t *task) {
 	v.reservedTask, v.reservedUntil, t.reservedVM = t, now+trialReservationDuration, v
 }
 
-// trialVM returns the best VM for a trial of the task among some that have room, and
-// whether nothing else is new there. One that is kept for the task stays the choice.
+// trialVM returns the best VM for a trial of the task among some that have capacity, and whether
+// no other run is recent there. A VM reserved for the task remains the choice.
 func (s *Scheduler) trialVM(now Time, t *task) (best *vm, free bool) {
 	if v := t.reservedVM; v != nil && s.vms[v.inst.ID] == v && v.reservedTask == t && now < v.reservedUntil && s.fitsTrial(now, v, t) {
 		return v, !v.hasRecentRunsOfOthers(t)
@@ -217,7 +219,7 @@
 	return best, free
 }
 
-// fitsTrial reports whether the VM may be given the task.
+// fitsTrial reports whether the task may be placed on the VM.
 func (s *Scheduler) fitsTrial(now Time, v *vm, t *task) bool {
 	if !s.hasCapacity(now, v, t.step.spec) || s.placementObstacle(now, v, t) != obstacleNone {
 		return false
@@ -226,8 +228,8 @@
 	return ok
 }
 
-// startExclusive starts a suspect on a VM that takes nothing else while the run is new. It is
-// a trial where nothing else is new there now.
+// startExclusive starts a suspect on a VM that accepts nothing else while the run is recent. It
+// is a trial if no other run is recent there now.
 func (s *Scheduler) startExclusive(now Time, t *task, v *vm, trial bool) {
 	r := s.start(now, t, v, t.intendedRun)
 	r.isTrial, r.exclusive, v.trialRun = trial, true, r
@@ -235,9 +237,9 @@
 	s.recordCrash(r, r.vm.incarnation(), crashUnconfirmed)
 }
 
-// recordIntent records a suspect's next run as doubted, and reports whether it may be started:
-// from the second crash on the store must have the record, or a leader that dies as the VM
-// ends takes the count with it.
+// recordIntent records a suspect's next run as an unconfirmed crash, and reports whether it may
+// be started. From the second crash on the store must have the record first, or a leader that
+// dies as the VM ends loses the count.
 func (s *Scheduler) recordIntent(t *task) bool {
 	if t.intendedRun == 0 {
 		s.setIntendedRun(t, s.nextRunNumber())
@@ -245,9 +247,9 @@
 	return t.hasDurableCrashes()
 }
 
-// clearStaleIntents takes the runs back that earlier leaders intended and that never began: a
-// task's next start waits until all VMs are heard that they may have used, so that such a run
-// has begun only where one of these has ended instead.
+// clearStaleIntents removes the runs that earlier leaders intended and that never began. A task's
+// next start waits until all VMs that these leaders may have used have reported, so that such a
+// run began only if one of those VMs ended instead.
 func (s *Scheduler) clearStaleIntents(t *task) {
 	if s.endedUnreported {
 		return
--- a/internal/scheduler/vmends.go
+++ b/internal/scheduler/vmends.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// VMs that end together have a cause of their own: a rack, a switch, power. To tell such an
-// end from one that a task has brought about, the ends of late are compared.
+// VMs that end together have a common cause: a rack, a switch or power. To distinguish such an
+// end from one caused by a task, recent ends are compared.
 
 const (
-	// minMassEnds is how many other VMs have to end together with one for their end to have
-	// a cause of its own.
+	// minMassEnds is how many other VMs must end together with one for a common cause to be
+	// assumed.
 	minMassEnds = 2
-	// simultaneousWindow is how far apart VMs may be seen to end that end together, maxCloseDetectionDelay
-	// how long before a connection is found closed the VM may have ended.
+	// simultaneousWindow is how far apart the ends of VMs that end together may be noticed.
+	// maxCloseDetectionDelay bounds the time from a VM's end until its connection is found
+	// closed.
 	simultaneousWindow     = 100 * time.Millisecond
 	maxCloseDetectionDelay = 200 * time.Millisecond
-	// startCrashWindow is how long before a VM's end is noticed a run has to have begun
-	// there to be likely to have ended it: a hold may wait for 0.15 s before it is sent.
+	// startCrashWindow is how long before a VM's end is noticed a run must have begun there to be
+	// a likely cause: a hold may wait for 0.15 s before it is sent.
 	startCrashWindow = 300 * time.Millisecond
-	// endRetention is how long the ends of VMs are kept to be compared: longer than it takes
-	// to conclude that another VM has ended, by its lease at the latest.
+	// endRetention is how long the ends of VMs are kept for comparison: longer than it takes to
+	// confirm that another VM has ended, at the latest by its lease.
 	endRetention = 15 * time.Second
 )
 
-// vmEnd is the end of a VM, or of its answers.
+// vmEnd is the end of a VM, or the time from which it was unresponsive.
 type vmEnd struct {
-	// It came after aliveAt, and was noticed at noticedAt.
+	// The VM ended after aliveAt, and this was noticed at noticedAt.
 	aliveAt, noticedAt Time
-	// byTask is set where a task may have ended it: it had begun just before. bySuspect is set
-	// where that was a suspect: on a busy fleet something has just begun on each VM.
+	// byTask is set if a task may have ended the VM since it had just begun there. bySuspect is
+	// set if that task was a suspect: on a busy fleet each VM has a recent start.
 	byTask, bySuspect bool
 	// recent are the tasks that had just begun.
 	recent []*task
-	// momentKnown is set where noticedAt is when it ended, but for a moment: a connection was closed.
+	// momentKnown is set if noticedAt is close to the end itself since a connection was closed.
 	momentKnown bool
 }
 
-// end describes the VM's end if it has ended.
+// end returns the VM's end, given that it has ended.
 func (v *vm) end(now Time) vmEnd {
 	e := vmEnd{aliveAt: v.lastReportAt, noticedAt: now}
 	if v.firstUnansweredAt > 0 {
@@ -57,13 +58,13 @@
 	return e
 }
 
-// recentBeside are the tasks other than this one, and its gang, that had just begun on the VM.
+// recentBeside returns the tasks that had just begun on the VM, other than this one and its gang.
 func (e *vmEnd) recentBeside(t *task) []*task {
 	return slices.DeleteFunc(slices.Clone(e.recent), func(o *task) bool { return o.unit() == t.unit() })
 }
 
-// isSimultaneous reports whether two VMs may have ended at the same moment. Two of which the moment
-// is known, and that tasks may have ended, have to agree closely.
+// isSimultaneous reports whether two VMs may have ended at the same moment. If both moments are
+// known and tasks may have caused both ends, the moments have to agree closely.
 func (e *vmEnd) isSimultaneous(other *vmEnd) bool {
 	if e.byTask && other.byTask && e.momentKnown && other.momentKnown {
 		return (e.noticedAt - other.noticedAt).Abs() <= simultaneousWindow
@@ -71,9 +72,9 @@
 	return e.aliveAt <= other.noticedAt+simultaneousWindow && e.noticedAt >= other.aliveAt-simultaneousWindow
 }
 
-// countSimultaneousEnds counts the VMs other than the one that ended, or stopped to answer, about when
-// it did, and that no suspect is likely to have ended. busy are those of them on which
-// something else had just begun, unsure those that only do not answer: they may live.
+// countSimultaneousEnds counts the other VMs that ended, or became unresponsive, at about the
+// same time and probably not by a suspect. busy counts those on which something else had just
+// begun; unsure lists those that are only unresponsive and may be alive.
 func (s *Scheduler) countSimultaneousEnds(now Time, ended vmIncarnation, end *vmEnd) (others, busy int, unsure []vmIncarnation) {
 	maps.DeleteFunc(s.recentVMEnds, func(_ vmIncarnation, e vmEnd) bool { return now-e.noticedAt > endRetention })
 	count := func(e *vmEnd) bool {
@@ -107,8 +108,8 @@
 	return ended
 }
 
-// inStorm reports whether as many VMs ended of late by no task as there are others that
-// answer: whatever ends them may have ended this one as well.
+// inStorm reports whether at least as many VMs recently ended for reasons other than tasks as
+// there are other responsive VMs. The same cause may have ended this one.
 func (s *Scheduler) inStorm(now Time, of vmIncarnation) bool {
 	ended := 0
 	for start, e := range s.recentVMEnds {
--- a/internal/scheduler/vms.go
+++ b/internal/scheduler/vms.go
@@ -9,15 +9,15 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// unresponsiveMargin is how much longer than a hold waits an instance may be unheard
-// before it gets no new work and no longer leases: a call travels a few
-// milliseconds, and one lost packet is sent again within 0.3 s.
+// unresponsiveMargin is how much longer than a hold's wait an instance may go without a report
+// before it gets no new work and no longer leases: a call travels for a few milliseconds, and a
+// lost packet is resent within 0.3 s.
 const unresponsiveMargin = 900 * time.Millisecond
 
-// isUnresponsive reports whether the instance has been unheard for too long to be given work.
+// isUnresponsive reports whether the instance's last report is too old for it to be given work.
 func (v *vm) isUnresponsive(now Time) bool { return now-v.lastReportAt > v.holdWait+unresponsiveMargin }
 
-// SetInstances takes the store's list over.
+// SetInstances applies the store's list.
 func (s *Scheduler) SetInstances(now Time, list []batch.Instance) {
 	s.listReadAt = now
 	listed := make(map[string]bool, len(list))
@@ -53,8 +53,8 @@
 	s.recordCapacity(v, before)
 }
 
-// AddUnlisted names an instance that earlier leaders used and that is off the
-// list: it is held like the others, since it may only have lost the store.
+// AddUnlisted adds an instance that earlier leaders used and that is off the list. It gets holds
+// like the others, since it may only have lost its connection to the store.
 func (s *Scheduler) AddUnlisted(now Time, inst batch.Instance) {
 	if s.vms[inst.ID] != nil {
 		return
@@ -83,12 +83,12 @@
 	sort.Slice(s.vmList, func(i, k int) bool { return s.vmList[i].inst.ID < s.vmList[k].inst.ID })
 }
 
-// AwaitedInstances returns the instances that are still waited for, by ID.
+// AwaitedInstances returns the instances that are still awaited, by ID.
 func (s *Scheduler) AwaitedInstances() []string { return slices.Sorted(maps.Keys(s.awaitedVMs)) }
 
-// RecordedInstances returns the instances that a successor has to hear or to wait for, by ID:
-// those that may be given work, and those where a lease may live. One that has left and
-// whose lease is over would keep a successor waiting for nothing.
+// RecordedInstances returns, by ID, the instances that a successor has to reach or wait for:
+// those that may be given work, and those where a lease may still be valid. An unlisted instance
+// whose lease has expired is left out, or a successor would wait for it in vain.
 func (s *Scheduler) RecordedInstances(now Time) map[string]batch.Instance {
 	out := make(map[string]batch.Instance, len(s.vms))
 	for id, v := range s.vms {
@@ -99,8 +99,8 @@
 	return out
 }
 
-// Instance returns a VM as orders are given to it; its Born is that of the start that
-// reports. ok is false where it is not known.
+// Instance returns a VM as orders address it; its Born is that of the reporting incarnation. ok
+// is false if the VM is unknown.
 func (s *Scheduler) Instance(id string) (inst batch.Instance, ok bool) {
 	v := s.vms[id]
 	if v == nil {
@@ -111,7 +111,7 @@
 	return inst, true
 }
 
-// Instances returns the instances to be held, by ID.
+// Instances returns the instances to send holds to, by ID.
 func (s *Scheduler) Instances() map[string]batch.Instance {
 	out := make(map[string]batch.Instance, len(s.vms))
 	for id, v := range s.vms {
@@ -120,8 +120,8 @@
 	return out
 }
 
-// lifecycleDecision is a log line on a VM's life, with what is known of its lease. Value
-// is how many runs it had.
+// lifecycleDecision returns a log line on a VM's lifecycle with the status of its lease. Value is
+// the number of its runs.
 func (v *vm) lifecycleDecision(now Time, event, reason string) Decision {
 	d := Decision{Event: event, VM: v.inst.ID, Reason: reason, Value: float64(len(v.runs)), RecentRuns: v.recentRuns(), SinceReport: now - v.lastReportAt}
 	if v.leaseExpiry > 0 {
@@ -130,19 +130,19 @@
 	return d
 }
 
-// reasonUnlisted: an instance is taken out that has left the list and runs nothing for
-// certain. It may live.
+// reasonUnlisted is the reason for removing an unlisted instance that certainly runs nothing. It
+// may be alive.
 const reasonUnlisted = "unlisted"
 
-// RemoveReplaced takes a VM out at whose address another VM answers: the start that was there, as
-// Instance told it, has ended. A later one may be elsewhere.
+// RemoveReplaced removes a VM at whose address another VM responds: the incarnation that was
+// there, as returned by Instance, has ended. A later one may be at another address.
 func (s *Scheduler) RemoveReplaced(now Time, inst *batch.Instance) {
 	if v := s.vms[inst.ID]; v != nil && v.matchesBirth(inst.Born) && v.inst.Address == inst.Address {
 		s.RemoveInstance(now, inst.ID, "another instance answers")
 	}
 }
 
-// RemoveInstance takes an instance out whose life has certainly ended, or that runs nothing.
+// RemoveInstance removes an instance that has certainly ended, or that runs nothing.
 func (s *Scheduler) RemoveInstance(now Time, id, reason string) {
 	awaited := s.isAwaited(id)
 	delete(s.awaitedVMs, id)
@@ -152,7 +152,7 @@
 	}
 	s.logf(v.lifecycleDecision(now, EventVMGone, reason))
 	if reason == reasonUnlisted {
-		// What was in doubt there stays so.
+		// Its unconfirmed crashes stay recorded as such.
 		delete(s.unconfirmedCrashes, v.incarnation())
 	} else {
 		s.handleVMEnd(now, v, awaited)
@@ -164,7 +164,7 @@
 	s.planNeeded = true
 }
 
-// dropRuns counts everything on v as ended.
+// dropRuns treats all runs on v as ended.
 func (s *Scheduler) dropRuns(now Time, v *vm, reason string) {
 	s.clearUnwanted(v)
 	for _, r := range v.runList {
@@ -172,7 +172,7 @@
 	}
 }
 
-// dropRun counts a run as ended whose end nobody has told.
+// dropRun treats a run as ended although no end was reported.
 func (s *Scheduler) dropRun(now Time, r *run, reason string) {
 	s.logf(Decision{
 		Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: reason, Age: now - r.orderedAt,
@@ -181,16 +181,15 @@
 	s.releaseLostRun(now, r)
 }
 
-// maxAckDelay is how long after a report its ends may be acknowledged. A later start of the
-// VM that takes the acknowledgement for its own forgets ends that it has not told; within
-// this time it can't have begun and ended a run. The client of the VMs sees to it that the
-// acknowledgement is not held up on its way for longer.
+// maxAckDelay is how long after a report its ends may be acknowledged. A later incarnation that
+// receives the acknowledgement would forget ends of its own that it has not reported; within this
+// time it can't have begun and ended a run. The client of the VMs ensures that an acknowledgement
+// is not delayed on its way for longer.
 const maxAckDelay = 500 * time.Millisecond
 
-// Hold returns the order that renews an instance's lease, given that it is sent
-// now. While the last hold has no answer the lease is not renewed: it must be
-// able to run out, so that what ran there may be started elsewhere; and nothing is
-// acknowledged, since another start of the VM may answer.
+// Hold returns the order that renews an instance's lease, given that it is sent now. While the
+// last hold is unanswered the lease is not renewed, so that it can expire and its runs can be
+// restarted elsewhere. Nor are ends acknowledged, since another incarnation may respond.
 func (s *Scheduler) Hold(now Time, id string, wait time.Duration) (batch.HoldOrder, bool) {
 	v := s.vms[id]
 	if v == nil {
@@ -208,14 +207,14 @@
 	return o, true
 }
 
-// HasUnackedEnds reports whether an instance has told ends that may not be
-// acknowledged yet, since their effect is not durable.
+// HasUnackedEnds reports whether an instance has reported ends that may not be acknowledged yet,
+// since their effects are not durable.
 func (s *Scheduler) HasUnackedEnds(id string) bool {
 	v := s.vms[id]
 	return v != nil && v.processedSeq > v.ackableSeq()
 }
 
-// Tick does what is due by time alone; call it before each plan.
+// Tick performs the work that is due by time alone; call it before each plan.
 func (s *Scheduler) Tick(now Time) {
 	s.logLoad(now)
 	s.logInterference(now)
@@ -227,7 +226,7 @@
 	}
 }
 
-// logInterference logs what was learned, now and then.
+// logInterference logs the learned interference every interferenceLogInterval.
 func (s *Scheduler) logInterference(now Time) {
 	if now-s.interferenceLoggedAt > interferenceLogInterval && len(s.images.slopesByServing) > 0 {
 		s.interferenceLoggedAt = now
@@ -235,9 +234,9 @@
 	}
 }
 
-// tickVM counts what an unheard instance held as ended once its lease is over,
-// starts copies of it where that is allowed, empties one that leaves, and takes
-// out one whose life has ended.
+// tickVM copies the runs of an unreported instance where that is allowed, treats them as ended
+// once its lease has expired, evacuates a draining instance, and removes an unlisted one that
+// runs nothing.
 func (s *Scheduler) tickVM(now Time, id string, v *vm) {
 	s.copyUnreachable(now, v)
 	if v.hasReported && now > v.leaseExpiry {
@@ -255,9 +254,8 @@
 	}
 }
 
-// evacuateDraining moves what lasts off a VM that leaves, one task of a step at a
-// time: each is away for its stop and its startup only, not until the VM is known
-// to have left.
+// evacuateDraining moves lasting tasks off a draining VM, one task of a step at a time. Each is
+// away only for its stop and its startup, not until the VM has left.
 func (s *Scheduler) evacuateDraining(now Time, v *vm) {
 	for _, r := range v.runList {
 		if r.task.step.spec.Lasting {
