--- a/internal/scheduler/crashes.go
+++ b/internal/scheduler/crashes.go
@@ -16,9 +16,9 @@
 //
 // A VM that ends while a run on it is recent makes the run's task suspect. A suspect is restarted
 // in a trial: on a VM with no other recent run, where nothing else is started before the trial's
-// run has lived for newFor. If a VM ends in a trial, and the only other VMs that end with it had
-// just begun something too, the end is attributed to the task. A task that has run on a VM for
-// long enough is cleared.
+// run has lived for recentRunDuration. If a VM ends in a trial, and the only other VMs that end
+// with it had just begun something too, the end is attributed to the task. A task that has run on
+// a VM for long enough is cleared.
 
 // crashKind classifies what a VM's end implies about a task that had just begun there.
 type crashKind int64
@@ -63,17 +63,17 @@
 }
 
 const (
-	// maxIsolatedCrashes is how many ends in trials make a task fail. The first VM's end made it
+	// isolatedCrashLimit is how many ends in trials make a task fail. The first VM's end made it
 	// a suspect, so three VMs have ended under it by then.
 	isolatedCrashLimit = 2
-	// maxCrashes is how many ends in all make a task fail if trials are inconclusive, because
+	// totalCrashLimit is how many ends in all make a task fail if trials are inconclusive, because
 	// other VMs ended each time or no VM was free. A task that crashes its VMs may be started
 	// twice after the third end; a limit at the fourth start leaves one for an end that a leader
 	// which died did not record.
 	totalCrashLimit = 4
 	// weakCrashDivisor is how many ends during a storm, or unseen ends, count as one other end.
 	weakCrashDivisor = 2
-	// maxPossibleCrashes is how many ends, unconfirmed ones included, make a task fail if its VMs
+	// possibleCrashLimit is how many ends, unconfirmed ones included, make a task fail if its VMs
 	// never report again.
 	possibleCrashLimit = 5
 	// maxUnplacedCrashes bounds the unconfirmed crashes counted for runs without a recorded VM:
@@ -133,17 +133,17 @@
 }
 
 // recordCrash adds a run and the incarnation of the VM that it was on to its job's record.
-func (s *Scheduler) recordCrash(r *run, start vmIncarnation, kind crashKind) {
-	r.task.setCrash(r.toCrash(kind, start))
+func (s *Scheduler) recordCrash(r *run, inc vmIncarnation, kind crashKind) {
+	r.task.setCrash(r.toCrash(kind, inc))
 	s.markCrashesChanged(r.task)
 	if kind == crashUnconfirmed {
-		s.addUnconfirmed(start, r.task, r.number)
+		s.addUnconfirmed(inc, r.task, r.number)
 	}
 }
 
 // toCrash returns the record of a crash of the run on an incarnation of a VM.
-func (r *run) toCrash(kind crashKind, start vmIncarnation) crash {
-	return crash{run: r.number, kind: kind, vm: start, lived: r.minLifetime() >= startCrashWindow}
+func (r *run) toCrash(kind crashKind, inc vmIncarnation) crash {
+	return crash{run: r.number, kind: kind, vm: inc, lived: r.minLifetime() >= startCrashWindow}
 }
 
 // crash returns the crash recorded for a run, or nil.
@@ -208,8 +208,8 @@
 // handleVMEnd processes the confirmed end of a VM and of everything that ran there. awaited is
 // set if an earlier leader may have used the VM.
 func (s *Scheduler) handleVMEnd(now Time, v *vm, awaited bool) {
-	start := v.incarnation()
-	if s.hasEnded(start) {
+	inc := v.incarnation()
+	if s.hasEnded(inc) {
 		// The entry of an ended incarnation stays listed for some seconds and was taken for an
 		// unresponsive VM. It is now removed a second time, at a moment unrelated to the end.
 		return
@@ -219,9 +219,9 @@
 		if !v.initiallyStale {
 			s.endedUnreported = s.endedUnreported || awaited
 			end := v.end(now)
-			end.byTask = len(s.unconfirmedCrashes[start]) > 0
+			end.byTask = len(s.unconfirmedCrashes[inc]) > 0
 			end.bySuspect = end.byTask
-			s.recentVMEnds[start] = end
+			s.recentVMEnds[inc] = end
 		}
 		s.resolveEarlierIncarnations(now, v)
 		return
@@ -242,7 +242,7 @@
 	weightUnconfirmed
 	weightWhole
 	weightPaired
-	weightAlone
+	weightIsolated
 )
 
 // weight returns how strongly a crash counts against the task. One whose run is running or
@@ -250,7 +250,7 @@
 func (t *task) weight(c *crash) crashWeight {
 	switch c.kind {
 	case crashIsolated:
-		return weightAlone
+		return weightIsolated
 	case crashPaired:
 		return weightPaired
 	case crashShared:
@@ -278,7 +278,7 @@
 		if k == i || other.vm != c.vm {
 			continue
 		}
-		if by := cmp.Compare(t.weight(other), t.weight(c)); by > 0 || (by == 0 && k < i) {
+		if order := cmp.Compare(t.weight(other), t.weight(c)); order > 0 || (order == 0 && k < i) {
 			return true
 		}
 	}
@@ -287,15 +287,15 @@
 
 // evaluateCrashes fails the job of a task that has crashed too many VMs.
 func (s *Scheduler) evaluateCrashes(now Time, t *task) {
-	alone, counted, doubted, weak, unplaced := 0, 0, 0, 0, 0
+	isolated, counted, unconfirmed, weak, unplaced := 0, 0, 0, 0, 0
 	for i := range t.crashes {
 		c := &t.crashes[i]
 		if t.isDuplicateEnd(i) {
 			continue
 		}
 		switch t.weight(c) {
-		case weightAlone:
-			alone++
+		case weightIsolated:
+			isolated++
 			counted++
 		case weightPaired:
 			counted++
@@ -306,7 +306,7 @@
 			if c.vm.id == "" {
 				unplaced++
 			} else {
-				doubted++
+				unconfirmed++
 			}
 		case weightHalf:
 			weak++
@@ -314,30 +314,30 @@
 		}
 	}
 	counted += weak / weakCrashDivisor
-	doubted += min(unplaced, maxUnplacedCrashes)
-	if alone < isolatedCrashLimit && counted < totalCrashLimit && counted+doubted < possibleCrashLimit {
+	unconfirmed += min(unplaced, maxUnplacedCrashes)
+	if isolated < isolatedCrashLimit && counted < totalCrashLimit && counted+unconfirmed < possibleCrashLimit {
 		return
 	}
 	s.finish(now, t.step.occ.job, batch.Failed, "VMs ended as they began "+t.id().String())
 }
 
 // An unconfirmed crash outlives its run: the leases may have expired, or another leader may have
-// taken over. doubts holds the unconfirmed crashes of each VM. The VM's next report clears them
-// and its confirmed end classifies them; missing reports prove nothing.
+// taken over. unconfirmedCrashes holds the unconfirmed crashes of each VM. The VM's next report
+// clears them and its confirmed end classifies them; missing reports prove nothing.
 
 // addUnconfirmed records that a run's VM may have ended under it.
-func (s *Scheduler) addUnconfirmed(start vmIncarnation, t *task, number int64) {
-	if s.unconfirmedCrashes[start] == nil {
-		s.unconfirmedCrashes[start] = map[*task]int64{}
+func (s *Scheduler) addUnconfirmed(inc vmIncarnation, t *task, number int64) {
+	if s.unconfirmedCrashes[inc] == nil {
+		s.unconfirmedCrashes[inc] = map[*task]int64{}
 	}
-	s.unconfirmedCrashes[start][t] = number
+	s.unconfirmedCrashes[inc][t] = number
 }
 
 // removeUnconfirmed removes the unconfirmed crash of a task on a VM.
-func (s *Scheduler) removeUnconfirmed(start vmIncarnation, t *task) {
-	delete(s.unconfirmedCrashes[start], t)
-	if len(s.unconfirmedCrashes[start]) == 0 {
-		delete(s.unconfirmedCrashes, start)
+func (s *Scheduler) removeUnconfirmed(inc vmIncarnation, t *task) {
+	delete(s.unconfirmedCrashes[inc], t)
+	if len(s.unconfirmedCrashes[inc]) == 0 {
+		delete(s.unconfirmedCrashes, inc)
 	}
 }
 
@@ -357,36 +357,36 @@
 
 // sortedTasks returns the tasks of unconfirmed crashes ordered by run number; members of a gang
 // share one.
-func sortedTasks(doubts map[*task]int64) []*task {
-	if len(doubts) == 0 {
+func sortedTasks(runs map[*task]int64) []*task {
+	if len(runs) == 0 {
 		return nil
 	}
-	return slices.SortedFunc(maps.Keys(doubts), func(a, b *task) int {
-		return cmp.Or(cmp.Compare(doubts[a], doubts[b]), cmp.Compare(a.index, b.index))
+	return slices.SortedFunc(maps.Keys(runs), func(a, b *task) int {
+		return cmp.Or(cmp.Compare(runs[a], runs[b]), cmp.Compare(a.index, b.index))
 	})
 }
 
 // clearUnconfirmed clears the unconfirmed crashes of a VM that is alive: a run that it neither
 // lists nor reported the end of never began there. Runs that are still tracked stay unconfirmed.
-func (s *Scheduler) clearUnconfirmed(start vmIncarnation) {
-	doubts := s.unconfirmedCrashes[start]
-	for _, t := range sortedTasks(doubts) {
-		number := doubts[t]
+func (s *Scheduler) clearUnconfirmed(inc vmIncarnation) {
+	unconfirmed := s.unconfirmedCrashes[inc]
+	for _, t := range sortedTasks(unconfirmed) {
+		number := unconfirmed[t]
 		if !t.hasRun(number) {
 			s.clearCrash(t, number)
-			s.removeUnconfirmed(start, t)
+			s.removeUnconfirmed(inc, t)
 		}
 	}
 }
 
 // resolveUnconfirmed classifies the unconfirmed crashes of an incarnation that has ended.
-func (s *Scheduler) resolveUnconfirmed(now Time, start vmIncarnation, verdictOn func(c *crash) crashKind) {
-	doubts := s.unconfirmedCrashes[start]
-	delete(s.unconfirmedCrashes, start)
-	for _, t := range sortedTasks(doubts) {
-		number := doubts[t]
+func (s *Scheduler) resolveUnconfirmed(now Time, inc vmIncarnation, classify func(c *crash) crashKind) {
+	unconfirmed := s.unconfirmedCrashes[inc]
+	delete(s.unconfirmedCrashes, inc)
+	for _, t := range sortedTasks(unconfirmed) {
+		number := unconfirmed[t]
 		if c := t.crash(number); c != nil && c.kind == crashUnconfirmed && !t.step.occ.job.state.Final() {
-			s.setCrashKind(now, t, c, verdictOn(c))
+			s.setCrashKind(now, t, c, classify(c))
 		}
 	}
 }
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -43,8 +43,8 @@
 			}
 		}
 	}
-	news := append(crashes, started...)
-	return news[:min(len(news), maxCrashReports)]
+	reports := append(crashes, started...)
+	return reports[:min(len(reports), maxCrashReports)]
 }
 
 // crashReport returns the row for a crash of the task.
@@ -57,18 +57,18 @@
 	if t.done || j.state.Final() {
 		return nil
 	}
-	var news []CrashReport
+	var reports []CrashReport
 	for _, c := range t.crashes {
 		if c.vm.id != "" && j.writtenVersion < t.crashVersion {
-			news = append(news, t.crashReport(c))
+			reports = append(reports, t.crashReport(c))
 		}
 	}
 	for _, r := range t.runs {
 		if r.vm.firstUnansweredAt > 0 && r.mayHaveCrashed() && t.crash(r.number) == nil {
-			news = append(news, t.crashReport(r.toCrash(crashUnconfirmed, r.vm.incarnation())))
+			reports = append(reports, t.crashReport(r.toCrash(crashUnconfirmed, r.vm.incarnation())))
 		}
 	}
-	return news
+	return reports
 }
 
 // unloggedStarts returns rows for recent runs on responsive VMs that are not in the log of
@@ -77,36 +77,36 @@
 	if t.done || t.step.occ.job.state.Final() {
 		return nil
 	}
-	var news []CrashReport
+	var reports []CrashReport
 	for _, r := range t.runs {
 		if r.vm.firstUnansweredAt == 0 && r.mayHaveCrashed() && !r.inStartLog && t.crash(r.number) == nil {
-			news = append(news, t.crashReport(r.toCrash(crashUnloggedStart, r.vm.incarnation())))
+			reports = append(reports, t.crashReport(r.toCrash(crashUnloggedStart, r.vm.incarnation())))
 		}
 	}
-	return news
+	return reports
 }
 
 // AcceptCrashReports processes the crashes that an earlier leader reports.
-func (s *Scheduler) AcceptCrashReports(now Time, news []CrashReport) {
-	for i := range news {
-		n := &news[i]
-		if n.Task.Step < 0 || n.Task.Index < 0 {
+func (s *Scheduler) AcceptCrashReports(now Time, reports []CrashReport) {
+	for i := range reports {
+		rep := &reports[i]
+		if rep.Task.Step < 0 || rep.Task.Index < 0 {
 			continue
 		}
-		if _, known := crashKindNames[crashKind(n.Kind)]; !known {
+		if _, known := crashKindNames[crashKind(rep.Kind)]; !known {
 			// The kind is from another version of the program.
 			continue
 		}
-		if crashKind(n.Kind) == crashUnloggedStart {
-			s.inheritStart(now, &inheritedStart{task: n.Task, run: n.Run, vm: vmIncarnation{n.VM, n.Born}})
+		if crashKind(rep.Kind) == crashUnloggedStart {
+			s.inheritStart(now, &inheritedStart{task: rep.Task, run: rep.Run, vm: vmIncarnation{rep.VM, rep.Born}})
 			continue
 		}
-		t := s.task(n.Task)
-		if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(n.Run) {
+		t := s.task(rep.Task)
+		if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(rep.Run) {
 			continue
 		}
-		c := crash{run: n.Run, kind: crashKind(n.Kind), vm: vmIncarnation{n.VM, n.Born}, lived: n.Lived}
-		known := t.crash(n.Run)
+		c := crash{run: rep.Run, kind: crashKind(rep.Kind), vm: vmIncarnation{rep.VM, rep.Born}, lived: rep.Lived}
+		known := t.crash(rep.Run)
 		switch {
 		case known == nil && c.kind == crashUnconfirmed:
 			s.addUnconfirmed(c.vm, t, c.run)
@@ -117,7 +117,7 @@
 		}
 		t.setCrash(c)
 		s.markCrashesChanged(t)
-		s.logf(Decision{Event: EventCrashNoted, Task: t.id(), VM: n.VM, Run: n.Run, Reason: "told: " + crashKindNames[c.kind], Value: float64(len(t.crashes)), Born: n.Born})
+		s.logf(Decision{Event: EventCrashNoted, Task: t.id(), VM: rep.VM, Run: rep.Run, Reason: "told: " + crashKindNames[c.kind], Value: float64(len(t.crashes)), Born: rep.Born})
 		s.evaluateCrashes(now, t)
 	}
 }
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -98,14 +98,14 @@
 
 // inheritedOn returns the incarnations of a VM with inherited starts, ordered by birth.
 func (s *Scheduler) inheritedOn(id string) []vmIncarnation {
-	var on []vmIncarnation
-	for start := range s.startLog.inherited {
-		if start.id == id {
-			on = append(on, start)
+	var incs []vmIncarnation
+	for inc := range s.startLog.inherited {
+		if inc.id == id {
+			incs = append(incs, inc)
 		}
 	}
-	slices.SortFunc(on, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
-	return on
+	slices.SortFunc(incs, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
+	return incs
 }
 
 // resolveFromReport resolves the starts on a VM by its first complete report: a start that the
@@ -114,10 +114,10 @@
 	if rep.MoreEnded || len(s.startLog.inherited) == 0 {
 		return
 	}
-	told := reportedRuns(rep)
-	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(start) {
-			if v.matchesBirth(start.born) || told[runKey{i.task, i.run}] {
+	reported := reportedRuns(rep)
+	for _, inc := range s.inheritedOn(v.inst.ID) {
+		for _, i := range s.removeInherited(inc) {
+			if v.matchesBirth(inc.born) || reported[runKey{i.task, i.run}] {
 				i.resolveAlive(v)
 				continue
 			}
@@ -133,8 +133,8 @@
 		s.resolveInherited(now, v.inst.ID, crashUnseen)
 		return
 	}
-	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(start) {
+	for _, inc := range s.inheritedOn(v.inst.ID) {
+		for _, i := range s.removeInherited(inc) {
 			i.resolved = true
 		}
 	}
@@ -142,17 +142,17 @@
 
 // resolveInherited records a crash of the given kind for every inherited start on a VM.
 func (s *Scheduler) resolveInherited(now Time, id string, kind crashKind) {
-	for _, start := range s.inheritedOn(id) {
-		for _, i := range s.removeInherited(start) {
+	for _, inc := range s.inheritedOn(id) {
+		for _, i := range s.removeInherited(inc) {
 			s.recordInheritedCrash(now, i, kind)
 		}
 	}
 }
 
-func (s *Scheduler) removeInherited(start vmIncarnation) []*inheritedStart {
-	taken := s.startLog.inherited[start]
-	delete(s.startLog.inherited, start)
-	return taken
+func (s *Scheduler) removeInherited(inc vmIncarnation) []*inheritedStart {
+	starts := s.startLog.inherited[inc]
+	delete(s.startLog.inherited, inc)
+	return starts
 }
 
 // recordInheritedCrash records what the end of a VM implies about a start by an earlier leader.
--- a/internal/scheduler/judgedends.go
+++ b/internal/scheduler/judgedends.go
@@ -19,12 +19,11 @@
 // vmEndRecord is the end of an incarnation and its classification for the runs that were recent
 // there.
 type vmEndRecord struct {
-	start vmIncarnation
-	end   vmEnd
+	inc vmIncarnation
+	end vmEnd
 	// classifyBy is the latest time of classification.
 	classifyBy Time
-	// trials are the runs on trial there, and those that were the last to begin and had just
-	// begun.
+	// trials are the runs on trial there, and the exclusive runs that had just begun.
 	trials map[int64]endInTrial
 	// classified is set once kind, simultaneous and withRecentStart hold: how many VMs ended with
 	// it, and how many of these had a recent start.
@@ -49,9 +48,9 @@
 // kindFor classifies a run by this end. During a storm, a trial is conclusive only if the VM
 // ended just as the run began, and less so if another task's run began at the same moment.
 func (e *vmEndRecord) kindFor(number int64) crashKind {
-	trial, tried := e.trials[number]
+	trial, onTrial := e.trials[number]
 	switch {
-	case !tried || e.simultaneous > 0:
+	case !onTrial || e.simultaneous > 0:
 		return e.kind
 	case e.kind != crashStorm:
 		return crashIsolated
@@ -66,17 +65,17 @@
 // recordEnd records the end of an incarnation that had reported. It returns nil if the end
 // implies nothing about its runs: the VM was about to end, or the end is already recorded.
 func (s *Scheduler) recordEnd(now Time, v *vm) *vmEndRecord {
-	start := v.incarnation()
-	if s.hasEnded(start) {
+	inc := v.incarnation()
+	if s.hasEnded(inc) {
 		return nil
 	}
 	end := v.end(now)
-	s.recentVMEnds[start] = end
+	s.recentVMEnds[inc] = end
 	if v.inst.Draining || v.closed {
-		s.clearUnconfirmed(start)
+		s.clearUnconfirmed(inc)
 		return nil
 	}
-	e := &vmEndRecord{start: start, end: end, classifyBy: end.noticedAt + classifyDelay, trials: map[int64]endInTrial{}}
+	e := &vmEndRecord{inc: inc, end: end, classifyBy: end.noticedAt + classifyDelay, trials: map[int64]endInTrial{}}
 	s.classifiedVMEnds = append(s.classifiedVMEnds, e)
 	return e
 }
@@ -94,7 +93,7 @@
 		s.handleCrash(now, r, e.kindFor(r.number))
 		return
 	}
-	s.recordCrash(r, e.start, crashUnconfirmed)
+	s.recordCrash(r, e.inc, crashUnconfirmed)
 }
 
 // hasUnconfirmedStart reports whether a run other than r may have begun on the VM at any moment,
@@ -108,14 +107,14 @@
 // one that reports, or all if none does.
 func (s *Scheduler) resolveEarlierIncarnations(now Time, v *vm) {
 	var ended []vmIncarnation
-	for start := range s.unconfirmedCrashes {
-		if start.id == v.inst.ID && (!v.hasReported || !v.matchesBirth(start.born)) && !s.isUnclassified(start) {
-			ended = append(ended, start)
+	for inc := range s.unconfirmedCrashes {
+		if inc.id == v.inst.ID && (!v.hasReported || !v.matchesBirth(inc.born)) && !s.isUnclassified(inc) {
+			ended = append(ended, inc)
 		}
 	}
 	slices.SortFunc(ended, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
-	for _, start := range ended {
-		s.resolveUnconfirmed(now, start, earlierCrashKind)
+	for _, inc := range ended {
+		s.resolveUnconfirmed(now, inc, earlierCrashKind)
 	}
 }
 
@@ -129,8 +128,8 @@
 	return crashShared
 }
 
-func (s *Scheduler) isUnclassified(start vmIncarnation) bool {
-	return slices.ContainsFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return e.start == start && !e.classified })
+func (s *Scheduler) isUnclassified(inc vmIncarnation) bool {
+	return slices.ContainsFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return e.inc == inc && !e.classified })
 }
 
 // awaitsClassification reports whether the task's next start has to wait until the ends of its
@@ -151,7 +150,7 @@
 		if e.classified {
 			continue
 		}
-		e.simultaneous, e.withRecentStart, e.unconfirmed = s.countSimultaneousEnds(now, e.start, &e.end)
+		e.simultaneous, e.withRecentStart, e.unconfirmed = s.countSimultaneousEnds(now, e.inc, &e.end)
 		if e.simultaneous >= minMassEnds || now >= e.classifyBy || s.othersReportedSince(e) {
 			s.classifyEnd(now, e)
 		}
@@ -162,7 +161,7 @@
 // othersReportedSince reports whether all other VMs have reported since the end.
 func (s *Scheduler) othersReportedSince(e *vmEndRecord) bool {
 	for _, v := range s.vmList {
-		if v.inst.ID != e.start.id && v.lastReportAt <= e.end.noticedAt && !s.hasEnded(v.incarnation()) {
+		if v.inst.ID != e.inc.id && v.lastReportAt <= e.end.noticedAt && !s.hasEnded(v.incarnation()) {
 			return false
 		}
 	}
@@ -174,21 +173,21 @@
 	switch {
 	case e.simultaneous >= minMassEnds:
 		e.kind = crashMass
-	case s.inStorm(now, e.start):
+	case s.inStorm(now, e.inc):
 		e.kind = crashStorm
 	}
-	e.runs = maps.Clone(s.unconfirmedCrashes[e.start])
-	s.resolveUnconfirmed(now, e.start, func(c *crash) crashKind { return e.kindFor(c.run) })
+	e.runs = maps.Clone(s.unconfirmedCrashes[e.inc])
+	s.resolveUnconfirmed(now, e.inc, func(c *crash) crashKind { return e.kindFor(c.run) })
 }
 
 // confirmSuspect attributes to a task the earlier ends of VMs on which it had just begun, after a
 // VM has ended in its trial. Ends that were classified by counting those are reclassified.
 func (s *Scheduler) confirmSuspect(now Time, t *task) {
 	found := false
-	for start, e := range s.recentVMEnds {
+	for inc, e := range s.recentVMEnds {
 		if !e.bySuspect && slices.Contains(e.recent, t) {
 			e.bySuspect, found = true, true
-			s.recentVMEnds[start] = e
+			s.recentVMEnds[inc] = e
 		}
 	}
 	if !found {
@@ -199,7 +198,7 @@
 			continue
 		}
 		before := e.withRecentStart
-		if e.simultaneous, e.withRecentStart, e.unconfirmed = s.countSimultaneousEnds(now, e.start, &e.end); e.withRecentStart < before {
+		if e.simultaneous, e.withRecentStart, e.unconfirmed = s.countSimultaneousEnds(now, e.inc, &e.end); e.withRecentStart < before {
 			s.reclassifyEnd(now, e)
 		}
 	}
@@ -227,9 +226,9 @@
 
 // confirmAlive corrects the ends that counted an unresponsive incarnation as ended with them,
 // after it has responded again.
-func (s *Scheduler) confirmAlive(now Time, start vmIncarnation) {
+func (s *Scheduler) confirmAlive(now Time, inc vmIncarnation) {
 	for _, e := range slices.Clone(s.classifiedVMEnds) {
-		if i := slices.Index(e.unconfirmed, start); e.classified && i >= 0 {
+		if i := slices.Index(e.unconfirmed, inc); e.classified && i >= 0 {
 			e.unconfirmed = slices.Delete(e.unconfirmed, i, i+1)
 			e.simultaneous--
 			e.withRecentStart = min(e.withRecentStart, e.simultaneous)
@@ -242,14 +241,14 @@
 func (s *Scheduler) reclassifyEnd(now Time, e *vmEndRecord) {
 	if e.kind == crashMass && e.simultaneous < minMassEnds {
 		e.kind = crashShared
-		if s.inStorm(now, e.start) {
+		if s.inStorm(now, e.inc) {
 			e.kind = crashStorm
 		}
 	}
 	for _, t := range sortedTasks(e.runs) {
 		number := e.runs[t]
 		c := t.crash(number)
-		if c == nil || c.vm != e.start || t.step.occ.job.state.Final() {
+		if c == nil || c.vm != e.inc || t.step.occ.job.state.Final() {
 			continue
 		}
 		if kind := e.kindFor(number); kind != c.kind {
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -31,7 +31,7 @@
 }
 
 // drainingLease is the lease of a draining instance: its runs can be restarted this soon after it
-// has left, instead of after longestLease. Three holds fit in.
+// has left, instead of after a lease of full length. Three holds fit in.
 const drainingLease = 3 * time.Second
 
 // leaseFor returns the length of a lease on v. The first one is of full length, since it must
@@ -48,14 +48,14 @@
 // would be longer by the hold's wait and outlast what a successor waits.
 func (v *vm) renew(now Time, length time.Duration) time.Duration {
 	v.leaseUntil = max(v.leaseUntil, v.clock.value+(now-v.clock.gotAt)+length)
-	over := v.clock.gotAt + leaseExpiryDelay(v.leaseUntil-v.clock.value)
-	v.leaseExpiry = max(v.leaseExpiry, over)
+	expiry := v.clock.gotAt + leaseExpiryDelay(v.leaseUntil-v.clock.value)
+	v.leaseExpiry = max(v.leaseExpiry, expiry)
 	return v.leaseUntil
 }
 
 // DeposedAdmissionTimeout bounds how long a leader whose key is gone may go on accepting new
-// jobs: it renews its lease every 0.35 s, and a renewal that reaches the store returns within 0.4
-// s. A job that arrives in this time would be started by both leaders.
+// jobs: it renews its lease every 0.35 s, and a renewal that reaches the store returns within
+// 0.4 s. A job that arrives in this time would be started by both leaders.
 const DeposedAdmissionTimeout = 1500 * time.Millisecond
 
 // AwaitInstances sets the instances to which earlier leaders may have given work. Until each has
@@ -101,8 +101,8 @@
 // ShortenWaits shortens the wait for unreported instances: all earlier leaders have reported
 // until when their leases may last. Instances missing from until have no lease.
 func (s *Scheduler) ShortenWaits(until map[string]Time) {
-	for id, latest := range s.awaitedVMs {
-		s.awaitedVMs[id] = min(latest, until[id])
+	for id, deadline := range s.awaitedVMs {
+		s.awaitedVMs[id] = min(deadline, until[id])
 	}
 	s.planNeeded = true
 }
@@ -110,14 +110,14 @@
 // LeaseDeadlines returns when the leases on each instance have certainly expired, both this
 // leader's and those of earlier leaders that are awaited.
 func (s *Scheduler) LeaseDeadlines() map[string]Time {
-	over := make(map[string]Time, len(s.vms))
+	deadlines := make(map[string]Time, len(s.vms))
 	for id, v := range s.vms {
-		over[id] = s.vmLeaseExpiry(v)
+		deadlines[id] = s.vmLeaseExpiry(v)
 	}
 	for id, until := range s.awaitedVMs {
-		over[id] = max(over[id], until)
+		deadlines[id] = max(deadlines[id], until)
 	}
-	return over
+	return deadlines
 }
 
 // maxExpiredLeases bounds the records kept for VMs that were removed: on an ordinary day some
@@ -155,8 +155,8 @@
 }
 
 // RestoreExpiredLeases restores what an earlier leader returned from ExpiredLeases.
-func (s *Scheduler) RestoreExpiredLeases(lapsed map[string]ExpiredLease) {
-	for id, l := range lapsed {
+func (s *Scheduler) RestoreExpiredLeases(leases map[string]ExpiredLease) {
+	for id, l := range leases {
 		s.retainExpiredLease(id, l)
 		if v := s.vms[id]; v != nil && v.hasReported {
 			s.applyExpiredLease(v)
@@ -210,14 +210,14 @@
 
 // expireAwaited stops waiting for instances of earlier leaders whose runs have certainly ended.
 func (s *Scheduler) expireAwaited(now Time) {
-	var over []string
+	var expired []string
 	for id, until := range s.awaitedVMs {
 		if min(now, s.leadConfirmedAt) > until {
-			over = append(over, id)
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(over)
-	for _, id := range over {
+	slices.Sort(expired)
+	for _, id := range expired {
 		delete(s.awaitedVMs, id)
 		s.planNeeded, s.endedUnreported = true, true
 		d := Decision{Event: EventVMWaitedOut, VM: id}
--- a/internal/scheduler/lives.go
+++ b/internal/scheduler/lives.go
@@ -69,15 +69,15 @@
 
 // isPlausibleList reports whether a list names enough of the instances that are certainly alive.
 func (s *Scheduler) isPlausibleList(now Time, up map[string]bool) bool {
-	living, named := 0, 0
+	alive, named := 0, 0
 	for id, v := range s.vms {
 		if !v.hasReported || v.needsLivenessCheck(now) {
 			continue
 		}
-		living++
+		alive++
 		if up[id] {
 			named++
 		}
 	}
-	return named > 0 && float64(named) >= minListedShare*float64(living)
+	return named > 0 && float64(named) >= minListedShare*float64(alive)
 }
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -83,11 +83,11 @@
 
 // vmLeaseExpiry returns when everything on the VM has certainly ended unless a lease is renewed.
 func (s *Scheduler) vmLeaseExpiry(v *vm) Time {
-	over := v.leaseExpiry
+	expiry := v.leaseExpiry
 	for _, r := range v.runList {
-		over = max(over, s.runExpiry(r))
+		expiry = max(expiry, s.runExpiry(r))
 	}
-	return over
+	return expiry
 }
 
 // reasonRestarted is the reason for runs lost because their VM restarted under its ID.
@@ -106,9 +106,9 @@
 	d.Born, d.Acked = rep.Born, old.ackableSeq()
 	s.logf(d)
 	end := s.recordEnd(now, old)
-	told := reportedRuns(rep)
+	reported := reportedRuns(rep)
 	for _, r := range old.runList {
-		if s.mayRunOnIncarnation(sentAt, r, rep, told) {
+		if s.mayRunOnIncarnation(sentAt, r, rep, reported) {
 			s.moveRun(now, r, v, end)
 		} else {
 			s.recordEarlierCrash(now, r, end)
@@ -165,21 +165,21 @@
 
 // reportedRuns returns the runs that a report lists as running or ended.
 func reportedRuns(rep *batch.Report) map[runKey]bool {
-	told := make(map[runKey]bool, len(rep.Running)+len(rep.Ended))
+	reported := make(map[runKey]bool, len(rep.Running)+len(rep.Ended))
 	for i := range rep.Running {
-		told[runKey{rep.Running[i].Task, rep.Running[i].Run}] = true
+		reported[runKey{rep.Running[i].Task, rep.Running[i].Run}] = true
 	}
 	for i := range rep.Ended {
-		told[runKey{rep.Ended[i].Task, rep.Ended[i].Run}] = true
+		reported[runKey{rep.Ended[i].Task, rep.Ended[i].Run}] = true
 	}
-	return told
+	return reported
 }
 
 // mayRunOnIncarnation reports whether a run ordered from an earlier incarnation may be on the
 // reporting one: its order was sent, the earlier one has not listed it, and it was not confirmed
 // before the request for a report that does not list it.
-func (s *Scheduler) mayRunOnIncarnation(sentAt Time, r *run, rep *batch.Report, told map[runKey]bool) bool {
-	if told[runKey{r.task.id(), r.number}] {
+func (s *Scheduler) mayRunOnIncarnation(sentAt Time, r *run, rep *batch.Report, reported map[runKey]bool) bool {
+	if reported[runKey{r.task.id(), r.number}] {
 		return true
 	}
 	if !r.startSent || r.listedAt > 0 {
--- a/internal/scheduler/startlog.go
+++ b/internal/scheduler/startlog.go
@@ -198,12 +198,12 @@
 	out := &StartSegment{ID: g.id}
 	vms, steps := map[vmIncarnation]int{}, map[stepKey]int{}
 	for _, r := range g.runs {
-		start, id := r.vm.incarnation(), r.task.id()
-		vm, known := vms[start]
+		inc, id := r.vm.incarnation(), r.task.id()
+		vm, known := vms[inc]
 		if !known {
 			vm = len(out.VMs)
-			vms[start] = vm
-			out.VMs = append(out.VMs, StartVM{ID: start.id, Born: start.born})
+			vms[inc] = vm
+			out.VMs = append(out.VMs, StartVM{ID: inc.id, Born: inc.born})
 		}
 		key := stepKey{id.Job, id.Occurrence, id.Step}
 		step, known := steps[key]
--- a/internal/scheduler/trials.go
+++ b/internal/scheduler/trials.go
@@ -167,17 +167,17 @@
 		}
 		return nil
 	}
-	held := s.allocateGang(now, st, first.intendedRun, s.chooseForTrial)
-	trial := held != nil
-	if !trial && now-first.suspectSince > maxTrialWait {
-		held = s.allocateGang(now, st, first.intendedRun, s.chooseVM)
+	runs := s.allocateGang(now, st, first.intendedRun, s.chooseForTrial)
+	isTrial := runs != nil
+	if !isTrial && now-first.suspectSince > maxTrialWait {
+		runs = s.allocateGang(now, st, first.intendedRun, s.chooseVM)
 	}
-	for _, h := range held {
-		h.isTrial, h.exclusive, h.vm.trialRun = trial, true, h
-		h.task.suspectSince, h.task.intendedRun = 0, 0
-		s.recordCrash(h, h.vm.incarnation(), crashUnconfirmed)
+	for _, r := range runs {
+		r.isTrial, r.exclusive, r.vm.trialRun = isTrial, true, r
+		r.task.suspectSince, r.task.intendedRun = 0, 0
+		s.recordCrash(r, r.vm.incarnation(), crashUnconfirmed)
 	}
-	return held
+	return runs
 }
 
 // chooseForTrial returns the best VM without other recent runs, or nil. It reserves none: members
@@ -200,16 +200,16 @@
 	if v := t.reservedVM; v != nil && s.vms[v.inst.ID] == v && v.reservedTask == t && now < v.reservedUntil && s.fitsTrial(now, v, t) {
 		return v, !v.hasRecentRunsOfOthers(t)
 	}
-	looked := 0
+	examined := 0
 	for i := range s.vmList {
-		if looked == maxTrialCandidates {
+		if examined == maxTrialCandidates {
 			break
 		}
 		v := s.vmList[(s.trialCursor+i)%len(s.vmList)]
 		if !s.fitsTrial(now, v, t) {
 			continue
 		}
-		looked++
+		examined++
 		isFree := !v.hasRecentRunsOfOthers(t)
 		if best == nil || (isFree && !free) || (isFree == free && len(v.runs) < len(best.runs)) {
 			best, free = v, isFree
@@ -230,9 +230,9 @@
 
 // startExclusive starts a suspect on a VM that accepts nothing else while the run is recent. It
 // is a trial if no other run is recent there now.
-func (s *Scheduler) startExclusive(now Time, t *task, v *vm, trial bool) {
+func (s *Scheduler) startExclusive(now Time, t *task, v *vm, isTrial bool) {
 	r := s.start(now, t, v, t.intendedRun)
-	r.isTrial, r.exclusive, v.trialRun = trial, true, r
+	r.isTrial, r.exclusive, v.trialRun = isTrial, true, r
 	t.suspectSince, t.intendedRun, t.reservedVM, v.reservedTask = 0, 0, nil, nil
 	s.recordCrash(r, r.vm.incarnation(), crashUnconfirmed)
 }
--- a/internal/scheduler/vmends.go
+++ b/internal/scheduler/vmends.go
@@ -73,22 +73,22 @@
 }
 
 // countSimultaneousEnds counts the other VMs that ended, or became unresponsive, at about the
-// same time and probably not by a suspect. busy counts those on which something else had just
-// begun; unsure lists those that are only unresponsive and may be alive.
-func (s *Scheduler) countSimultaneousEnds(now Time, ended vmIncarnation, end *vmEnd) (others, busy int, unsure []vmIncarnation) {
+// same time and probably not by a suspect. withRecentStart counts those on which something else
+// had just begun; unconfirmed lists those that are only unresponsive and may be alive.
+func (s *Scheduler) countSimultaneousEnds(now Time, ended vmIncarnation, end *vmEnd) (simultaneous, withRecentStart int, unconfirmed []vmIncarnation) {
 	maps.DeleteFunc(s.recentVMEnds, func(_ vmIncarnation, e vmEnd) bool { return now-e.noticedAt > endRetention })
 	count := func(e *vmEnd) bool {
 		if e.bySuspect || !e.isSimultaneous(end) {
 			return false
 		}
-		others++
+		simultaneous++
 		if e.byTask {
-			busy++
+			withRecentStart++
 		}
 		return true
 	}
-	for start, e := range s.recentVMEnds {
-		if start.id != ended.id {
+	for inc, e := range s.recentVMEnds {
+		if inc.id != ended.id {
 			count(&e)
 		}
 	}
@@ -97,34 +97,34 @@
 			continue
 		}
 		if e := other.end(now); count(&e) {
-			unsure = append(unsure, other.incarnation())
+			unconfirmed = append(unconfirmed, other.incarnation())
 		}
 	}
-	return others, busy, unsure
+	return simultaneous, withRecentStart, unconfirmed
 }
 
-func (s *Scheduler) hasEnded(start vmIncarnation) bool {
-	_, ended := s.recentVMEnds[start]
+func (s *Scheduler) hasEnded(inc vmIncarnation) bool {
+	_, ended := s.recentVMEnds[inc]
 	return ended
 }
 
 // inStorm reports whether at least as many VMs recently ended for reasons other than tasks as
-// there are other responsive VMs. The same cause may have ended this one.
-func (s *Scheduler) inStorm(now Time, of vmIncarnation) bool {
+// there are responsive VMs other than subject. The same cause may have ended subject.
+func (s *Scheduler) inStorm(now Time, subject vmIncarnation) bool {
 	ended := 0
-	for start, e := range s.recentVMEnds {
-		if start != of && !e.byTask {
+	for inc, e := range s.recentVMEnds {
+		if inc != subject && !e.byTask {
 			ended++
 		}
 	}
 	if ended < minMassEnds {
 		return false
 	}
-	living := 0
+	responsive := 0
 	for _, o := range s.vms {
-		if o.inst.ID != of.id && o.hasReported && !o.isUnresponsive(now) && o.firstUnansweredAt == 0 {
-			living++
+		if o.inst.ID != subject.id && o.hasReported && !o.isUnresponsive(now) && o.firstUnansweredAt == 0 {
+			responsive++
 		}
 	}
-	return ended >= living
+	return ended >= responsive
 }
--- a/internal/scheduler/vms.go
+++ b/internal/scheduler/vms.go
@@ -246,10 +246,10 @@
 		s.evacuateDraining(now, v)
 	}
 	if !v.listed && len(v.runs) == 0 && now-v.unlistedAt > unlistedRetention && now > s.vmLeaseExpiry(v) && !s.isAwaited(id) {
-		lapsed := v.maxExpiredRun
+		expiredRun := v.maxExpiredRun
 		s.RemoveInstance(now, id, reasonUnlisted)
-		if lapsed > 0 {
-			s.retainExpiredLease(id, ExpiredLease{Run: lapsed, Born: v.born})
+		if expiredRun > 0 {
+			s.retainExpiredLease(id, ExpiredLease{Run: expiredRun, Born: v.born})
 		}
 	}
 }
