--- a/internal/scheduler/counted_test.go
+++ b/internal/scheduler/counted_test.go
@@ -8,6 +8,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
+// Guards against run numbers that change when they are packed and unpacked.
 func TestPackRuns(t *testing.T) {
 	for name, numbers := range map[string][]int64{
 		"none": nil, "one": {4246<<runNumberBits + 140}, "falling": {1 << 50, 7, 1 << 40, 0, 3},
@@ -27,7 +28,7 @@
 }
 
 // Guards against losing all runs of a truncated record: those before the cut are decoded.
-func TestUnpackWhatIsCutShort(t *testing.T) {
+func TestUnpackTruncatedRuns(t *testing.T) {
 	packed := packRuns([]int64{5, 9, 1 << 40})
 	require.Equal(t, []int64{5, 9}, unpackRuns(packed[:len(packed)-1]))
 }
--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/judgedends_test.go
@@ -66,7 +66,7 @@
 
 // Guards against a job that fails because of a lost rack: the VM of its trial was confirmed as
 // ended before holds to the others had failed.
-func TestEndIsComparedWithThoseThatAreSeenLater(t *testing.T) {
+func TestEndIsComparedWithLaterEnds(t *testing.T) {
 	f := newFixture(t, 5)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -75,7 +75,7 @@
 	f.advance(100 * time.Millisecond)
 	f.failHolds(vm)
 	f.s.RemoveInstance(f.now, vm, "another instance answers")
-	require.NotContains(t, f.crashKinds(), crashIsolated, "judged before the others could be seen to have ended")
+	require.NotContains(t, f.crashKinds(), crashIsolated, "classified before the other ends could be noticed")
 	f.advance(600 * time.Millisecond)
 	for _, other := range f.othersOf(vm)[:minMassEnds] {
 		f.s.HoldFailed(f.now, other, false)
@@ -85,7 +85,7 @@
 }
 
 // Guards against needless waits: an end is classified as soon as all other VMs have reported.
-func TestEndIsJudgedOnceAllOthersAreHeard(t *testing.T) {
+func TestEndIsClassifiedOnceAllOthersReport(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -104,7 +104,7 @@
 
 // Guards against a job that fails though none of its tasks ended a VM: VMs that had not reported
 // to this leader ended one after another, and then a VM of the job did.
-func TestUnheardVMsThatEndAreAStorm(t *testing.T) {
+func TestEndsOfUnreportedVMsAreAStorm(t *testing.T) {
 	f := newFixture(t, 6)
 	for _, inst := range f.list[:3] {
 		f.report(inst.ID, batch.Report{})
@@ -133,16 +133,16 @@
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
 	for n := range int64(weakCrashDivisor * totalCrashLimit) {
-		require.Equal(t, batch.Queued, f.s.jobs["j"].state, "given up after %d", n)
+		require.Equal(t, batch.Queued, f.s.jobs["j"].state, "failed after %d ends", n)
 		first.setCrash(crash{run: n + 1, kind: crashStorm, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
 		f.s.evaluateCrashes(f.now, first)
 	}
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
-// Guards against a task that is started again after its third VM: a suspect that found no VM of
-// its own in time was not classified by its start, though its VM ended as it began.
-func TestLastToBeginIsTriedBesideOthers(t *testing.T) {
+// Guards against a task that is started too often after its third VM has ended: a suspect that
+// found no VM of its own in time was not classified by its start, though its VM ended as it began.
+func TestExclusiveStartBesideOthersIsConclusive(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -219,15 +219,15 @@
 		c := newRestartFleet(t, 6, seed)
 		c.noResets = seed%2 == 1
 		c.runFor(time.Second)
-		for strike := range 8 {
+		for round := range 8 {
 			for k := range 12 {
-				id := fmt.Sprintf("busy-%d-%d", strike, k)
+				id := fmt.Sprintf("busy-%d-%d", round, k)
 				c.runDurations[id] = time.Duration(60+20*k) * time.Millisecond
 				c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(6, 1000), {Tasks: 4, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}}})
 				c.runFor(100 * time.Millisecond)
 			}
 			for i, id := range c.livingIDs() {
-				if i%2 == strike%2 {
+				if i%2 == round%2 {
 					c.killVM(id)
 				}
 			}
@@ -239,7 +239,7 @@
 
 // Guards against a task whose first end isn't counted: the VMs that were unresponsive as its VM
 // ended are alive.
-func TestVMsThatAnswerAgainDidNotEndWithAnother(t *testing.T) {
+func TestVMsThatRespondAgainDidNotEndWithAnother(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -247,14 +247,14 @@
 	vm := f.startFirst()
 	f.advance(50 * time.Millisecond)
 	f.failHolds(vm)
-	silent := f.othersOf(vm)[:minMassEnds]
-	for _, other := range silent {
+	unresponsive := f.othersOf(vm)[:minMassEnds]
+	for _, other := range unresponsive {
 		f.s.HoldFailed(f.now, other, false)
 	}
 	f.s.RemoveInstance(f.now, vm, "another instance answers")
 	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 	f.advance(300 * time.Millisecond)
-	f.report(silent[0], batch.Report{})
+	f.report(unresponsive[0], batch.Report{})
 	require.Equal(t, []crashKind{crashShared}, f.crashKinds())
 }
 
@@ -273,7 +273,7 @@
 		for range failedHoldThreshold {
 			f.s.HoldFailed(f.now, vm, false)
 		}
-		news := f.s.UnrecordedCrashes()
+		reports := f.s.UnrecordedCrashes()
 		records := f.write()
 
 		next := newSuccessorFixture(t, 2)
@@ -284,11 +284,11 @@
 		next.s.RemoveInstance(next.now, vm, "machine ended it")
 		require.Equal(t, []crashKind{kind}, next.crashKinds(), "lived for %v", lived)
 
-		told := newFixture(t, 2)
-		told.submit("j", tasks(1, 1000))
-		told.s.AcceptCrashReports(told.now, news)
-		told.s.RemoveInstance(told.now, vm, "machine ended it")
-		require.Equal(t, []crashKind{kind}, told.crashKinds(), "told by the leader before")
+		other := newFixture(t, 2)
+		other.submit("j", tasks(1, 1000))
+		other.s.AcceptCrashReports(other.now, reports)
+		other.s.RemoveInstance(other.now, vm, "machine ended it")
+		require.Equal(t, []crashKind{kind}, other.crashKinds(), "reported by the previous leader")
 	}
 }
 
@@ -308,5 +308,5 @@
 	require.Equal(t, batch.Queued, f.s.jobs["j"].state)
 	first.setCrash(crash{run: 10, kind: crashShared, vm: vmIncarnation{id: "gone0", born: 7}})
 	f.s.evaluateCrashes(f.now, first)
-	require.Equal(t, batch.Failed, f.s.jobs["j"].state, "another start of the VM has ended")
+	require.Equal(t, batch.Failed, f.s.jobs["j"].state, "another incarnation of the VM has ended")
 }
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -51,7 +51,7 @@
 	require.True(t, f.s.NeedsLivenessCheck(f.now))
 	f.setLiveInstances(others...)
 	f.plan()
-	require.Len(t, f.started["j.0.0.0"], 1, "one list may lack a machine that lives")
+	require.Len(t, f.started["j.0.0.0"], 1, "a single list may lack a machine that is up")
 	f.advance(minMissingDuration)
 	f.setLiveInstances(others...)
 	f.plan()
@@ -79,10 +79,10 @@
 
 // Guards against VMs that are declared lost by a useless list: one that was requested before the
 // VM's last report, one that lacks most of the reporting VMs, and an empty one.
-func TestListsOfMachinesThatSayNothing(t *testing.T) {
-	for name, tell := range map[string]func(f *fixture, first Order, others []string){
-		"empty":       func(f *fixture, _ Order, _ []string) { f.setLiveInstances() },
-		"mostly else": func(f *fixture, _ Order, _ []string) { f.setLiveInstances("vm77", "vm78") },
+func TestImplausibleMachineListsAreIgnored(t *testing.T) {
+	for name, setList := range map[string]func(f *fixture, first Order, others []string){
+		"empty":         func(f *fixture, _ Order, _ []string) { f.setLiveInstances() },
+		"mostly others": func(f *fixture, _ Order, _ []string) { f.setLiveInstances("vm77", "vm78") },
 		"one lacks it": func(f *fixture, first Order, others []string) {
 			f.setLiveInstances(others...)
 			f.setLiveInstances(append(others, first.Instance.ID)...)
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, first, others := unresponsiveVM(t)
 			for range 4 {
-				tell(f, first, others)
+				setList(f, first, others)
 				f.advance(minMissingDuration)
 			}
 			f.plan()
@@ -106,7 +106,7 @@
 
 // Guards against waiting for ended VMs of earlier leaders: a machine that is down, or that runs
 // another instance, has ended the one before.
-func TestEarlierLifeOfAMachineIsNotWaitedFor(t *testing.T) {
+func TestEarlierInstanceOfAMachineIsNotAwaited(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advance(livenessCheckDelay + time.Millisecond)
 	f.report("vm00", batch.Report{})
@@ -126,7 +126,7 @@
 	f.reportAll(nil)
 	f.reportAll(nil)
 	f.s.SetInstances(f.now, f.list[:1])
-	require.Contains(t, f.s.RecordedInstances(f.now), "vm01", "its lease may live")
+	require.Contains(t, f.s.RecordedInstances(f.now), "vm01", "its lease may still be valid")
 	f.advance(leaseExpiryDelay(f.s.settings.Lease()) + time.Second)
 	f.report("vm00", batch.Report{})
 	require.NotContains(t, f.s.RecordedInstances(f.now), "vm01")
--- a/internal/scheduler/restarts_advice_test.go
+++ b/internal/scheduler/restarts_advice_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an adviser's permission that outlives the incarnation it was given for: the next
 // one refuses the ticket, and may be allowed where the previous one was not.
-func TestAdviceHoldsForOneStart(t *testing.T) {
+func TestAdviceAppliesToOneIncarnation(t *testing.T) {
 	f := newIncarnationFixture(t, 2)
 	f.s.SetConfig(&batch.Config{Version: 2, Queues: []batch.Queue{
 		{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Advice: &batch.Advice{ValidFor: time.Minute}},
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, id := range c.livingIDs() {
-		if _, there := c.living[id].runs[task]; there {
+		if _, running := c.living[id].runs[task]; running {
 			j.violations = append(j.violations, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
 		}
 	}
@@ -222,9 +222,9 @@
 	for k := range job.Steps[0].Tasks {
 		task := batch.TaskID{Job: job.ID, Index: k}
 		require.True(c.t, slices.ContainsFunc(c.livingIDs(), func(id string) bool {
-			_, there := c.living[id].runs[task]
-			return there
-		}), "%s does not run, seed %d", task, c.seed)
+			_, running := c.living[id].runs[task]
+			return running
+		}), "%s does not run on any VM, seed %d", task, c.seed)
 	}
 }
 
@@ -287,7 +287,7 @@
 
 // Guards against a task that is started more often than its attempts allow: failures reported by
 // a VM's new incarnation were ignored since the previous one had reported as many ends.
-func TestFailuresOfANewStartAreCounted(t *testing.T) {
+func TestFailuresOfANewIncarnationAreCounted(t *testing.T) {
 	f := beforeRestart(t)
 	o := f.runOnNewIncarnation("second")
 	f.list[0].Born = 2
@@ -323,7 +323,7 @@
 
 // Guards against a task that goes on crashing VMs: their next incarnations, under the same IDs,
 // were taken as proof that the VMs are alive.
-func TestTaskThatCrashesVMsThatStartAgainIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesVMsThatStartAgainFails(t *testing.T) {
 	t.Parallel()
 	forEachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
 		for seed := range 20 * *exploreScale {
--- a/internal/scheduler/startlog_test.go
+++ b/internal/scheduler/startlog_test.go
@@ -51,20 +51,20 @@
 	return f
 }
 
-// Guards against a task that is started again after its third VM: a leader died after a start,
-// before it could record the end of the VM.
+// Guards against a task that is started too often after its third VM has ended: a leader died
+// after a start, before it could record the end of the VM.
 func TestSuccessorSuspectsAStartWhoseVMHasEnded(t *testing.T) {
 	for name, end := range map[string]func(*fixture, string){
 		"the machine service names it": func(f *fixture, vm string) { f.s.RemoveInstance(f.now, vm, "machine ended it") },
-		"it has started again": func(f *fixture, vm string) {
+		"it has restarted": func(f *fixture, vm string) {
 			f.s.vms[vm].inst.Born = 4
 			f.report(vm, batch.Report{Born: 5})
 		},
-		"it is waited out": func(f *fixture, _ string) { f.advance(2 * awaitDuration); f.s.Tick(f.now) },
+		"the wait for it expires": func(f *fixture, _ string) { f.advance(2 * awaitDuration); f.s.Tick(f.now) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			store, vm := loggedStart(t)
-			if name == "it has started again" {
+			if name == "it has restarted" {
 				for id, g := range store {
 					g.VMs[0].Born = 4
 					store[id] = g
@@ -75,7 +75,7 @@
 			end(f, vm)
 			require.True(t, f.taskOf("old").isSuspect())
 			f.writeStarts(store)
-			require.Len(t, store, 1, "removed before the job's record tells")
+			require.Len(t, store, 1, "removed before the job's record was written")
 			f.write()
 			f.writeStarts(store)
 			require.Empty(t, store)
@@ -84,13 +84,13 @@
 }
 
 // Guards against suspects without cause: the VMs of the logged starts are alive.
-func TestStartOnAVMThatLivesIsNoCrash(t *testing.T) {
+func TestStartOnALiveVMIsNoCrash(t *testing.T) {
 	running := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
 	for name, report := range map[string]batch.Report{
-		"it runs":         {Running: []batch.RunStatus{running}},
-		"it never began":  {},
-		"it has ended":    {Ended: []batch.RunEnd{{Seq: 1, Task: running.Task, Run: running.Run, Kind: batch.EndFailed}}},
-		"on a later life": {Born: 7, Running: []batch.RunStatus{running}},
+		"it runs":                {Running: []batch.RunStatus{running}},
+		"it never began":         {},
+		"it has ended":           {Ended: []batch.RunEnd{{Seq: 1, Task: running.Task, Run: running.Run, Kind: batch.EndFailed}}},
+		"on a later incarnation": {Born: 7, Running: []batch.RunStatus{running}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store, vm := loggedStart(t)
@@ -118,7 +118,7 @@
 
 // Guards against ignoring a start on a VM that is no longer known: it may be alive, or may have
 // ended under the task.
-func TestStartOnAnUnknownVMIsDoubted(t *testing.T) {
+func TestStartOnAnUnknownVMIsUnconfirmed(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := newSuccessorFixture(t, 0)
 	f.s.Submit(f.now, oldJob(nil))
@@ -132,7 +132,7 @@
 }
 
 // Guards against a log that grows without bound: it holds only recent starts.
-func TestLogDropsWhatHasLived(t *testing.T) {
+func TestStartLogDropsOldRuns(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
@@ -148,7 +148,7 @@
 	f.report("vm00", runningReport(orders...))
 	require.Nil(t, f.s.PendingStarts(f.now, false), "a removal waits for another write")
 	f.advance(obsoleteRemovalDelay)
-	require.NotNil(t, f.s.PendingStarts(f.now, false), "but not for long")
+	require.NotNil(t, f.s.PendingStarts(f.now, false), "the removal is delayed for too long")
 	f.writeStarts(store)
 	require.Empty(t, store)
 }
@@ -207,7 +207,7 @@
 	f.advance(lateWriteWindow - recentRunDuration - 2*time.Millisecond)
 	applyChange(store, late)
 	f.writeStarts(store)
-	require.Len(t, store, 1, "it may come later still")
+	require.Len(t, store, 1, "the write may still be carried out")
 	f.advance(2 * time.Millisecond)
 	f.writeStarts(store)
 	require.Empty(t, store)
@@ -258,7 +258,7 @@
 
 // Guards against a start that is missing for a third leader: the second adopted the run and ended
 // before the run had lived long enough under it.
-func TestAdoptedRunStaysInTheLogWhileItIsNew(t *testing.T) {
+func TestAdoptedRunStaysInTheLogWhileRecent(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := successorWithLog(t, store)
 	status := batch.RunStatus{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1}
@@ -274,7 +274,7 @@
 
 // Guards against a segment that is removed before the job's record holds the crash: a
 // predecessor's process has already reported it.
-func TestSegmentWaitsForTheRecordOfWhatWasTold(t *testing.T) {
+func TestSegmentWaitsForTheJobRecord(t *testing.T) {
 	store, vm := loggedStart(t)
 	f := successorWithLog(t, store)
 	f.s.AcceptCrashReports(f.now, []CrashReport{{Task: batch.TaskID{Job: "old"}, Run: 1<<runNumberBits | 1, Kind: int64(crashUnconfirmed), VM: vm}})
@@ -289,7 +289,7 @@
 // Guards against tasks that wait seconds for trials: a rack is lost together with the leader, and
 // every recent task there would be suspect. If only few starts were recent, as when each VM was
 // ended by its own task, the tasks are suspect.
-func TestFirstEndsOfARackLostWithItsLeaderAreNoGroundForSuspicion(t *testing.T) {
+func TestRackLostWithItsLeaderMakesNoSuspects(t *testing.T) {
 	for name, c := range map[string]struct {
 		jobs    int
 		suspect bool
@@ -319,7 +319,7 @@
 
 // Guards against a failure on segments with unknown tasks and indexes out of range: they are
 // skipped.
-func TestOddSegmentsNameNothing(t *testing.T) {
+func TestInvalidSegmentsAreSkipped(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	f.s.Submit(f.now, oldJob(nil))
 	f.s.RestoreStarts(f.now, []StartSegment{{
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -23,7 +23,7 @@
 		c := newCrashFleet(t, 40, seed)
 		c.runFor(2 * time.Second)
 		// Every VM has a recent run at any time.
-		var held []string
+		var ids []string
 		busy := func() {
 			for range 40 {
 				id := fmt.Sprintf("busy%d", c.harmlessJobs)
@@ -37,18 +37,18 @@
 		const suspects = 200
 		for i := range suspects {
 			id := fmt.Sprintf("suspect%d", i)
-			held = append(held, id)
+			ids = append(ids, id)
 			c.runDurations[id] = 300 * time.Millisecond
 			c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
 			c.markSuspect(id)
 		}
-		handed := c.now
-		for c.now < handed+suspectStartTimeout {
+		submittedAt := c.now
+		for c.now < submittedAt+suspectStartTimeout {
 			c.runFor(400 * time.Millisecond)
 			busy()
 		}
 		waiting := 0
-		for _, id := range held {
+		for _, id := range ids {
 			if len(c.startTimes[batch.TaskID{Job: id}]) == 0 {
 				waiting++
 			}
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -26,7 +26,9 @@
 	require.Len(t, f.started, 1)
 }
 
-func TestNewJobsDoNotWaitForSilentVMsForLong(t *testing.T) {
+// Guards against new jobs that wait for unreported VMs although no earlier leader can have
+// accepted them.
+func TestNewJobsDoNotWaitForUnreportedVMsForLong(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
 	f.advance(DeposedAdmissionTimeout + time.Millisecond)
@@ -49,7 +51,7 @@
 
 // Guards against a task of an old job that runs on two VMs after a change of leader: the old
 // leader started it on a VM that the new one can't reach.
-func TestOldJobsWaitOutSilentVMs(t *testing.T) {
+func TestOldJobsWaitForUnreportedVMs(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
 	s := Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true}
@@ -118,7 +120,7 @@
 }
 
 // Guards against showing a job as completed before the store has it.
-func TestCompletedIsToldAfterTheWrite(t *testing.T) {
+func TestCompletedIsShownAfterTheWrite(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
@@ -135,7 +137,7 @@
 // Guards against a wait that is too short or too long for a VM of an earlier leader that is
 // unlisted and unreported: it may be cut off together with that leader, and is awaited until
 // every lease that the leader may have taken has expired.
-func TestUnlistedVMsAreWaitedForUntilTheirLeasesAreOver(t *testing.T) {
+func TestUnlistedVMsAreAwaitedUntilTheirLeasesExpire(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00", "left"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "left", Address: "10.9.9.9:1"})
@@ -154,7 +156,7 @@
 
 // Guards against restarting the runs of an unlisted VM that has only lost the store: it responds,
 // and its runs are adopted.
-func TestUnlistedVMThatAnswersIsHeard(t *testing.T) {
+func TestUnlistedVMThatRespondsIsAdopted(t *testing.T) {
 	f := newFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00", "cut"}, f.now+12*time.Second)
 	f.s.AddUnlisted(f.now, batch.Instance{ID: "cut", Address: "10.9.9.9:1"})
@@ -170,7 +172,7 @@
 // returns and reports the end. The run was rightly declared lost, although the VM, which ran
 // nothing when the lease expired, reports no expiry. The end has to be acknowledged, the task
 // completed and the VM given new work; the acknowledgement used to be withheld.
-func TestEndOfARunWhoseLeaseRanOutIsAcknowledged(t *testing.T) {
+func TestEndOfARunWhoseLeaseExpiredIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 100))
@@ -203,7 +205,7 @@
 
 // Guards against withholding the acknowledgement of an end that a VM reports before the expiry of
 // its lease.
-func TestEndBeforeLapseIsAcknowledged(t *testing.T) {
+func TestEndBeforeLeaseExpiryIsAcknowledged(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(2, 100))
