--- a/internal/scheduler/crashes.go
+++ b/internal/scheduler/crashes.go
@@ -66,10 +66,10 @@
 	// isolatedCrashLimit is how many ends in trials make a task fail. The first VM's end made it
 	// a suspect, so three VMs have ended under it by then.
 	isolatedCrashLimit = 2
-	// totalCrashLimit is how many ends in all make a task fail if trials are inconclusive, because
-	// other VMs ended each time or no VM was free. A task that crashes its VMs may be started
-	// twice after the third end; a limit at the fourth start leaves one for an end that a leader
-	// which died did not record.
+	// totalCrashLimit is how many ends in all make a task fail if trials are inconclusive,
+	// because other VMs ended each time or no VM was free. A task that crashes its VMs may be
+	// started at most twice after its third VM has ended. Failing it at the fourth end uses one
+	// of these starts and leaves one for an end that a leader which died did not record.
 	totalCrashLimit = 4
 	// weakCrashDivisor is how many ends during a storm, or unseen ends, count as one other end.
 	weakCrashDivisor = 2
@@ -245,8 +245,8 @@
 	weightIsolated
 )
 
-// weight returns how strongly a crash counts against the task. One whose run is running or
-// intended doesn't count yet.
+// weight returns how strongly a crash counts against the task. An unconfirmed crash doesn't count
+// yet while its run is tracked or only intended.
 func (t *task) weight(c *crash) crashWeight {
 	switch c.kind {
 	case crashIsolated:
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -23,24 +23,24 @@
 }
 
 // isAccountedFor reports whether a successor no longer needs the log for the start.
-func (i *inheritedStart) isAccountedFor() bool {
+func (start *inheritedStart) isAccountedFor() bool {
 	switch {
-	case !i.resolved:
+	case !start.resolved:
 		return false
-	case i.adopted != nil:
-		return i.adopted.isAccountedFor()
-	case i.crashedTask != nil:
-		j := i.crashedTask.step.occ.job
-		return j.state.Final() || j.writtenVersion >= i.crashedTask.crashVersion
+	case start.adopted != nil:
+		return start.adopted.isAccountedFor()
+	case start.crashedTask != nil:
+		j := start.crashedTask.step.occ.job
+		return j.state.Final() || j.writtenVersion >= start.crashedTask.crashVersion
 	}
 	return true
 }
 
 // resolveAlive resolves the start after its VM has reported what it runs.
-func (i *inheritedStart) resolveAlive(v *vm) {
-	i.resolved = true
-	if r := v.runs[i.task]; r != nil && r.number == i.run {
-		i.adopted = r
+func (start *inheritedStart) resolveAlive(v *vm) {
+	start.resolved = true
+	if r := v.runs[start.task]; r != nil && r.number == start.run {
+		start.adopted = r
 	}
 }
 
@@ -60,20 +60,20 @@
 }
 
 // inheritStart adds a start by an earlier leader.
-func (s *Scheduler) inheritStart(now Time, i *inheritedStart) {
-	v := s.vms[i.vm.id]
+func (s *Scheduler) inheritStart(now Time, start *inheritedStart) {
+	v := s.vms[start.vm.id]
 	switch {
-	case s.hasEnded(i.vm):
-		s.recordInheritedCrash(now, i, crashUnseen)
+	case s.hasEnded(start.vm):
+		s.recordInheritedCrash(now, start, crashUnseen)
 	case v == nil:
-		s.recordInheritedCrash(now, i, crashUnconfirmed)
-	case !v.hasReported || s.isAwaited(i.vm.id):
-		s.startLog.inherited[i.vm] = append(s.startLog.inherited[i.vm], i)
-	case v.matchesBirth(i.vm.born):
+		s.recordInheritedCrash(now, start, crashUnconfirmed)
+	case !v.hasReported || s.isAwaited(start.vm.id):
+		s.startLog.inherited[start.vm] = append(s.startLog.inherited[start.vm], start)
+	case v.matchesBirth(start.vm.born):
 		// The VM has seen this leader's fencing token and refuses later starts by an earlier one.
-		i.resolveAlive(v)
+		start.resolveAlive(v)
 	default:
-		s.recordInheritedCrash(now, i, crashUnseen)
+		s.recordInheritedCrash(now, start, crashUnseen)
 	}
 }
 
@@ -116,12 +116,12 @@
 	}
 	reported := reportedRuns(rep)
 	for _, inc := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(inc) {
-			if v.matchesBirth(inc.born) || reported[runKey{i.task, i.run}] {
-				i.resolveAlive(v)
+		for _, start := range s.removeInherited(inc) {
+			if v.matchesBirth(inc.born) || reported[runKey{start.task, start.run}] {
+				start.resolveAlive(v)
 				continue
 			}
-			s.recordInheritedCrash(now, i, crashUnseen)
+			s.recordInheritedCrash(now, start, crashUnseen)
 		}
 	}
 }
@@ -134,8 +134,8 @@
 		return
 	}
 	for _, inc := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(inc) {
-			i.resolved = true
+		for _, start := range s.removeInherited(inc) {
+			start.resolved = true
 		}
 	}
 }
@@ -143,8 +143,8 @@
 // resolveInherited records a crash of the given kind for every inherited start on a VM.
 func (s *Scheduler) resolveInherited(now Time, id string, kind crashKind) {
 	for _, inc := range s.inheritedOn(id) {
-		for _, i := range s.removeInherited(inc) {
-			s.recordInheritedCrash(now, i, kind)
+		for _, start := range s.removeInherited(inc) {
+			s.recordInheritedCrash(now, start, kind)
 		}
 	}
 }
@@ -156,28 +156,28 @@
 }
 
 // recordInheritedCrash records what the end of a VM implies about a start by an earlier leader.
-func (s *Scheduler) recordInheritedCrash(now Time, i *inheritedStart, kind crashKind) {
-	i.resolved = true
-	s.openReported(now, i.task)
-	t := s.task(i.task)
-	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(i.run) || slices.Contains(t.failedRuns, i.run) {
+func (s *Scheduler) recordInheritedCrash(now Time, start *inheritedStart, kind crashKind) {
+	start.resolved = true
+	s.openReported(now, start.task)
+	t := s.task(start.task)
+	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(start.run) || slices.Contains(t.failedRuns, start.run) {
 		return
 	}
-	i.crashedTask = t
-	if t.crash(i.run) != nil {
+	start.crashedTask = t
+	if t.crash(start.run) != nil {
 		return
 	}
-	t.setCrash(crash{run: i.run, kind: kind, vm: i.vm})
+	t.setCrash(crash{run: start.run, kind: kind, vm: start.vm})
 	switch kind {
 	case crashUnconfirmed:
-		s.addUnconfirmed(i.vm, t, i.run)
+		s.addUnconfirmed(start.vm, t, start.run)
 	case crashUnseen:
-		s.recordUnseenEnd(i)
-		kind = t.crash(i.run).kind
+		s.recordUnseenEnd(start)
+		kind = t.crash(start.run).kind
 	case crashShared, crashIsolated, crashMass, crashStorm, crashUnloggedStart:
 	}
 	s.markCrashesChanged(t)
-	s.logf(Decision{Event: EventCrashNoted, Task: i.task, VM: i.vm.id, Run: i.run, Reason: "inherited: " + crashKindNames[kind], Value: float64(len(t.crashes)), Born: i.vm.born})
+	s.logf(Decision{Event: EventCrashNoted, Task: start.task, VM: start.vm.id, Run: start.run, Reason: "inherited: " + crashKindNames[kind], Value: float64(len(t.crashes)), Born: start.vm.born})
 	s.evaluateCrashes(now, t)
 }
 
@@ -185,10 +185,10 @@
 // have ended, with more starts than trials can handle at one time, a rack or power was lost
 // together with that leader. As when a leader observes such a loss, the first such end does not
 // make a task suspect.
-func (s *Scheduler) recordUnseenEnd(i *inheritedStart) {
+func (s *Scheduler) recordUnseenEnd(start *inheritedStart) {
 	l := &s.startLog
-	l.unseenStarts = append(l.unseenStarts, i)
-	l.lostVMs[i.vm.id] = true
+	l.unseenStarts = append(l.unseenStarts, start)
+	l.lostVMs[start.vm.id] = true
 	if len(l.lostVMs) <= minMassEnds || len(l.unseenStarts) <= maxSuspectsPerPass {
 		return
 	}
--- a/internal/scheduler/liveness.go
+++ b/internal/scheduler/liveness.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// livenessCheckDelay is how long an instance has to be unreported before the machine service
-	// is asked about it: a hold takes a second, and one lost packet another 0.3 s.
+	// livenessCheckDelay is how long after an instance's last report the machine service is asked
+	// about it: a hold takes a second, and one lost packet another 0.3 s.
 	livenessCheckDelay = 1500 * time.Millisecond
 	// minMissingDuration is the minimum time between two lists that both lack an instance: its
 	// machine may have moved from one page to another while one of the lists was read.
 	minMissingDuration = 400 * time.Millisecond
-	// minListedShare is the share of the recently reported instances that a list must contain to
+	// minListedShare is the share of the recently reporting instances that a list must contain to
 	// be accepted.
 	minListedShare = 0.5
 )
 
-// NeedsLivenessCheck reports whether there are instances that may have ended: unreported for a
-// while, and either with runs or awaited.
+// NeedsLivenessCheck reports whether there are instances that may have ended: without a report
+// for a while, and either with runs or awaited.
 func (s *Scheduler) NeedsLivenessCheck(now Time) bool {
 	for id, v := range s.vms {
 		if v.needsLivenessCheck(now) && (len(v.runs) > 0 || s.isAwaited(id)) {
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -35,8 +35,8 @@
 func (v *vm) mayRestart() bool { return v.born != 0 }
 
 // startedSinceConfirmedTenure reports whether the incarnation may have begun after another leader
-// was elected. That leader may have received its reports earlier, and this incarnation has not
-// seen that leader's fencing token.
+// was elected. That leader may have reached the previous incarnation, and this one has not seen
+// that leader's fencing token.
 func (s *Scheduler) startedSinceConfirmedTenure(v *vm) bool {
 	return v.mayRestart() && v.firstReportAt > s.leadConfirmedAt
 }
@@ -150,7 +150,7 @@
 	return s.fence
 }
 
-// recordGuarded marks the VM as guarded once it has answered a hold with its current token.
+// recordGuarded sets fenced once the VM has answered a hold with its current token.
 func (s *Scheduler) recordGuarded(v *vm) {
 	if !v.fenced && !v.needsToken && v.lastHoldToken == v.token {
 		v.fenced, s.planNeeded = true, true
--- a/internal/scheduler/restarts_test.go
+++ b/internal/scheduler/restarts_test.go
@@ -28,32 +28,32 @@
 }
 
 // endOf returns how the next run of a task ends.
-func (j *restartChecker) endOf(task batch.TaskID) batch.EndKind {
-	if j == nil {
+func (rc *restartChecker) endOf(task batch.TaskID) batch.EndKind {
+	if rc == nil {
 		return batch.EndDone
 	}
-	if j.ran[task]++; j.ran[task] <= j.failFirst[task.Job] {
+	if rc.ran[task]++; rc.ran[task] <= rc.failFirst[task.Job] {
 		return batch.EndFailed
 	}
 	return batch.EndDone
 }
 
-func (j *restartChecker) acknowledged(e batch.RunEnd) {
-	if j == nil {
+func (rc *restartChecker) acknowledged(e batch.RunEnd) {
+	if rc == nil {
 		return
 	}
 	switch e.Kind {
 	case batch.EndDone:
-		j.done[e.Task] = true
+		rc.done[e.Task] = true
 	case batch.EndFailed:
-		j.failed[e.Task]++
+		rc.failed[e.Task]++
 	case batch.EndStopped, batch.EndLapsed, batch.EndBroken, batch.EndAlone:
 	}
 }
 
 // started checks a start of a task on a VM.
-func (j *restartChecker) started(c *crashFleet, task batch.TaskID) {
-	if j == nil {
+func (rc *restartChecker) started(c *crashFleet, task batch.TaskID) {
+	if rc == nil {
 		return
 	}
 	spec := &c.jobOf(task).Steps[task.Step]
@@ -62,17 +62,17 @@
 	}
 	for _, id := range c.livingIDs() {
 		if _, running := c.living[id].runs[task]; running {
-			j.violations = append(j.violations, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
+			rc.violations = append(rc.violations, fmt.Sprintf("%v: %s started while it runs on %s", c.now, task, id))
 		}
 	}
 	if spec.Lasting {
 		return
 	}
-	if j.done[task] {
-		j.violations = append(j.violations, fmt.Sprintf("%v: %s started after its end was acknowledged", c.now, task))
+	if rc.done[task] {
+		rc.violations = append(rc.violations, fmt.Sprintf("%v: %s started after its end was acknowledged", c.now, task))
 	}
-	if j.failed[task] >= testAttempts {
-		j.violations = append(j.violations, fmt.Sprintf("%v: %s started after %d failed ends were acknowledged", c.now, task, j.failed[task]))
+	if rc.failed[task] >= testAttempts {
+		rc.violations = append(rc.violations, fmt.Sprintf("%v: %s started after %d failed ends were acknowledged", c.now, task, rc.failed[task]))
 	}
 }
 
--- a/internal/scheduler/startlog.go
+++ b/internal/scheduler/startlog.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// StartsNotWritten records that a change is not in the store, or may not be. Its starts are
-// written again in a segment with another number: a write that is carried out late must not
-// replace a newer one.
+// StartsNotWritten records that a change is not in the store or, if unknown is set, may not be.
+// Its starts are written again in a segment with another number: a write that is carried out late
+// must not replace a newer one.
 func (s *Scheduler) StartsNotWritten(now Time, c *StartLogChange, unknown bool) {
 	l := &s.startLog
 	if c.Segment == nil {
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -9,11 +9,11 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Guards against tasks that run twice, within half a second after the store's return. The store
-// is away until the leader's lease expires; on its return another leader is elected while the
-// first is not yet aware of it and still accepts new jobs. Both start a job that arrives then,
-// each on VMs that the other has not reached. Only jobs older than the new leader waited for the
-// VMs' reports.
+// Guards against tasks that run twice: 37 did within half a second after the store's return. The
+// store is away until the leader's lease expires; on its return another leader is elected while
+// the first is not yet aware of it and still accepts new jobs. Both start a job that arrives
+// then, each on VMs that the other has not reached. Only jobs older than the new leader waited
+// for the VMs' reports.
 func TestNewJobsWaitForVMsAfterTakeover(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+12*time.Second)
@@ -230,8 +230,8 @@
 	f.s.SetInstances(f.now, f.list)
 	f.reportAll(nil)
 	step := tasks(1, 1000)
-	terms := &batch.Queue{Name: "gone", Pool: "pool", Attempts: 3, Stretch: 2}
-	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "gone", Pool: "pool", AcceptedQueue: terms, PredatesLeader: true})
+	queue := &batch.Queue{Name: "gone", Pool: "pool", Attempts: 3, Stretch: 2}
+	f.s.Submit(f.now, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "gone", Pool: "pool", AcceptedQueue: queue, PredatesLeader: true})
 	f.plan()
 	first := f.last("j.0.0.0")
 	f.confirm(first)
