--- a/internal/scheduler/judgedends_test.go
+++ b/internal/scheduler/endclassification_test.go
@@ -10,15 +10,15 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// taskOf is the first task of a job of the fixture's.
+// taskOf returns the first task of a job of the fixture.
 func (f *fixture) taskOf(job string) *task { return &f.s.jobs[job].occs[0].steps[0].tasks[0] }
 
-// markSuspect has a job's first task be one that a VM has ended under before.
+// markSuspect makes a job's first task suspect by the end of an earlier VM.
 func (f *fixture) markSuspect(job string) {
 	f.taskOf(job).setCrash(crash{run: 1, kind: crashShared, vm: vmIncarnation{id: "earlier"}})
 }
 
-// startFirst gives the start of j's first task and confirms it, and returns the VM.
+// startFirst starts j's first task, confirms it, and returns its VM.
 func (f *fixture) startFirst() string {
 	const task = "j.0.0.0"
 	for range 10 {
@@ -35,14 +35,14 @@
 	return o.Instance.ID
 }
 
-// failHolds has holds to VMs fail as their processes have ended.
+// failHolds makes holds to VMs fail as if their processes had just ended.
 func (f *fixture) failHolds(vms ...string) {
 	for _, id := range vms {
 		f.s.HoldFailed(f.now, id, true)
 	}
 }
 
-// othersOf are the fixture's VMs but one.
+// othersOf returns the fixture's VMs except one.
 func (f *fixture) othersOf(vm string) []string {
 	var others []string
 	for _, inst := range f.list {
@@ -53,7 +53,7 @@
 	return others
 }
 
-// crashKinds are what is noted of the VMs of j's first task, but for those of suspect.
+// crashKinds returns the crash kinds of j's first task, except for the crash of markSuspect.
 func (f *fixture) crashKinds() []crashKind {
 	var kinds []crashKind
 	for _, c := range f.taskOf("j").crashes {
@@ -64,9 +64,9 @@
 	return kinds
 }
 
-// Guards against a job that is given up for the loss of a rack: the VM of its trial was known
-// to have ended before holds to the others had failed.
-func TestEndIsComparedWithThoseThatAreSeenLater(t *testing.T) {
+// Guards against a job that fails because of a lost rack: the VM of its trial was confirmed as
+// ended before holds to the others had failed.
+func TestEndIsComparedWithLaterEnds(t *testing.T) {
 	f := newFixture(t, 5)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -75,7 +75,7 @@
 	f.advance(100 * time.Millisecond)
 	f.failHolds(vm)
 	f.s.RemoveInstance(f.now, vm, "another instance answers")
-	require.NotContains(t, f.crashKinds(), crashIsolated, "judged before the others could be seen to have ended")
+	require.NotContains(t, f.crashKinds(), crashIsolated, "classified before the other ends could be noticed")
 	f.advance(600 * time.Millisecond)
 	for _, other := range f.othersOf(vm)[:minMassEnds] {
 		f.s.HoldFailed(f.now, other, false)
@@ -84,8 +84,8 @@
 	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 }
 
-// Guards against waits that serve nothing: an end is judged as soon as all others are heard.
-func TestEndIsJudgedOnceAllOthersAreHeard(t *testing.T) {
+// Guards against needless waits: an end is classified as soon as all other VMs have reported.
+func TestEndIsClassifiedOnceAllOthersReport(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -102,9 +102,9 @@
 	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
-// Guards against a job that is given up though nothing of it has ended a VM: VMs that this
-// leader had not heard ended one after the other, and so did those of the job.
-func TestUnheardVMsThatEndAreAStorm(t *testing.T) {
+// Guards against a job that fails though none of its tasks ended a VM: VMs that had not reported
+// to this leader ended one after another, and then a VM of the job did.
+func TestEndsOfUnreportedVMsAreAStorm(t *testing.T) {
 	f := newFixture(t, 6)
 	for _, inst := range f.list[:3] {
 		f.report(inst.ID, batch.Report{})
@@ -125,29 +125,30 @@
 	require.Equal(t, []crashKind{crashStorm}, f.crashKinds())
 }
 
-// Guards against both: four ends in storms do not give a job up, twice as many do.
+// Guards against failing a job too early and too late: four ends in storms don't fail a job,
+// twice as many do.
 func TestEndsInStormsCountHalf(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	first := f.taskOf("j")
 	for n := range int64(weakCrashDivisor * totalCrashLimit) {
-		require.Equal(t, batch.Queued, f.s.jobs["j"].state, "given up after %d", n)
+		require.Equal(t, batch.Queued, f.s.jobs["j"].state, "failed after %d ends", n)
 		first.setCrash(crash{run: n + 1, kind: crashStorm, vm: vmIncarnation{id: fmt.Sprintf("gone%d", n)}})
 		f.s.evaluateCrashes(f.now, first)
 	}
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
-// Guards against a task that is started too often after its third VM: a suspect that found no
-// VM of its own in time learned nothing by its start, though its VM ended as it began.
-func TestLastToBeginIsTriedBesideOthers(t *testing.T) {
+// Guards against a task that is started too often after its third VM has ended: a suspect that
+// found no VM of its own in time was not classified by its start, though its VM ended as it began.
+func TestExclusiveStartBesideOthersIsConclusive(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
 	f.markSuspect("j")
 	vm := f.startFirst()
-	// As where its patience was over: something else is new there.
+	// As after the suspect's wait: another run there is recent.
 	f.s.vms[vm].runs[f.last("j.0.0.0").Task].isTrial = false
 	f.advance(50 * time.Millisecond)
 	f.failHolds(vm)
@@ -157,8 +158,8 @@
 	require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 }
 
-// Guards against a job that is given up for a VM that another's task ended: both had begun there in
-// one instant, while VMs ended one after the other, and the one that was started last was convicted.
+// Guards against a job that fails for a VM that another job's task ended: both had begun there at
+// the same moment during a storm, and the one started last was classified as the cause.
 func TestOneOfTwoThatBeginInAStormIsNotTried(t *testing.T) {
 	for beside, want := range map[string]crashKind{"": crashIsolated, "k": crashPaired} {
 		f := newFixture(t, 3)
@@ -177,7 +178,7 @@
 			require.True(t, f.s.PrepareStart(f.now, o))
 			f.confirm(o)
 		}
-		// As where it is a suspect whose patience was over.
+		// As for a suspect whose wait is over.
 		f.s.vms[vm].runs[f.last("j.0.0.0").Task].exclusive = true
 		f.advance(50 * time.Millisecond)
 		f.failHolds(vm)
@@ -186,15 +187,15 @@
 		f.s.Tick(f.now)
 		require.Equal(t, []crashKind{want}, f.crashKinds(), "beside %q", beside)
 		if beside != "" {
-			// The other one runs well elsewhere: then it was this one.
+			// The other task has completed elsewhere, so it didn't end the VM.
 			f.s.clearCrashesOnEnd(f.now, f.taskOf(beside), &batch.RunEnd{Kind: batch.EndDone})
 			require.Equal(t, []crashKind{crashIsolated}, f.crashKinds())
 		}
 	}
 }
 
-// Guards against both: with a trial and a first end an end beside another task does not give a job
-// up, with one more in doubt of the moment it does.
+// Guards against failing a job too early and too late: with a trial and a first end, an end
+// beside another task doesn't fail a job; with one more unseen end it does.
 func TestEndBesideAnotherCountsOnceAndAHalf(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -210,23 +211,23 @@
 	require.Equal(t, batch.Failed, f.s.jobs["j"].state)
 }
 
-// Guards against jobs that are given up for restarts of many VMs at once: where something has
-// just begun on each VM, the others' ends were taken for those of other tasks' VMs.
+// Guards against jobs that fail because many VMs restart at once: where each VM has a recent
+// start, the ends of the other VMs were attributed to their own tasks.
 func TestJobsOfABusyFleetAreKeptOverRestarts(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(24) {
 		c := newRestartFleet(t, 6, seed)
 		c.noResets = seed%2 == 1
 		c.runFor(time.Second)
-		for strike := range 8 {
+		for round := range 8 {
 			for k := range 12 {
-				id := fmt.Sprintf("busy-%d-%d", strike, k)
+				id := fmt.Sprintf("busy-%d-%d", round, k)
 				c.runDurations[id] = time.Duration(60+20*k) * time.Millisecond
 				c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(6, 1000), {Tasks: 4, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}}})
 				c.runFor(100 * time.Millisecond)
 			}
 			for i, id := range c.livingIDs() {
-				if i%2 == strike%2 {
+				if i%2 == round%2 {
 					c.killVM(id)
 				}
 			}
@@ -236,9 +237,9 @@
 	}
 }
 
-// Guards against a task whose first end counts for nothing, though the VMs that did not answer
-// as its VM ended live.
-func TestVMsThatAnswerAgainDidNotEndWithAnother(t *testing.T) {
+// Guards against a task whose first end isn't counted: the VMs that were unresponsive as its VM
+// ended are alive.
+func TestVMsThatRespondAgainDidNotEndWithAnother(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
@@ -246,19 +247,20 @@
 	vm := f.startFirst()
 	f.advance(50 * time.Millisecond)
 	f.failHolds(vm)
-	silent := f.othersOf(vm)[:minMassEnds]
-	for _, other := range silent {
+	unresponsive := f.othersOf(vm)[:minMassEnds]
+	for _, other := range unresponsive {
 		f.s.HoldFailed(f.now, other, false)
 	}
 	f.s.RemoveInstance(f.now, vm, "another instance answers")
 	require.Equal(t, []crashKind{crashMass}, f.crashKinds())
 	f.advance(300 * time.Millisecond)
-	f.report(silent[0], batch.Report{})
+	f.report(unresponsive[0], batch.Report{})
 	require.Equal(t, []crashKind{crashShared}, f.crashKinds())
 }
 
-// Guards against an innocent job that is given up over take-overs: each successor took the loss of a
-// VM on which the job's task had worked for a while for a VM that the task had ended as it began.
+// Guards against a job that fails after changes of leader though its task ended no VM: each
+// successor classified the loss of a VM on which the task had run for a while as an end at the
+// task's start.
 func TestDoubtAboutARunThatHadLivedCountsHalf(t *testing.T) {
 	for lived, kind := range map[time.Duration]crashKind{0: crashShared, startCrashWindow: crashUnseen} {
 		f := newFixture(t, 2)
@@ -271,7 +273,7 @@
 		for range failedHoldThreshold {
 			f.s.HoldFailed(f.now, vm, false)
 		}
-		news := f.s.UnrecordedCrashes()
+		reports := f.s.UnrecordedCrashes()
 		records := f.write()
 
 		next := newSuccessorFixture(t, 2)
@@ -282,16 +284,16 @@
 		next.s.RemoveInstance(next.now, vm, "machine ended it")
 		require.Equal(t, []crashKind{kind}, next.crashKinds(), "lived for %v", lived)
 
-		told := newFixture(t, 2)
-		told.submit("j", tasks(1, 1000))
-		told.s.AcceptCrashReports(told.now, news)
-		told.s.RemoveInstance(told.now, vm, "machine ended it")
-		require.Equal(t, []crashKind{kind}, told.crashKinds(), "told by the leader before")
+		other := newFixture(t, 2)
+		other.submit("j", tasks(1, 1000))
+		other.s.AcceptCrashReports(other.now, reports)
+		other.s.RemoveInstance(other.now, vm, "machine ended it")
+		require.Equal(t, []crashKind{kind}, other.crashKinds(), "reported by the previous leader")
 	}
 }
 
-// Guards against an innocent job that is given up since one end of a VM counted twice: two leaders had
-// started its task there, one after the other, and neither saw what became of it.
+// Guards against a job that fails since one end of a VM is counted twice: two leaders had started
+// its task there, one after the other, and neither saw the outcome.
 func TestOneEndOfAVMCountsOnce(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -306,5 +308,5 @@
 	require.Equal(t, batch.Queued, f.s.jobs["j"].state)
 	first.setCrash(crash{run: 10, kind: crashShared, vm: vmIncarnation{id: "gone0", born: 7}})
 	f.s.evaluateCrashes(f.now, first)
-	require.Equal(t, batch.Failed, f.s.jobs["j"].state, "another start of the VM has ended")
+	require.Equal(t, batch.Failed, f.s.jobs["j"].state, "another incarnation of the VM has ended")
 }
--- a/internal/scheduler/inherited.go
+++ b/internal/scheduler/inherited.go
@@ -7,12 +7,12 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// What earlier leaders started of late is settled VM by VM: one that is heard tells what became of
-// it; what was on one that has ended may have ended it.
+// Recent starts by earlier leaders are resolved VM by VM. A VM that reports shows what became of
+// them; on a VM that has ended, any of them may have caused the end.
 
-// inheritedStart is a start by an earlier leader. It is settled once it is known what became of it:
-// then live is the run, if its VM has it, and noted the task whose record has to tell, if it may have
-// ended its VM.
+// inheritedStart is a start by an earlier leader. It is resolved once its outcome is known: then
+// adopted is the run if its VM has it, and crashedTask is the task whose record has to hold the
+// crash if it may have ended its VM.
 type inheritedStart struct {
 	task        batch.TaskID
 	run         int64
@@ -22,30 +22,30 @@
 	crashedTask *task
 }
 
-// isAccountedFor reports whether a successor needs the log no more to know of the start.
-func (i *inheritedStart) isAccountedFor() bool {
+// isAccountedFor reports whether a successor no longer needs the log for the start.
+func (start *inheritedStart) isAccountedFor() bool {
 	switch {
-	case !i.resolved:
+	case !start.resolved:
 		return false
-	case i.adopted != nil:
-		return i.adopted.isAccountedFor()
-	case i.crashedTask != nil:
-		j := i.crashedTask.step.occ.job
-		return j.state.Final() || j.writtenVersion >= i.crashedTask.crashVersion
+	case start.adopted != nil:
+		return start.adopted.isAccountedFor()
+	case start.crashedTask != nil:
+		j := start.crashedTask.step.occ.job
+		return j.state.Final() || j.writtenVersion >= start.crashedTask.crashVersion
 	}
 	return true
 }
 
-// resolveAlive takes in that the VM has told what it runs.
-func (i *inheritedStart) resolveAlive(v *vm) {
-	i.resolved = true
-	if r := v.runs[i.task]; r != nil && r.number == i.run {
-		i.adopted = r
+// resolveAlive resolves the start after its VM has reported what it runs.
+func (start *inheritedStart) resolveAlive(v *vm) {
+	start.resolved = true
+	if r := v.runs[start.task]; r != nil && r.number == start.run {
+		start.adopted = r
 	}
 }
 
-// RestoreStarts takes over what earlier leaders started of late. Call it once the VMs that they
-// used and their jobs are known. It returns how many starts these are.
+// RestoreStarts restores the recent starts of earlier leaders and returns their number. Call it
+// once the VMs that they used and their jobs are loaded.
 func (s *Scheduler) RestoreStarts(now Time, log []StartSegment) int {
 	count := 0
 	for i := range log {
@@ -59,25 +59,26 @@
 	return count
 }
 
-// inheritStart takes a start by an earlier leader over.
-func (s *Scheduler) inheritStart(now Time, i *inheritedStart) {
-	v := s.vms[i.vm.id]
+// inheritStart adds a start by an earlier leader.
+func (s *Scheduler) inheritStart(now Time, start *inheritedStart) {
+	v := s.vms[start.vm.id]
 	switch {
-	case s.hasEnded(i.vm):
-		s.recordInheritedCrash(now, i, crashUnseen)
+	case s.hasEnded(start.vm):
+		s.recordInheritedCrash(now, start, crashUnseen)
 	case v == nil:
-		s.recordInheritedCrash(now, i, crashUnconfirmed)
-	case !v.hasReported || s.isAwaited(i.vm.id):
-		s.startLog.inherited[i.vm] = append(s.startLog.inherited[i.vm], i)
-	case v.matchesBirth(i.vm.born):
-		// It has seen this leader's fencing token, and begins nothing of an earlier one any more.
-		i.resolveAlive(v)
+		s.recordInheritedCrash(now, start, crashUnconfirmed)
+	case !v.hasReported || s.isAwaited(start.vm.id):
+		s.startLog.inherited[start.vm] = append(s.startLog.inherited[start.vm], start)
+	case v.matchesBirth(start.vm.born):
+		// The VM has seen this leader's fencing token and refuses later starts by an earlier one.
+		start.resolveAlive(v)
 	default:
-		s.recordInheritedCrash(now, i, crashUnseen)
+		s.recordInheritedCrash(now, start, crashUnseen)
 	}
 }
 
-// inheritedStarts returns what the segment names. What another program has written may name nothing.
+// inheritedStarts returns the starts in the segment. Indexes out of range, as another program may
+// have written them, are skipped.
 func (g *StartSegment) inheritedStarts() []*inheritedStart {
 	var out []*inheritedStart
 	for _, st := range g.Steps {
@@ -95,97 +96,99 @@
 	return out
 }
 
-// inheritedOn returns the starts of a VM to which earlier leaders gave something, by birth.
+// inheritedOn returns the incarnations of a VM with inherited starts, ordered by birth.
 func (s *Scheduler) inheritedOn(id string) []vmIncarnation {
-	var on []vmIncarnation
-	for start := range s.startLog.inherited {
-		if start.id == id {
-			on = append(on, start)
+	var incs []vmIncarnation
+	for inc := range s.startLog.inherited {
+		if inc.id == id {
+			incs = append(incs, inc)
 		}
 	}
-	slices.SortFunc(on, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
-	return on
+	slices.SortFunc(incs, func(a, b vmIncarnation) int { return cmp.Compare(a.born, b.born) })
+	return incs
 }
 
-// resolveFromReport takes in a VM's first whole report: what it tells of is known from now on, and
-// what it does not tell of has never begun there. Its earlier starts have ended.
+// resolveFromReport resolves the starts on a VM by its first complete report: a start that the
+// report does not list never began there. Earlier incarnations of the VM have ended.
 func (s *Scheduler) resolveFromReport(now Time, v *vm, rep *batch.Report) {
 	if rep.MoreEnded || len(s.startLog.inherited) == 0 {
 		return
 	}
-	told := reportedRuns(rep)
-	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(start) {
-			if v.matchesBirth(start.born) || told[runKey{i.task, i.run}] {
-				i.resolveAlive(v)
+	reported := reportedRuns(rep)
+	for _, inc := range s.inheritedOn(v.inst.ID) {
+		for _, start := range s.removeInherited(inc) {
+			if v.matchesBirth(inc.born) || reported[runKey{start.task, start.run}] {
+				start.resolveAlive(v)
 				continue
 			}
-			s.recordInheritedCrash(now, i, crashUnseen)
+			s.recordInheritedCrash(now, start, crashUnseen)
 		}
 	}
 }
 
-// resolveEndedVM takes in that a VM has ended. One that was to end was ended by nothing there.
+// resolveEndedVM resolves the starts on a VM that has ended. A VM that was about to end was not
+// ended by a task.
 func (s *Scheduler) resolveEndedVM(now Time, v *vm) {
 	if !v.inst.Draining && !v.closed {
 		s.resolveInherited(now, v.inst.ID, crashUnseen)
 		return
 	}
-	for _, start := range s.inheritedOn(v.inst.ID) {
-		for _, i := range s.removeInherited(start) {
-			i.resolved = true
+	for _, inc := range s.inheritedOn(v.inst.ID) {
+		for _, start := range s.removeInherited(inc) {
+			start.resolved = true
 		}
 	}
 }
 
-// resolveInherited notes what is to be thought of all that earlier leaders started on a VM.
+// resolveInherited records a crash of the given kind for every inherited start on a VM.
 func (s *Scheduler) resolveInherited(now Time, id string, kind crashKind) {
-	for _, start := range s.inheritedOn(id) {
-		for _, i := range s.removeInherited(start) {
-			s.recordInheritedCrash(now, i, kind)
+	for _, inc := range s.inheritedOn(id) {
+		for _, start := range s.removeInherited(inc) {
+			s.recordInheritedCrash(now, start, kind)
 		}
 	}
 }
 
-func (s *Scheduler) removeInherited(start vmIncarnation) []*inheritedStart {
-	taken := s.startLog.inherited[start]
-	delete(s.startLog.inherited, start)
-	return taken
+func (s *Scheduler) removeInherited(inc vmIncarnation) []*inheritedStart {
+	starts := s.startLog.inherited[inc]
+	delete(s.startLog.inherited, inc)
+	return starts
 }
 
-// recordInheritedCrash records what the end of a VM says of a start by an earlier leader.
-func (s *Scheduler) recordInheritedCrash(now Time, i *inheritedStart, kind crashKind) {
-	i.resolved = true
-	s.openReported(now, i.task)
-	t := s.task(i.task)
-	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(i.run) || slices.Contains(t.failedRuns, i.run) {
+// recordInheritedCrash records what the end of a VM implies about a start by an earlier leader.
+func (s *Scheduler) recordInheritedCrash(now Time, start *inheritedStart, kind crashKind) {
+	start.resolved = true
+	s.openReported(now, start.task)
+	t := s.task(start.task)
+	if t == nil || t.done || t.step.occ.job.state.Final() || t.hasRun(start.run) || slices.Contains(t.failedRuns, start.run) {
 		return
 	}
-	i.crashedTask = t
-	if t.crash(i.run) != nil {
+	start.crashedTask = t
+	if t.crash(start.run) != nil {
 		return
 	}
-	t.setCrash(crash{run: i.run, kind: kind, vm: i.vm})
+	t.setCrash(crash{run: start.run, kind: kind, vm: start.vm})
 	switch kind {
 	case crashUnconfirmed:
-		s.addUnconfirmed(i.vm, t, i.run)
+		s.addUnconfirmed(start.vm, t, start.run)
 	case crashUnseen:
-		s.recordUnseenEnd(i)
-		kind = t.crash(i.run).kind
+		s.recordUnseenEnd(start)
+		kind = t.crash(start.run).kind
 	case crashShared, crashIsolated, crashMass, crashStorm, crashUnloggedStart:
 	}
 	s.markCrashesChanged(t)
-	s.logf(Decision{Event: EventCrashNoted, Task: i.task, VM: i.vm.id, Run: i.run, Reason: "inherited: " + crashKindNames[kind], Value: float64(len(t.crashes)), Born: i.vm.born})
+	s.logf(Decision{Event: EventCrashNoted, Task: start.task, VM: start.vm.id, Run: start.run, Reason: "inherited: " + crashKindNames[kind], Value: float64(len(t.crashes)), Born: start.vm.born})
 	s.evaluateCrashes(now, t)
 }
 
-// recordUnseenEnd takes in that a VM has ended with a start of an earlier leader. Where several have, with
-// more starts than there are trials at one time, a rack or power was lost with that leader: as where a
-// leader lives to see it, the first such end is no ground for suspicion.
-func (s *Scheduler) recordUnseenEnd(i *inheritedStart) {
+// recordUnseenEnd records that a VM has ended with a start by an earlier leader. If several VMs
+// have ended, with more starts than trials can handle at one time, a rack or power was lost
+// together with that leader. As when a leader observes such a loss, the first such end does not
+// make a task suspect.
+func (s *Scheduler) recordUnseenEnd(start *inheritedStart) {
 	l := &s.startLog
-	l.unseenStarts = append(l.unseenStarts, i)
-	l.lostVMs[i.vm.id] = true
+	l.unseenStarts = append(l.unseenStarts, start)
+	l.lostVMs[start.vm.id] = true
 	if len(l.lostVMs) <= minMassEnds || len(l.unseenStarts) <= maxSuspectsPerPass {
 		return
 	}
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -10,20 +10,20 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// suspectStartTimeout is how long a suspect that fits may wait beside free room: its patience,
-// and the time that the others of as many take to be looked at.
+// suspectStartTimeout is how long a suspect that fits may wait beside free capacity:
+// maxTrialWait, and as long again for the other suspects to be considered.
 const suspectStartTimeout = 2 * maxTrialWait
 
-// Guards against suspects that wait for each other: while the first few of the queue waited
-// for VMs on which nothing is new, nobody looked at those behind them, beside a fleet that was
-// mostly free.
+// Guards against suspects that wait for each other: while the first few of the queue waited for
+// VMs without recent runs, those behind them were not considered, beside a fleet that was mostly
+// free.
 func TestSuspectsDoNotWaitForEachOther(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(2) {
 		c := newCrashFleet(t, 40, seed)
 		c.runFor(2 * time.Second)
-		// Something is new on every VM at any time.
-		var held []string
+		// Every VM has a recent run at any time.
+		var ids []string
 		busy := func() {
 			for range 40 {
 				id := fmt.Sprintf("busy%d", c.harmlessJobs)
@@ -37,18 +37,18 @@
 		const suspects = 200
 		for i := range suspects {
 			id := fmt.Sprintf("suspect%d", i)
-			held = append(held, id)
+			ids = append(ids, id)
 			c.runDurations[id] = 300 * time.Millisecond
 			c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1, 500)}})
 			c.markSuspect(id)
 		}
-		handed := c.now
-		for c.now < handed+suspectStartTimeout {
+		submittedAt := c.now
+		for c.now < submittedAt+suspectStartTimeout {
 			c.runFor(400 * time.Millisecond)
 			busy()
 		}
 		waiting := 0
-		for _, id := range held {
+		for _, id := range ids {
 			if len(c.startTimes[batch.TaskID{Job: id}]) == 0 {
 				waiting++
 			}
