--- a/internal/leader/holds.go
+++ b/internal/leader/holds.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// minHoldWait is how long a hold waits for an end; it is also how often the
-	// leases are renewed and the figures of serving tasks told, which cover half a
-	// second. maxHoldWait bounds it where there are many VMs: one that is unheard
-	// for 1.5 s gets nothing new, and copies start after 1.3 s.
+	// minHoldWait is how long a hold waits for an end. It is also the interval at which leases
+	// are renewed and metrics of serving tasks are reported, which cover half a second.
+	// maxHoldWait caps the wait for large fleets: a VM without a report for 1.5 s gets no new
+	// tasks, and copies of its tasks start after 1.3 s.
 	minHoldWait = 600 * time.Millisecond
 	maxHoldWait = time.Second
-	// holdWaitPerVM keeps the holds below a thousand a second: each takes some
-	// 60 us of processor, and at 3,000 VMs with 5,000 holds a second nothing else
-	// of the leader was in time.
+	// holdWaitPerVM limits the holds to a thousand a second. Each takes about 60 us of
+	// processor time; with 5,000 holds a second at 3,000 VMs all other work of the leader was
+	// late.
 	holdWaitPerVM = time.Millisecond
-	// holdGrace is how much later a hold may answer before its connection
-	// counts as silent.
+	// holdGrace is how much later than its wait a hold may respond before the VM counts as
+	// unresponsive.
 	holdGrace = 700 * time.Millisecond
-	// holdRetryDelay is the wait after a hold that failed.
+	// holdRetryDelay is the delay after a failed hold.
 	holdRetryDelay = 100 * time.Millisecond
-	// maxAckWait bounds the wait for the flush of ends before the next hold: a
-	// hold that does not acknowledge them returns at once with the same.
+	// maxAckWait bounds the wait for the flush of ends before the next hold: a hold that does
+	// not acknowledge them returns at once with the same ends.
 	maxAckWait = 150 * time.Millisecond
 )
 
-// holdWait is how long a hold waits where there are so many VMs.
+// holdWait returns the wait of a hold for a fleet of the given size.
 func holdWait(vms int) time.Duration {
 	return min(max(time.Duration(vms)*holdWaitPerVM, minHoldWait), maxHoldWait)
 }
 
-// syncHolds runs one hold loop for each instance.
+// syncHolds runs one hold loop per known instance and stops the loops of the others.
 func (t *term) syncHolds(ctx context.Context) {
 	t.mu.Lock()
 	instances := t.sched.Instances()
@@ -64,7 +64,8 @@
 	}
 }
 
-// updateRelayFleet tells the relays which VMs are held; the first time it waits for some.
+// updateRelayFleet passes the held VMs to the relays. The first call waits until relays are
+// ready.
 func (t *term) updateRelayFleet(ctx context.Context, instances map[string]batch.Instance) {
 	if t.Relays == nil {
 		return
@@ -80,44 +81,44 @@
 	}
 }
 
-// holdFailures is the time that a VM has left holds without an answer.
+// holdFailures counts the consecutive failed holds of a VM and limits their log lines.
 type holdFailures struct {
 	count int
-	// nextLogAt is when it is worth a line again.
+	// nextLogAt is the earliest time of the next log line.
 	nextLogAt time.Duration
 }
 
-// firstLogInterval is how long after the first line on a VM's silence the second comes;
-// the time between lines doubles, so that a dead VM costs a few of them.
+// firstLogInterval is the minimum time between the first and the second log line about an
+// unresponsive VM. The interval doubles with each line, so that a dead VM causes only a few.
 const firstLogInterval = time.Second
 
-// recordFailure counts a failure and reports whether it is worth a line.
-func (s *holdFailures) recordFailure(now, unheard time.Duration) bool {
-	s.count++
-	if s.count > 1 && now < s.nextLogAt {
+// recordFailure counts a failure and reports whether to log it.
+func (h *holdFailures) recordFailure(now, sinceReport time.Duration) bool {
+	h.count++
+	if h.count > 1 && now < h.nextLogAt {
 		return false
 	}
-	s.nextLogAt = now + max(firstLogInterval, unheard)
+	h.nextLogAt = now + max(firstLogInterval, sinceReport)
 	return true
 }
 
-// vmStatusFields are what is believed of a VM, for a line.
-func vmStatusFields(vm string, x scheduler.VMStatus) eventlog.Fields {
+// vmStatusFields returns the log fields of a VM's status.
+func vmStatusFields(vm string, status scheduler.VMStatus) eventlog.Fields {
 	f := eventlog.Fields{
-		"vm": vm, "unheard_ms": x.SinceReport.Milliseconds(), "lease_left_ms": x.LeaseLeft.Milliseconds(), "runs": x.Runs,
+		"vm": vm, "unheard_ms": status.SinceReport.Milliseconds(), "lease_left_ms": status.LeaseLeft.Milliseconds(), "runs": status.Runs,
 	}
-	if !x.Listed {
-		f["unlisted_ms"] = x.SinceUnlisted.Milliseconds()
+	if !status.Listed {
+		f["unlisted_ms"] = status.SinceUnlisted.Milliseconds()
 	}
 	return f
 }
 
-// holdLoop renews the leases of an instance and takes its reports over.
+// holdLoop renews the leases of an instance and processes its reports.
 func (t *term) holdLoop(ctx context.Context, inst batch.Instance) {
 	wait := time.Duration(0)
-	var silent holdFailures
+	var failures holdFailures
 	for ctx.Err() == nil {
-		ok, err := t.holdOnce(ctx, &inst, wait, &silent)
+		ok, err := t.holdOnce(ctx, &inst, wait, &failures)
 		if !ok {
 			return
 		}
@@ -131,19 +132,19 @@
 	}
 }
 
-// holdOnce makes one hold. ok is false when the instance need not, or must not, be
-// held any more.
-func (t *term) holdOnce(ctx context.Context, inst *batch.Instance, wait time.Duration, silent *holdFailures) (ok bool, err error) {
+// holdOnce sends one hold. ok is false when the instance must not, or need not, be held any
+// longer.
+func (t *term) holdOnce(ctx context.Context, inst *batch.Instance, wait time.Duration, failures *holdFailures) (ok bool, err error) {
 	sentAt := steady.Now()
-	// Asked after the look at the clock, from which the lease is counted: a process
-	// that is suspended between the two must not renew one from when it wakes.
+	// Checked after reading the clock from which the lease is counted: a process that is
+	// suspended between the two must not renew a lease from the time at which it resumes.
 	if !t.tenure.MayAct() {
 		return false, nil
 	}
 	t.mu.Lock()
-	if present, ok := t.sched.Instance(inst.ID); ok {
-		// A VM that has started again under its ID may be at another address.
-		*inst = present
+	if current, ok := t.sched.Instance(inst.ID); ok {
+		// A restarted VM may have the same ID at another address.
+		*inst = current
 	}
 	order, known := t.sched.Hold(sentAt, inst.ID, wait)
 	closed := t.closed
@@ -173,43 +174,44 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, known := t.sched.VMStatus(now, inst.ID)
+	status, known := t.sched.VMStatus(now, inst.ID)
 	if !known {
 		return false, nil
 	}
 	if err != nil {
-		// A hold that fails before it has waited was not left in silence.
+		// A hold that failed before its wait was over is not a sign of an unresponsive VM.
 		t.sched.HoldFailed(now, inst.ID, now-sentAt < order.Wait)
-		if silent.recordFailure(now, before.SinceReport) {
-			t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, before))
+		if failures.recordFailure(now, status.SinceReport) {
+			t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, status))
 		}
 		return true, err
 	}
-	if silent.count > 0 {
-		f := vmStatusFields(inst.ID, before)
-		f["failures"], f["running"], f["ended"] = silent.count, len(report.Running), len(report.Ended)
+	if failures.count > 0 {
+		f := vmStatusFields(inst.ID, status)
+		f["failures"], f["running"], f["ended"] = failures.count, len(report.Running), len(report.Ended)
 		t.log.Event("vm_answers", f)
-		*silent = holdFailures{}
+		*failures = holdFailures{}
 	}
 	t.trackEnds(now, inst.ID, &report)
 	if !t.sched.HandleReport(now, sentAt, inst.ID, report) {
 		err = errLateRead
-		t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, before))
+		t.log.Warn("vm_unanswered", err, vmStatusFields(inst.ID, status))
 	}
 	t.requestPlan()
 	return true, err
 }
 
-// errLateRead: this process was suspended between a hold and the answer's reading.
-var errLateRead = errors.New("its answer was read too late to tell what the VM is now")
+// errLateRead is returned when this process was suspended between sending a hold and reading
+// its response.
+var errLateRead = errors.New("response read too late to reflect the current state of the VM")
 
-// handleReplaced takes a VM out at whose address another one answers, and reports whether the VM is
-// known all the same: a later start of it, at another address.
+// handleReplaced removes a VM whose address is now used by another one. It reports whether the
+// VM is still known: as a later incarnation at another address.
 func (t *term) handleReplaced(now time.Duration, inst *batch.Instance) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x, ok := t.sched.VMStatus(now, inst.ID); ok {
-		t.log.Event("vm_replaced", vmStatusFields(inst.ID, x))
+	if status, ok := t.sched.VMStatus(now, inst.ID); ok {
+		t.log.Event("vm_replaced", vmStatusFields(inst.ID, status))
 	}
 	t.sched.RemoveReplaced(now, inst)
 	t.requestPlan()
@@ -217,23 +219,24 @@
 	return known
 }
 
-// unackedEnds are the ends that a VM goes on telling since they are not acknowledged.
+// unackedEnds summarizes the ends that a VM keeps reporting because they are not acknowledged.
 type unackedEnds struct {
 	count int
-	// born is the start of the VM that tells them, oldest the sequence of the first, told since.
+	// born identifies the incarnation of the VM that reports the ends, oldestSeq is the
+	// sequence number of the oldest, which was first reported at since.
 	born      int64
 	oldestSeq int64
 	since     time.Duration
-	// isLogged is set once a line has told that it takes long.
+	// isLogged is set once the delay has been logged.
 	isLogged bool
 }
 
-// unackedEndsLogDelay is how long an end may be told before it is worth a line: some flushes,
-// each of which may wait for the store for a second.
+// unackedEndsLogDelay is how long an end may stay unacknowledged before it is logged: the time
+// of a few flushes, each of which may wait up to a second for the store.
 const unackedEndsLogDelay = 3 * time.Second
 
-// trackEnds counts the ends of a report before it is taken over, and tells of those
-// that stay unacknowledged. The caller holds the lock.
+// trackEnds counts the ends of a report before it is processed, and logs those that stay
+// unacknowledged. t.mu is held.
 func (t *term) trackEnds(now time.Duration, id string, report *batch.Report) {
 	ends := report.Ended
 	if len(ends) == 0 {
@@ -245,28 +248,27 @@
 		if ends[i].Seq < first.Seq {
 			first = &ends[i]
 		}
-		if standing := t.sched.EndStatus(id, report.Born, &ends[i]); standing != scheduler.EndDuplicate && t.ObserveEnd != nil {
-			t.ObserveEnd(standing)
+		if status := t.sched.EndStatus(id, report.Born, &ends[i]); status != scheduler.EndDuplicate && t.ObserveEnd != nil {
+			t.ObserveEnd(status)
 		}
 	}
-	told := t.unackedEnds[id]
-	if told.oldestSeq != first.Seq || told.born != report.Born {
-		told = unackedEnds{born: report.Born, oldestSeq: first.Seq, since: now}
+	unacked := t.unackedEnds[id]
+	if unacked.oldestSeq != first.Seq || unacked.born != report.Born {
+		unacked = unackedEnds{born: report.Born, oldestSeq: first.Seq, since: now}
 	}
-	told.count = len(ends)
-	if age := now - told.since; age > unackedEndsLogDelay && !told.isLogged {
-		told.isLogged = true
+	unacked.count = len(ends)
+	if age := now - unacked.since; age > unackedEndsLogDelay && !unacked.isLogged {
+		unacked.isLogged = true
 		t.log.Event("ends_unacknowledged", eventlog.Fields{
-			"vm": id, "ends": told.count, "age_ms": age.Milliseconds(),
+			"vm": id, "ends": unacked.count, "age_ms": age.Milliseconds(),
 			"job": first.Task.Job, "task": first.Task.String(), "run": first.Run, "kind": string(first.Kind),
 		})
 	}
-	t.unackedEnds[id] = told
+	t.unackedEnds[id] = unacked
 }
 
-// dropHold notes that the instance's hold loop ends by itself: the instance may be
-// listed again before the next look at which are held, and must be held anew then.
-// t.mu is held.
+// dropHold stops the instance's hold loop and removes it at once: the instance may be listed
+// again before the next syncHolds, which must then start a new loop. t.mu is held.
 func (t *term) dropHold(id string) {
 	if cancel := t.holds[id]; cancel != nil {
 		cancel()
@@ -275,7 +277,7 @@
 	}
 }
 
-// awaitFlush waits until the ends that the instance has told may be acknowledged.
+// awaitFlush waits until the reported ends of the instance may be acknowledged.
 func (t *term) awaitFlush(ctx context.Context, id string) {
 	limit := time.NewTimer(maxAckWait)
 	defer limit.Stop()
--- a/internal/leader/inspect.go
+++ b/internal/leader/inspect.go
@@ -8,8 +8,8 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// State returns what callers may be told of a job. leading is false when this
-// process does not lead; known is false when it has not heard of the job.
+// State returns the state of a job. leading is false when this process does not lead, known is
+// false when the job is unknown to it.
 func (l *Leader) State(id string) (state batch.State, known, leading bool) {
 	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
@@ -21,7 +21,7 @@
 	return state, known, true
 }
 
-// Waiting counts a queue's jobs of which nothing has started.
+// Waiting returns the number of jobs in a queue none of whose tasks has started.
 func (l *Leader) Waiting(queue string) (n int, leading bool) {
 	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
@@ -44,24 +44,24 @@
 	return &d
 }
 
-// Stats are the state of a leader in counts.
+// Stats are counts of a leader's state.
 type Stats struct {
 	scheduler.Stats
-	// Confirmed is set while the lease can't have run out: nobody else leads.
+	// Confirmed is set while the lease can't have expired, so that no other process leads.
 	Confirmed bool
-	// UnackedEnds counts the ends that VMs go on telling; OldestUnacked is since
-	// when the oldest is told.
+	// UnackedEnds counts the ends that VMs keep reporting. OldestUnacked is the age of the
+	// oldest one.
 	UnackedEnds   int
 	OldestUnacked time.Duration
-	// StartWindow is how many starts may be under way, StartsWaiting how many wait for
-	// their turn.
+	// StartWindow is the limit of concurrent starts, StartsWaiting the number of starts that
+	// wait for a slot.
 	StartWindow, StartsWaiting int
-	// Relays are the processes that carry orders, with how many VMs each serves.
+	// Relays holds the number of VMs that each relay serves, by node.
 	Relays map[string]int
 }
 
-// Stats returns the state in counts; leading is false when this process does
-// not lead, or may not give orders any more.
+// Stats returns the current counts; leading is false when this process does not lead or may
+// not send orders any more.
 func (l *Leader) Stats() (f Stats, leading bool) {
 	t := l.currentTerm()
 	if t == nil || !t.tenure.MayAct() {
@@ -75,9 +75,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := Stats{Stats: t.sched.Stats(now), Confirmed: t.tenure.Confirmed()}
-	for _, told := range t.unackedEnds {
-		f.UnackedEnds += told.count
-		f.OldestUnacked = max(f.OldestUnacked, now-told.since)
+	for _, unacked := range t.unackedEnds {
+		f.UnackedEnds += unacked.count
+		f.OldestUnacked = max(f.OldestUnacked, now-unacked.since)
 	}
 	f.StartWindow, f.StartsWaiting = t.startWindow.stats()
 	if t.Relays != nil {
@@ -86,8 +86,8 @@
 	return f
 }
 
-// Explain says where a job stands; ok is false when this process does not lead or
-// does not know it.
+// Explain describes the status of a job; ok is false when this process does not lead or does
+// not know the job.
 func (l *Leader) Explain(id string) (x scheduler.Explanation, ok bool) {
 	t := l.currentTerm()
 	if t == nil {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -15,83 +15,84 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// Agents gives orders to instances.
+// Agents sends orders to instances.
 type Agents = batch.Agents
 
-// Relays spread the Agents' work over other processes where the fleet is large.
+// Relays distributes the calls of Agents over other processes in a large fleet.
 type Relays interface {
-	// Lead begins a tenure, which ends with ctx.
+	// Lead begins a tenure, which ends when ctx is cancelled.
 	Lead(ctx context.Context, fence int64)
-	// SetFleet tells which VMs are held, by ID with their availability zone.
+	// SetFleet sets the VMs that are held: availability zone by VM ID.
 	SetFleet(fleet map[string]string)
-	// AwaitReady waits up to d until there are relays for the fleet.
+	// AwaitReady waits up to d until relays are available for the fleet.
 	AwaitReady(ctx context.Context, d time.Duration)
 	// Relayed reports whether orders to a VM go through a relay.
 	Relayed(id string) bool
-	// Serving returns the relays by node, with how many VMs each serves.
+	// Serving returns the number of VMs that each relay serves, by node.
 	Serving() map[string]int
 }
 
-// Adviser knows which instances may run a step of some queues. It returns their
-// tickets by ID and how long these last.
+// Adviser selects the instances that may run a step of queues that require advice. It returns
+// their tickets by instance ID and how long the tickets are valid.
 type Adviser interface {
 	Advise(ctx context.Context, task batch.TaskID, ids []string) (map[string]string, time.Duration, error)
 }
 
-// Instances lists the instances that are registered.
+// Instances returns the registered instances.
 type Instances func(ctx context.Context) ([]batch.Instance, error)
 
 const (
-	// listInterval is how often the list of instances is read: a draining one must
-	// get nothing new after 2 s, and one read costs the store as little as one
-	// change of one entry.
+	// listInterval is the interval between reads of the instance list. A draining instance
+	// must get no new tasks after 2 s; one read costs the store as little as one change of one
+	// entry.
 	listInterval = 500 * time.Millisecond
-	// listTimeout bounds one reading of the list: with 3,000 VMs six pages, one
-	// after the other, on a processor that is busy.
+	// listTimeout bounds one read of the list: with 3,000 VMs it takes six pages in sequence,
+	// on a busy processor.
 	listTimeout = 2 * time.Second
-	// planRestFactor is the rest after a plan, as a multiple of its time. Planning takes
-	// longer the more waits; without the rest a leader with a backlog does nothing
-	// else, its calls time out, and it loses its lease.
+	// planRestFactor is the pause after a plan as a multiple of the time the plan took.
+	// Planning takes longer the more tasks wait; without the pause a leader with a backlog
+	// does nothing else, its calls time out, and it loses its lease.
 	planRestFactor = 3
-	// planRestFloorPerVM is the least rest for each VM: each plan looks at all of them, whatever
-	// there is to decide. maxPlanRestFloor bounds it, since a start waits for the next plan.
+	// planRestFloorPerVM is the minimum pause per VM: each plan examines all VMs, even when
+	// there is nothing to decide. maxPlanRestFloor caps it, since a start waits for the next
+	// plan.
 	planRestFloorPerVM = 15 * time.Microsecond
 	maxPlanRestFloor   = 20 * time.Millisecond
-	// planInterval is how often the plan is looked at without a cause.
+	// planInterval is the longest time between two plans.
 	planInterval = 50 * time.Millisecond
-	// maxConcurrentOrders bounds the calls under way: one takes some 5 ms, so that 900
-	// a second need five. More are given after a change of leader, and their
-	// timeouts must not run while they wait for the processor or a connection.
+	// maxConcurrentOrders bounds the concurrent calls from this process. One takes about 5 ms,
+	// so 900 a second need five. A change of leader causes more, and their timeouts must not
+	// run while they wait for the processor or a connection.
 	maxConcurrentOrders = 96
-	// maxConcurrentRelayed bounds those that go through relays, which have no connections
-	// and few timeouts here: at 25 ms each 4,000 a second need a hundred, and
-	// after a change of leader a whole fleet's are given at once.
+	// maxConcurrentRelayed bounds the calls that go through relays, which use no connections
+	// and few timeouts in this process. At 25 ms each, 4,000 a second need a hundred; after a
+	// change of leader those of a whole fleet are sent at once.
 	maxConcurrentRelayed = 2048
 	// relaysReadyTimeout is how long a new leader waits for relays before it holds a large
-	// fleet itself: processes offer themselves when they see its key.
+	// fleet itself. Processes offer to relay when they see the leader's key.
 	relaysReadyTimeout = 500 * time.Millisecond
 	// rebuildTimeout bounds one attempt to read all records.
 	rebuildTimeout    = 5 * time.Second
 	rebuildRetryDelay = 200 * time.Millisecond
-	// jobsWatchTimeout is how long one watch for new jobs waits.
+	// jobsWatchTimeout bounds one watch call for new jobs.
 	jobsWatchTimeout = 2 * time.Second
 )
 
-// Leader does the leader's work during a tenure.
+// Leader runs the scheduler during the tenures of this process.
 type Leader struct {
 	Store  durable.Store
 	Agents Agents
-	// Relays may be nil: then all orders are given from this process.
+	// Relays may be nil; then this process sends all orders itself.
 	Relays    Relays
 	Adviser   Adviser
 	Instances Instances
 	Machines  Machines
-	// Node is this process's name, told to the machine service.
+	// Node is the name of this process, sent to the machine service.
 	Node string
-	// Address is where its peers reach it, told to successors.
+	// Address is where peers reach this process; it is recorded for successors.
 	Address      string
 	Predecessors Predecessors
-	// Waves returns the waves that the operator asked for.
+	// Waves returns the maintenance waves that the operator requested.
 	Waves      func() []batch.Wave
 	ReportWave WaveReport
 	// Config returns the configuration in force, or nil.
@@ -100,16 +101,16 @@
 	Log      *eventlog.Log
 	// WallMS is the time of day in milliseconds since 1970.
 	WallMS func() int64
-	// ObserveDecision is told of each decision, for the metrics; may be nil.
+	// ObserveDecision is called with each decision, for metrics; may be nil.
 	ObserveDecision func(scheduler.Decision)
-	// ObserveDelay is told how long work of this leader waited or took; may be nil.
+	// ObserveDelay is called with each delay of this leader's work; may be nil.
 	ObserveDelay func(Delay, time.Duration)
-	// ObserveEnd is told of each end that a VM tells for the first time; may be nil.
+	// ObserveEnd is called once for each end of a run that a VM reports; may be nil.
 	ObserveEnd func(scheduler.EndStatus)
 
 	mu   sync.Mutex
 	term *term
-	// closedTenures are the tenures of this process that ended, while leases of theirs last.
+	// closedTenures are the ended tenures of this process whose leases may not have expired.
 	closedTenures []closedTenure
 }
 
@@ -119,54 +120,55 @@
 	tenure *Tenure
 	log    *eventlog.Log
 
-	// mu guards sched and what follows.
+	// mu guards sched and the fields below it.
 	mu                sync.Mutex
 	sched             *scheduler.Scheduler
 	recordedInstances instanceAddresses
-	// expiredLeases is what the store has under expiredLeasesKey.
+	// expiredLeases is the stored value of expiredLeasesKey.
 	expiredLeases map[string]scheduler.ExpiredLease
-	// expiredLeasesRead is set once that is known.
+	// expiredLeasesRead is set once expiredLeases has been read.
 	expiredLeasesRead bool
-	// instancesRevision is that of the record of instances.
+	// instancesRevision is the store revision of the instance record.
 	instancesRevision int64
 	holds             map[string]context.CancelFunc
-	// unackedEnds are the ends that each VM goes on telling.
+	// unackedEnds holds the unacknowledged ends of each VM.
 	unackedEnds map[string]unackedEnds
 	config      *batch.Config
-	// closed is set once the leases of the tenure were told to a successor, or kept
-	// for it: no further ones may be taken.
+	// closed is set once the leases of the tenure were reported to a successor or kept for
+	// one. No lease may be renewed afterwards.
 	closed bool
-	// pastTenures are the tenures before this one, pastTenuresComplete whether these are all.
+	// pastTenures are the earlier tenures whose leases may last; pastTenuresComplete is set if
+	// none is missing.
 	pastTenures         []PastTenure
 	pastTenuresComplete bool
-	// currentHoldWait is how long a hold waits, in nanoseconds.
+	// currentHoldWait is the wait of a hold in nanoseconds.
 	currentHoldWait atomic.Int64
-	// fleetSize is how many VMs are held.
+	// fleetSize is the number of VMs that are held.
 	fleetSize atomic.Int64
 	// flushed is closed and replaced after each flush.
 	flushed       chan struct{}
 	planRequested chan struct{}
 	work          sync.WaitGroup
-	// startWindow bounds the starts under way, backlog those that wait to be given, carrying the other calls from this process,
-	// relayed those through others.
+	// startWindow bounds the concurrent starts; backlog tracks starts that are decided but not
+	// sent yet. directCalls bounds the other calls from this process, relayedCalls those
+	// through relays.
 	startWindow               *startWindow
 	backlog                   *scheduler.Backlog
 	directCalls, relayedCalls chan struct{}
-	// relaysAwaited is set once relays were waited for.
+	// relaysAwaited is set after the first wait for relays.
 	relaysAwaited bool
-	// modelRead is set once it is known what earlier leaders have learned. Only the
-	// rebuild, and after it the model's loop, look at it.
+	// modelRead is set once the stored model has been read, or is known to be absent. It is
+	// used by the rebuild and, after it, by modelLoop only.
 	modelRead bool
-	// cancelledEarly are the jobs whose cancellation came before they did, with the
-	// time at which it came.
+	// cancelledEarly holds the time of each cancellation that arrived before its job.
 	cancelledEarly map[string]time.Duration
-	// removed are the jobs that this leader has removed of late.
+	// removed are the jobs that this leader removed recently.
 	removed removals
-	// adviceMu is held during a question to the adviser.
+	// adviceMu is held during a call to the adviser.
 	adviceMu sync.Mutex
 }
 
-// Lead does the leader's work until ctx ends.
+// Lead schedules until ctx ends.
 func (l *Leader) Lead(ctx context.Context, tenure *Tenure) {
 	t := &term{
 		Leader: l, tenure: tenure, log: l.Log, recordedInstances: instanceAddresses{}, removed: removals{}, cancelledEarly: map[string]time.Duration{},
@@ -191,8 +193,8 @@
 	t.logEnd()
 }
 
-// logEnd tells what goes on without this leader: where leases that it took may
-// live, and for how long, and which ends its successor will hear.
+// logEnd logs what outlasts the tenure: the VMs with leases, the longest lease, and the ends
+// that the VMs will report to the successor.
 func (t *term) logEnd() {
 	f := t.stats()
 	t.log.Event("leader_ended", eventlog.Fields{
@@ -213,7 +215,7 @@
 	return l.term
 }
 
-// run starts the loops of the tenure and waits for its end.
+// run starts the loops of the tenure and plans until it ends.
 func (t *term) run(ctx context.Context, revision int64) {
 	jobs := &follow.Follower{Store: t.Store, Prefix: jobsPrefix, Wait: jobsWatchTimeout, Handle: t.observeJobs, After: revision}
 	for _, loop := range []func(context.Context){
@@ -223,7 +225,7 @@
 	}
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	confirmed, late := true, time.Duration(0)
+	confirmed, lag := true, time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
@@ -236,24 +238,24 @@
 			t.tenure.End()
 			return
 		}
-		began := steady.Now()
-		t.plan(ctx, late)
-		rested := steady.Now()
-		rest := t.restAfterPlan(rested - began)
+		planStart := steady.Now()
+		t.plan(ctx, lag)
+		restStart := steady.Now()
+		rest := t.restAfterPlan(restStart - planStart)
 		pause.For(ctx, rest)
-		// How late the rest ends tells how long whatever is ready waits for the processor.
-		late = steady.Now() - rested - rest
+		// The excess of the pause is how long ready work waits for the processor.
+		lag = steady.Now() - restStart - rest
 	}
 }
 
-// restAfterPlan is the rest after a plan that took so long.
+// restAfterPlan returns the pause after a plan that took the given time.
 func (t *term) restAfterPlan(took time.Duration) time.Duration {
 	vms := time.Duration(t.fleetSize.Load())
 	return min(max(planRestFactor*took, min(vms*planRestFloorPerVM, maxPlanRestFloor)), planInterval)
 }
 
-// logConfirmation tells when this leader begins to act without being confirmed, and
-// when that ends: meanwhile another may lead, while leases are renewed here.
+// logConfirmation logs when this leader starts or stops acting without a confirmed lease.
+// Meanwhile another process may lead, while this one renews leases of VMs.
 func (t *term) logConfirmation(before bool) bool {
 	now := t.tenure.Confirmed()
 	if now == before {
@@ -268,14 +270,14 @@
 	return now
 }
 
-// sinceRenewed is how old the last renewal is that the store answered.
+// sinceRenewed returns the time since the last successful renewal was sent.
 func (t *Tenure) sinceRenewed() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return steady.Now() - t.renewedAt
 }
 
-// requestPlan makes the plan be looked at soon.
+// requestPlan triggers a plan without waiting for the next interval.
 func (t *term) requestPlan() {
 	select {
 	case t.planRequested <- struct{}{}:
@@ -283,8 +285,9 @@
 	}
 }
 
-// plan decides and has the orders given, by a process that is so late with what is ready.
-func (t *term) plan(ctx context.Context, late time.Duration) {
+// plan makes decisions and sends the resulting orders. lag is how long ready work waits for
+// the processor.
+func (t *term) plan(ctx context.Context, lag time.Duration) {
 	now := steady.Now()
 	t.mu.Lock()
 	if t.closed {
@@ -295,50 +298,52 @@
 		t.config = c
 		t.sched.SetConfig(c)
 	}
-	t.sched.SetStartBudget(t.startCapacity(now, late))
+	t.sched.SetStartBudget(t.startCapacity(now, lag))
 	t.sched.ConfirmLeadership(t.tenure.RenewedAt())
 	t.sched.Tick(now)
 	t.sched.OpenDue(now, t.WallMS())
 	orders := t.sched.Plan(now)
-	left := t.sched.StartBudgetLeft()
+	budgetLeft := t.sched.StartBudgetLeft()
 	t.mu.Unlock()
 	t.observeDelay(DelayPlan, steady.Now()-now)
 	decidedAt := steady.Now()
-	given := t.backlog.RecordPlan(decidedAt, scheduler.CountStarts(orders), left)
+	recordSent := t.backlog.RecordPlan(decidedAt, scheduler.CountStarts(orders), budgetLeft)
 	for i := range orders {
 		o := orders[i]
 		t.work.Go(func() {
 			t.executeOrder(ctx, o, func(now time.Duration) {
 				t.observeDelay(DelayOrder, now-decidedAt)
-				given(now)
+				recordSent(now)
 			})
 		})
 	}
 }
 
-// startCapacity is how many starts may be decided now, by a process that is so late.
-func (t *term) startCapacity(now, late time.Duration) scheduler.StartBudget {
+// startCapacity returns how many starts may be decided now. lag is how long ready work waits
+// for the processor.
+func (t *term) startCapacity(now, lag time.Duration) scheduler.StartBudget {
 	if t.startWindow.isFull() {
 		return scheduler.StartBudget{}
 	}
-	return t.backlog.Budget(now, late)
+	return t.backlog.Budget(now, lag)
 }
 
-// Delay is what of a leader's work waits, or takes time: where its processor is full, all
-// of them grow.
+// Delay is a kind of delay in the leader's work. All kinds grow when its processor is
+// saturated.
 type Delay string
 
-// The delays.
+// Kinds of delays.
 const (
-	// DelayOrder: a start waited between its decision and its being given.
+	// DelayOrder is the time between the decision of a start and its sending.
 	DelayOrder Delay = "order"
-	// DelayReport: a VM's report waited between its arrival from a relay and its being taken on.
+	// DelayReport is the time between the arrival of a VM's report from a relay and its
+	// processing.
 	DelayReport Delay = "report"
-	// DelayPlan: a plan took so long.
+	// DelayPlan is the duration of a plan.
 	DelayPlan Delay = "plan"
 )
 
-// Delays are all of them.
+// Delays lists all kinds of delays.
 var Delays = []Delay{DelayOrder, DelayReport, DelayPlan}
 
 func (t *term) observeDelay(d Delay, took time.Duration) {
@@ -347,13 +352,13 @@
 	}
 }
 
-// confirmPollInterval is how often an unconfirmed leader looks whether it is confirmed.
+// confirmPollInterval is how often an unconfirmed leader checks whether it is confirmed.
 const confirmPollInterval = 20 * time.Millisecond
 
-// awaitConfirmed waits until the lease is known to be ours, and reports whether
-// it is. A leader that was cut off and comes back goes on with what it had, but
-// must not take up what came meanwhile: a successor may have started it, on VMs
-// that this one does not hear.
+// awaitConfirmed waits until this process is certain to hold the leader's lease, and reports
+// whether it does. A leader that was cut off and is connected again continues what it had
+// started, but must not accept jobs that arrived meanwhile: a successor may have started them
+// on VMs that are unreachable from here.
 func (t *term) awaitConfirmed() bool {
 	for !t.tenure.Confirmed() {
 		if !t.tenure.MayAct() {
@@ -364,9 +369,9 @@
 	return true
 }
 
-// AcceptAnnouncement takes a job, or a cancellation, over that is in the store already. It
-// returns false when this process does not lead for certain: then the leader's
-// watch tells it.
+// AcceptAnnouncement accepts a job or a cancellation that is already in the store. It returns
+// false when this process is not confirmed as the leader; then the leader's watch delivers the
+// change.
 func (l *Leader) AcceptAnnouncement(key string, value []byte) bool {
 	t := l.currentTerm()
 	if t == nil || !t.tenure.Confirmed() {
@@ -376,9 +381,9 @@
 	return true
 }
 
-// lockConfirmed takes the lock at a moment at which the lease is known to be ours;
-// ok is false when the tenure is over. The lease may run out during the wait for
-// the lock.
+// lockConfirmed locks t.mu while the leader's lease is confirmed; ok is false when the tenure
+// is over. The lease may expire during the wait for the lock, so it is checked again
+// afterwards.
 func (t *term) lockConfirmed() (ok bool) {
 	for t.awaitConfirmed() {
 		t.mu.Lock()
@@ -390,7 +395,7 @@
 	return false
 }
 
-// observeJobs takes new jobs and cancels over.
+// observeJobs accepts new jobs and cancellations.
 func (t *term) observeJobs(items []durable.Item, _ bool) {
 	if !t.lockConfirmed() {
 		return
@@ -424,18 +429,18 @@
 	}
 	sub := r.submission(t.jobAge(r))
 	sub.CreatedRevision = item.Created
-	// A job that this leader does not know and that has ended: what it did is in its
-	// record, and its payload is gone.
+	// An ended job that is unknown to this leader: its results are in its record, and its
+	// payload was removed.
 	sub.Unreadable = r.Ended
 	_, sub.Cancelled = t.cancelledEarly[id]
 	t.sched.Submit(now, sub)
 }
 
-// maxJobAge bounds the age of a submission: it comes from two clocks of the time of
-// day, which may jump.
+// maxJobAge bounds the age of a submission, which is the difference of two wall clocks, either
+// of which may jump.
 const maxJobAge = time.Minute
 
-// jobAge is how long ago a job was submitted.
+// jobAge returns the time since a job was submitted.
 func (t *term) jobAge(r *JobRecord) time.Duration {
 	age := time.Duration(t.WallMS()-r.SubmittedMS) * time.Millisecond
 	return min(max(age, 0), maxJobAge)
@@ -448,7 +453,7 @@
 	t.log.EventOf(d.Event, func() eventlog.Fields { return decisionFields(&d) })
 }
 
-// decisionFields are a decision's for its line.
+// decisionFields returns the log fields of a decision.
 func decisionFields(d *scheduler.Decision) eventlog.Fields {
 	f := eventlog.Fields{}
 	if d.Job != "" {
--- a/internal/leader/lives.go
+++ b/internal/leader/lives.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// livenessInterval is how often the machine service is asked while VMs are in doubt; it
-	// takes some tens of calls a second of all processes together.
+	// livenessInterval is the interval between queries of the machine service while the state
+	// of VMs is uncertain. The service handles a few tens of calls a second from all processes
+	// together.
 	livenessInterval = 500 * time.Millisecond
-	// newJobsRevisionRetryDelay is the pause between reads of the store's revision until one succeeds.
+	// newJobsRevisionRetryDelay is the delay between attempts to read the store's revision.
 	newJobsRevisionRetryDelay = 200 * time.Millisecond
 )
 
-// livenessLoop asks the machine service which VMs live while some are unheard. Without its
-// word they are waited for until their leases are over, 8.5 s after they were last heard.
+// livenessLoop queries the machine service for running VMs while some are unresponsive.
+// Without its response they are awaited until their leases expire, 8.5 s after their last
+// report.
 func (t *term) livenessLoop(ctx context.Context) {
 	pause.Every(ctx, livenessInterval, func() {
 		t.mu.Lock()
@@ -45,8 +47,8 @@
 	})
 }
 
-// newJobsRevisionLoop reads a revision of the store once earlier leaders have certainly learned
-// that they were succeeded. Jobs created after it need not wait for VMs that are silent.
+// newJobsRevisionLoop reads a store revision once earlier leaders have certainly learned that
+// they are deposed. Jobs created after that revision need not wait for unresponsive VMs.
 func (t *term) newJobsRevisionLoop(ctx context.Context) {
 	pause.For(ctx, scheduler.DeposedAdmissionTimeout)
 	for ctx.Err() == nil && t.awaitsVMs() {
--- a/internal/leader/model.go
+++ b/internal/leader/model.go
@@ -10,11 +10,11 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// modelStoreInterval is how often the learned model is stored: a successor lacks at most
-// what was learned since.
+// modelStoreInterval is the interval at which the learned model is stored; a successor lacks
+// at most what was learned since.
 const modelStoreInterval = 3 * time.Second
 
-// modelLoop stores the learned model.
+// modelLoop stores the learned model periodically.
 func (t *term) modelLoop(ctx context.Context) {
 	pause.Every(ctx, modelStoreInterval, func() {
 		if err := t.storeModel(ctx); err != nil && ctx.Err() == nil {
@@ -25,7 +25,7 @@
 
 func (t *term) storeModel(ctx context.Context) error {
 	if !t.modelRead && !t.loadModel(ctx) {
-		// What is there is worth more than what was learned since.
+		// The stored model is worth more than what was learned since.
 		return nil
 	}
 	t.mu.Lock()
@@ -45,9 +45,9 @@
 	return err
 }
 
-// loadModel reads what an earlier leader learned, and reports whether it is known
-// what that is. Without it the leader learns anew, so that a failure is no reason
-// not to lead; but a model that was not read must not be replaced.
+// loadModel reads the model that an earlier leader stored, and reports whether the stored
+// state is known. A failure does not prevent leading, since the leader can learn anew; but a
+// model that could not be read must not be overwritten.
 func (t *term) loadModel(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// orderTimeout bounds one try of an order; tries is how often a start is
-	// repeated before its run is given up.
+	// orderTimeout bounds one attempt to send an order; maxStartTries is the number of
+	// attempts for a start before its run is given up.
 	orderTimeout  = 500 * time.Millisecond
 	maxStartTries = 3
-	// stopRetryDelay is the wait after the first try of a stop. It doubles up to
-	// maxStopRetryDelay: a leader that is behind would do nothing but repeat stops.
+	// stopRetryDelay is the delay after the first attempt of a stop. It doubles up to
+	// maxStopRetryDelay; without that an overloaded leader would do nothing but repeat stops.
 	stopRetryDelay    = 200 * time.Millisecond
 	maxStopRetryDelay = 1600 * time.Millisecond
-	// stopRetryDuration bounds how long a stop is repeated whose run does not count; while the
-	// VM lists it the stop is ordered again.
+	// stopRetryDuration bounds how long a stop is repeated if its run does not count. The stop
+	// is ordered again for as long as the VM reports the run.
 	stopRetryDuration = 25 * time.Second
 )
 
-// handleFenceRefusal takes in that an instance has refused an order with a fencing token. It has seen a
-// successor's, which ends the tenure, or a higher one that this leader has used there since.
+// handleFenceRefusal handles an order that an instance refused because of its fencing token.
+// The instance has seen either a successor's token, which ends the tenure, or a higher one
+// that this leader has used there since.
 func (t *term) handleFenceRefusal(id string, token int64) {
 	if token >= t.token(id) {
 		t.endFenced(id)
 	}
 }
 
-// endFenced ends the tenure: a VM or a machine has seen a successor's fencing token.
+// endFenced ends the tenure because a VM or machine has seen a successor's fencing token.
 func (t *term) endFenced(id string) {
 	t.log.Event("leader_fenced", eventlog.Fields{"vm": id, "fence": t.tenure.Fence})
 	t.tenure.End()
@@ -49,11 +50,12 @@
 	return ""
 }
 
-// executeOrder gives an order to its instance. given is told of a start that is given, or dropped.
-func (t *term) executeOrder(ctx context.Context, o scheduler.Order, given func(now time.Duration)) {
+// executeOrder sends an order to its instance. dequeued is called once a start has left the
+// queue of starts, to be sent or dropped.
+func (t *term) executeOrder(ctx context.Context, o scheduler.Order, dequeued func(now time.Duration)) {
 	switch o.Kind {
 	case scheduler.OrderStart:
-		t.start(ctx, o, given)
+		t.start(ctx, o, dequeued)
 	case scheduler.OrderStop:
 		t.stop(ctx, o)
 	case scheduler.OrderPace:
@@ -65,20 +67,19 @@
 	}
 }
 
-// acquireCall waits for a place among the calls under way. A stop holds it for one try
-// at a time: what is repeated for long must not keep other orders from being given.
-// The place is to be left when the call is over.
-func (t *term) acquireCall(vm string) (leave func()) {
-	places := t.directCalls
+// acquireCall waits for a slot among the concurrent calls; release frees it. A stop holds a
+// slot for one attempt at a time, since long repetition must not delay other orders.
+func (t *term) acquireCall(vm string) (release func()) {
+	slots := t.directCalls
 	if t.Relays != nil && t.Relays.Relayed(vm) {
-		places = t.relayedCalls
+		slots = t.relayedCalls
 	}
-	places <- struct{}{}
-	return func() { <-places }
+	slots <- struct{}{}
+	return func() { <-slots }
 }
 
-// isStartWanted reports whether a try of a start is still to be made. A task may be done
-// elsewhere, or its job cancelled, while an earlier try had no answer.
+// isStartWanted reports whether the given attempt of a start is still to be made. While an
+// earlier attempt got no response, the task may have been done elsewhere or its job cancelled.
 func (t *term) isStartWanted(o scheduler.Order, try int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,12 +89,12 @@
 	return t.sched.ShouldResendStart(steady.Now(), o)
 }
 
-// start gives a start order until its outcome is known, a few times. A refusal
-// after a try that got no answer says nothing of that try, which may be carried
-// out later: the outcome is unknown.
-func (t *term) start(ctx context.Context, o scheduler.Order, given func(now time.Duration)) {
+// start sends a start order until its outcome is known, up to maxStartTries times. If an
+// attempt got no response, the outcome stays unknown even when a later one is refused, since
+// the earlier attempt may still be carried out.
+func (t *term) start(ctx context.Context, o scheduler.Order, dequeued func(now time.Duration)) {
 	release, err := t.startWindow.acquire(ctx)
-	given(steady.Now())
+	dequeued(steady.Now())
 	if err != nil {
 		return
 	}
@@ -153,16 +154,16 @@
 	t.requestPlan()
 }
 
-// orderFields are an order's for a line, with one figure.
-func orderFields(o *scheduler.Order, figure string, value any) eventlog.Fields {
-	return eventlog.Fields{"vm": o.Instance.ID, "job": o.Task.Job, "task": o.Task.String(), "run": o.Run, figure: value}
+// orderFields returns the log fields of an order with one additional field.
+func orderFields(o *scheduler.Order, key string, value any) eventlog.Fields {
+	return eventlog.Fields{"vm": o.Instance.ID, "job": o.Task.Job, "task": o.Task.String(), "run": o.Run, key: value}
 }
 
-// shouldRepeatStop reports whether a stop that has been repeated for a time is to be
-// repeated again. As long as its run counts nothing else ends the wait for it: the
-// VM's lease is renewed by each hold that it answers.
-func (t *term) shouldRepeatStop(o scheduler.Order, lasted time.Duration) bool {
-	if lasted < stopRetryDuration {
+// shouldRepeatStop reports whether to repeat a stop that has been repeated for the given time.
+// While its run counts, only a confirmation ends the wait: the VM's lease does not expire, as
+// each successful hold renews it.
+func (t *term) shouldRepeatStop(o scheduler.Order, elapsed time.Duration) bool {
+	if elapsed < stopRetryDuration {
 		return true
 	}
 	t.mu.Lock()
@@ -175,38 +176,38 @@
 
 func (t *term) stopSince(ctx context.Context, o scheduler.Order, began time.Duration) {
 	var err error
-	tellAt := stopRetryDuration
-	rest := stopRetryDelay
+	nextLogAt := stopRetryDuration
+	delay := stopRetryDelay
 	for ctx.Err() == nil && t.tenure.MayAct() {
 		age := steady.Now() - began
-		if age >= tellAt {
+		if age >= nextLogAt {
 			t.log.Warn("stop_unconfirmed", err, orderFields(&o, "age_ms", age.Milliseconds()))
-			tellAt += stopRetryDuration
+			nextLogAt += stopRetryDuration
 		}
 		if !t.shouldRepeatStop(o, age) {
 			return
 		}
-		leave := t.acquireCall(o.Instance.ID)
+		release := t.acquireCall(o.Instance.ID)
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		token := t.token(o.Instance.ID)
 		err = t.Agents.Stop(callCtx, &o.Instance, o.Task, o.Run, token)
 		cancel()
-		leave()
+		release()
 		switch refusalOf(err) {
 		case batch.RefusedGone:
 			return
 		case batch.RefusedFence:
 			t.handleFenceRefusal(o.Instance.ID, token)
 		}
-		// "Old" says that the run has ended there already.
+		// RefusedOld means that the run has already ended there.
 		if err == nil || refusalOf(err) == batch.RefusedOld {
 			t.mu.Lock()
 			t.sched.Stopped(steady.Now(), o)
 			t.mu.Unlock()
 			return
 		}
-		pause.For(ctx, rest)
-		rest = min(2*rest, maxStopRetryDelay)
+		pause.For(ctx, delay)
+		delay = min(2*delay, maxStopRetryDelay)
 	}
 }
 
@@ -223,23 +224,23 @@
 	}
 }
 
-// adviceTimeout bounds one question to the adviser, the wait for its turn included.
+// adviceTimeout bounds one call to the adviser.
 const adviceTimeout = 4 * time.Second
 
 func (t *term) advise(ctx context.Context, o scheduler.Order) {
-	// Questions are asked one at a time: the adviser takes no more, and a
-	// ticket's life is counted from the question.
+	// One call at a time: the adviser accepts no more, and the validity of a ticket counts
+	// from the call.
 	t.adviceMu.Lock()
 	defer t.adviceMu.Unlock()
 	askedAt := steady.Now()
 	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
-	good, validFor, err := t.Adviser.Advise(callCtx, o.Task, o.Candidates)
+	tickets, validFor, err := t.Adviser.Advise(callCtx, o.Task, o.Candidates)
 	if err != nil && ctx.Err() == nil {
 		t.log.Warn("advice_failed", err, eventlog.Fields{"task": o.Task.String(), "candidates": len(o.Candidates)})
 	}
 	t.mu.Lock()
-	t.sched.Advised(steady.Now(), askedAt, o, good, validFor, err == nil)
+	t.sched.Advised(steady.Now(), askedAt, o, tickets, validFor, err == nil)
 	t.mu.Unlock()
 	t.requestPlan()
 }
--- a/internal/leader/tokens.go
+++ b/internal/leader/tokens.go
@@ -9,12 +9,12 @@
 	"github.com/rattanwall/rattanwall/internal/pause"
 )
 
-// tokenPollInterval is how often it is looked whether a VM that has started again waits for a higher
-// fencing token: it takes nothing new before.
+// tokenPollInterval is how often to check whether a restarted VM needs a higher fencing token,
+// without which it accepts no new tasks.
 const tokenPollInterval = 50 * time.Millisecond
 
-// tokenLoop gets higher fencing tokens where they are needed. Most come with the writes of
-// progress.
+// tokenLoop raises the fencing token when a VM needs a higher one. Mostly the writes of
+// progress raise it first.
 func (t *term) tokenLoop(ctx context.Context) {
 	pause.Every(ctx, tokenPollInterval, func() {
 		t.mu.Lock()
@@ -38,7 +38,7 @@
 	})
 }
 
-// token is the fencing token of what is sent to an instance.
+// token returns the fencing token for calls to an instance.
 func (t *term) token(id string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/leader/untold.go
+++ b/internal/leader/untold.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// unknownJobsInterval is how often it is looked whether VMs tell of unknown jobs.
+	// unknownJobsInterval is how often to check for reports about unknown jobs.
 	unknownJobsInterval = 100 * time.Millisecond
-	// unknownJobDelay is how long the watch of new jobs may take before the store is
-	// asked for one: it usually tells within a few milliseconds.
+	// unknownJobDelay is how long to wait for the watch of new jobs, which usually takes a few
+	// milliseconds, before the store is queried for a job.
 	unknownJobDelay = 300 * time.Millisecond
-	// maxUnknownJobs bounds the jobs asked for in one pass: two reads each.
+	// maxUnknownJobs bounds the jobs read in one pass, at two reads each.
 	maxUnknownJobs   = 20
 	storeReadTimeout = time.Second
 )
 
-// unknownJobsLoop asks the store for jobs that VMs tell of and that this leader does not
-// know, since its watch is late or silent. Until then their ends stay unacknowledged.
+// unknownJobsLoop reads jobs that VMs report and that this leader does not know because its
+// watch is late or stalled. Until then their ends stay unacknowledged.
 func (t *term) unknownJobsLoop(ctx context.Context) {
 	pause.Every(ctx, unknownJobsInterval, func() {
 		t.mu.Lock()
@@ -40,8 +40,8 @@
 	})
 }
 
-// readUnknownJob reads one job and takes it over, or notes that there is none. Only an
-// answer of the store says that: a job's key is created before anybody starts it.
+// readUnknownJob reads and submits one job, or records that it does not exist. Only a
+// successful read shows that: a job's key is created before the job is started.
 func (t *term) readUnknownJob(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	// The prefix is that of longer IDs, too.
+	// Longer IDs may have the same prefix.
 	items = slices.DeleteFunc(items, func(item durable.Item) bool {
 		key, _ := parseJobKey(item.Key)
 		return key != id
@@ -65,8 +65,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := steady.Now()
-	switch taken := t.submitJobs(now, items, found); {
-	case taken > 0:
+	switch submitted := t.submitJobs(now, items, found); {
+	case submitted > 0:
 	case len(items) > 0:
 		t.sched.JobUnreadable(now, id)
 	default:
--- a/internal/leader/waves.go
+++ b/internal/leader/waves.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// wavesInterval is how often waves are looked at. Without one that costs nothing.
+	// wavesInterval is how often waves are processed. Without a wave that costs nothing.
 	wavesInterval = 500 * time.Millisecond
 	// machineTimeout bounds one call of the machine service.
 	machineTimeout = 2 * time.Second
-	// wavePrefix holds which machines of a wave have begun.
+	// wavePrefix is the prefix of the status of waves: the machines whose maintenance has
+	// begun.
 	wavePrefix = "wave/"
-	// machineHolderDelay is how long a new leader gives no orders to machines: two
-	// holders must not take turns within the platform's lease of 3 s.
+	// machineHolderDelay is how long a new leader sends no orders to machines. Two holders
+	// must not alternate within the platform's lease of 3 s.
 	machineHolderDelay = 3500 * time.Millisecond
 )
 
-// Machines is the machine service.
+// Machines is the client of the machine service.
 type Machines interface {
 	List(ctx context.Context) ([]batch.Machine, error)
 	Maintain(ctx context.Context, o batch.MaintainOrder) error
 }
 
-// WaveReport returns the key and value that tell the operator of a wave.
+// WaveReport returns the key and value that report a wave to the operator.
 type WaveReport func(number int64, completed bool) (key string, value []byte, err error)
 
-// wavesLoop follows the waves that the operator asks for.
+// wavesLoop processes the waves that the operator requests.
 func (t *term) wavesLoop(ctx context.Context) {
 	pause.For(ctx, machineHolderDelay)
 	written := map[int64]scheduler.WaveStatus{}
@@ -84,7 +85,7 @@
 	}
 }
 
-// addWave reads what an earlier leader recorded of a wave and takes it on.
+// addWave reads the recorded status of a wave and adds the wave to the scheduler.
 func (t *term) addWave(ctx context.Context, w batch.Wave, written map[int64]scheduler.WaveStatus) bool {
 	callCtx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -104,7 +105,7 @@
 	return true
 }
 
-// writeWave records a wave's state for a successor and for the operator.
+// writeWave records a wave's status for a successor and for the operator.
 func (t *term) writeWave(ctx context.Context, st scheduler.WaveStatus) bool {
 	value, err := json.Marshal(st)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return err == nil
 }
 
-// maintain begins a machine's maintenance.
+// maintain starts the maintenance of a machine.
 func (t *term) maintain(ctx context.Context, o scheduler.Order) {
 	if !t.tenure.Confirmed() {
 		t.mu.Lock()
