--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	// leaseTTL is how long the store keeps the leader's key without a renewal:
-	// the time until the others notice its death. Renewals travel a few
+	// leaseTTL is how long the store keeps the leader's key without a renewal, and thus the
+	// time until other processes notice the leader's death. A renewal takes a few
 	// milliseconds; two in a row may be lost.
 	leaseTTL      = 1300 * time.Millisecond
 	renewInterval = 350 * time.Millisecond
 	renewTimeout  = 400 * time.Millisecond
-	// confirmMargin covers what passes between the look at the clock and the act.
+	// confirmMargin covers the time between reading the clock and acting on it.
 	confirmMargin = 150 * time.Millisecond
-	// callTimeout bounds one call of the election.
+	// callTimeout bounds one store call of the election.
 	callTimeout = 900 * time.Millisecond
-	// maxUnrenewedTenure is how long after its last renewal a leader goes on giving
-	// orders while the store does not answer. The VMs' fencing tokens keep it
-	// safe: a successor shows its token to every VM it reaches before its first
-	// order, and waits the time out for those that it does not reach.
+	// maxUnrenewedTenure is how long after its last renewal a leader keeps sending orders
+	// while the store does not respond. The fencing tokens at the VMs make that safe: a
+	// successor sends its token to every reachable VM before its first order, and waits this
+	// time out for the others.
 	maxUnrenewedTenure = 6 * time.Second
-	// campaignJitter spreads the candidates, so that most find the key taken
-	// before they write.
+	// campaignJitter spreads the candidates, so that most of them find the key taken before
+	// they write it.
 	campaignJitter = 120 * time.Millisecond
-	// maxHandicap delays a candidate on a small VM, so that a large one leads: for
-	// a VM with no processor at all.
+	// maxHandicap is the election delay of a candidate without any processor share. Smaller
+	// VMs are delayed more, so that a large one leads.
 	maxHandicap = 400 * time.Millisecond
-	// fullProcessorShare is the share of a core from which a VM has no handicap.
+	// fullProcessorShare is the share of a core from which on a VM has no handicap.
 	fullProcessorShare = 0.8
-	// leaderWatchTimeout is how long one watch of the leader's key waits, leaderReadInterval how often
-	// the key is read beside it: a leader's death that no watch tells of is noticed as soon
-	// as its lease and that are over.
+	// leaderWatchTimeout bounds one watch call on the leader's key. leaderReadInterval is how
+	// often the key is also read: a leader's death that no watch reports is noticed at the
+	// latest after its lease and this interval.
 	leaderWatchTimeout = 5 * time.Second
 	leaderReadInterval = 1500 * time.Millisecond
 )
 
-// Election takes part in the choice of the leader.
+// Election campaigns for the leadership and tracks the current leader.
 type Election struct {
 	store durable.Store
 	self  Record
-	// processor is the share of a core that this VM has.
+	// processor is this VM's share of a core.
 	processor float64
 	log       *eventlog.Log
 	lead      func(ctx context.Context, term *Tenure)
-	// OnLeaderSeen is told of each leader that is not this process; may be nil. It must not wait.
+	// OnLeaderSeen is called with each new leader other than this process; may be nil. It must
+	// not block.
 	OnLeaderSeen func(Record)
 
 	mu        sync.Mutex
@@ -62,15 +63,15 @@
 	fence     int64
 	isKeyRead bool
 	tenure    *Tenure
-	// successor is the highest fencing token of a leader that this process was told of
-	// by that leader itself: no tenure with a lower one begins or goes on.
+	// successor is the highest fencing token that a leader itself has announced to this
+	// process. No tenure with a lower token begins or continues.
 	successor int64
 	resigned  bool
 	wake      chan struct{}
 	follower  *follow.Follower
 }
 
-// Tenure is one time of being the leader.
+// Tenure is one uninterrupted period of leadership of this process.
 type Tenure struct {
 	// Fence is the fencing token: the revision of the leader's key.
 	Fence int64
@@ -82,29 +83,29 @@
 	cancel    context.CancelFunc
 }
 
-// MayAct reports whether orders may be given now. It is asked before each one:
-// a process that was suspended wakes up in the middle of anything.
+// MayAct reports whether orders may be sent now. It is checked before each order, since a
+// process may be suspended and resumed at any point.
 func (t *Tenure) MayAct() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.ended && steady.Now()-t.renewedAt < maxUnrenewedTenure
 }
 
-// Confirmed reports whether the lease can't have run out: nobody else leads.
+// Confirmed reports whether the lease can't have expired, so that no other process leads.
 func (t *Tenure) Confirmed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.ended && steady.Now()-t.renewedAt < leaseTTL-confirmMargin
 }
 
-// RenewedAt is when the last renewal of the lease that succeeded was sent.
+// RenewedAt returns the time at which the last successful renewal was sent.
 func (t *Tenure) RenewedAt() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.renewedAt
 }
 
-// End ends the tenure: another one leads, or may.
+// End ends the tenure: another process leads, or may lead.
 func (t *Tenure) End() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,8 +113,8 @@
 	t.cancel()
 }
 
-// renewed notes that the store has renewed the leader's lease. A tenure that could not
-// act in between is over for good: some of its loops have found that and ended.
+// renewed records a successful renewal of the leader's lease. A tenure that could not act in
+// the meantime is over for good, since some of its loops have noticed that and ended.
 func (t *Tenure) renewed(sentAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,40 +126,40 @@
 	t.renewedAt = sentAt
 }
 
-// NewElection returns an election; lead is called for each tenure and returns
-// when its context ends.
+// NewElection returns an election. lead is called for each tenure and must return when its
+// context ends.
 func NewElection(store durable.Store, self Record, processor float64, log *eventlog.Log, lead func(context.Context, *Tenure)) *Election {
 	e := &Election{store: store, self: self, processor: processor, log: log, lead: lead, wake: make(chan struct{}, 1)}
 	e.follower = &follow.Follower{Store: store, Prefix: leaderKey, Wait: leaderWatchTimeout, ReadEvery: leaderReadInterval, Handle: e.observe}
 	return e
 }
 
-// Leader returns who leads, as far as this process knows.
+// Leader returns the current leader, if this process knows one.
 func (e *Election) Leader() (Record, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.fence != 0
 }
 
-// LeaderAndFence returns who leads, as far as this process knows, and its fencing token; 0
-// for nobody.
+// LeaderAndFence returns the current leader and its fencing token, which is 0 if no leader is
+// known.
 func (e *Election) LeaderAndFence() (Record, int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.fence
 }
 
-// Leading returns the tenure of this process, or nil.
+// Leading returns the current tenure of this process, or nil.
 func (e *Election) Leading() *Tenure {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tenure
 }
 
-// Follower watches the leader's key; run it beside Serve.
+// Follower returns the watcher of the leader's key; it must run beside Serve.
 func (e *Election) Follower() *follow.Follower { return e.follower }
 
-// observe takes a change of the leader's key over.
+// observe processes changes of the leader's key.
 func (e *Election) observe(items []durable.Item, whole bool) {
 	var found *durable.Item
 	for i := range items {
@@ -171,7 +172,7 @@
 	}
 	e.mu.Lock()
 	if e.isKeyRead && e.fence == revisionOf(found) {
-		// Read again, and nothing has changed.
+		// A repeated read without a change.
 		e.mu.Unlock()
 		return
 	}
@@ -186,8 +187,8 @@
 		e.leader = r
 	}
 	if t := e.tenure; t != nil && e.fence != t.Fence && (found == nil || found.Revision > t.Fence) {
-		// The key is another's, or was taken away: the store may do that without
-		// any call showing it.
+		// The key belongs to another process or was removed. The store may do that without any
+		// call of this process reporting it.
 		e.log.Event("leader_deposed", eventlog.Fields{"fence": t.Fence, "successor": e.leader.Node})
 		t.End()
 	}
@@ -196,8 +197,8 @@
 	e.notify()
 }
 
-// LearnLeader takes over what a peer knows of the leader, which is believed if its fencing token is
-// newer: a process that the store turns away has no other way to learn of one.
+// LearnLeader accepts a peer's information about the leader if its fencing token is newer. A
+// process that can't reach the store has no other way to learn of a new leader.
 func (e *Election) LearnLeader(r Record, fence int64, peer string) {
 	e.mu.Lock()
 	if fence <= e.fence {
@@ -215,7 +216,7 @@
 	e.notify()
 }
 
-// reportLeader tells of the leader that is known now. e.mu is held.
+// reportLeader logs the current leader and passes it to OnLeaderSeen. e.mu is held.
 func (e *Election) reportLeader(source string) {
 	e.log.Event("leader_seen", eventlog.Fields{"leader": e.leader.Node, "fence": e.fence, "source": source})
 	if e.OnLeaderSeen != nil && e.fence != 0 && e.leader != e.self {
@@ -223,7 +224,7 @@
 	}
 }
 
-// notify has the election looked at again.
+// notify triggers another check of whether to campaign.
 func (e *Election) notify() {
 	select {
 	case e.wake <- struct{}{}:
@@ -231,7 +232,7 @@
 	}
 }
 
-// revisionOf is the revision of an item that is there, else 0.
+// revisionOf returns the revision of an existing item, else 0.
 func revisionOf(item *durable.Item) int64 {
 	if item == nil || item.Deleted {
 		return 0
@@ -239,7 +240,7 @@
 	return item.Revision
 }
 
-// Resign gives the lead up for good, as part of a planned stop.
+// Resign gives up the leadership for good, as part of a planned stop.
 func (e *Election) Resign(ctx context.Context) {
 	e.mu.Lock()
 	e.resigned = true
@@ -256,8 +257,8 @@
 	}
 }
 
-// EndTenuresBefore ends the tenure of this process, and keeps one from beginning, that has a
-// lower fencing token than the leader that says so.
+// EndTenuresBefore ends the tenure of this process if its fencing token is lower than the
+// successor's, and prevents such tenures from beginning.
 func (e *Election) EndTenuresBefore(successor int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -268,16 +269,16 @@
 	}
 }
 
-// isVacant reports whether nobody leads: there is no leader's key, or it is that of
-// this process's own earlier life, which has certainly ended. Without the latter
-// all processes of a deployment that died together would wait the lease out.
+// isVacant reports whether this process may campaign: there is no leader's key, or the key
+// belongs to an earlier incarnation of this process, which has certainly ended. Without the
+// latter, processes of a deployment that died together would all wait until the lease expires.
 func (e *Election) isVacant() bool {
 	_, ok := e.claimableRevision()
 	return ok
 }
 
-// claimableRevision returns the revision of the leader's key that this process may replace:
-// 0 for none, or that of its own earlier life.
+// claimableRevision returns the revision of the leader's key that this process may replace: 0
+// for none, or that of its earlier incarnation.
 func (e *Election) claimableRevision() (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -299,10 +300,10 @@
 	return ctx.Err()
 }
 
-// campaign tries to become the leader once, and leads if it succeeds.
+// campaign tries once to become the leader, and leads if it succeeds.
 func (e *Election) campaign(ctx context.Context) {
-	small := max(0, 1-e.processor/fullProcessorShare)
-	delay := time.Duration(small*float64(maxHandicap)) + rand.N(campaignJitter)
+	shortage := max(0, 1-e.processor/fullProcessorShare)
+	delay := time.Duration(shortage*float64(maxHandicap)) + rand.N(campaignJitter)
 	select {
 	case <-ctx.Done():
 		return
@@ -331,7 +332,7 @@
 	e.serveTenure(ctx, t)
 }
 
-// errKeyTaken: another process came first.
+// errKeyTaken is returned when another process acquired the leader's key first.
 var errKeyTaken = errors.New("another leads")
 
 func (e *Election) acquire(ctx context.Context) (*Tenure, error) {
@@ -346,8 +347,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Asked again after the grant: another may have come first meanwhile, and its
-	// key must not be replaced.
+	// Checked again after the grant: another process may have acquired the key meanwhile, and
+	// its key must not be replaced.
 	previous, ok := e.claimableRevision()
 	if !ok {
 		return nil, errKeyTaken
@@ -357,8 +358,8 @@
 		Writes:     []durable.Write{{Key: leaderKey, Value: value, Lease: lease}},
 	})
 	if err != nil {
-		// After a lost answer the key may be ours: without renewals it goes
-		// with its lease.
+		// If the response was lost, the key may be ours; without renewals it disappears with
+		// its lease.
 		return nil, err
 	}
 	return &Tenure{Fence: revision, lease: lease, renewedAt: sentAt}, nil
@@ -377,7 +378,7 @@
 	e.tenure = t
 	e.leader, e.fence = e.self, t.Fence
 	e.mu.Unlock()
-	// A reading that began before the key was written would say that it is not there.
+	// A read that began before the key was written would report it as absent.
 	e.follower.Known(t.Fence)
 	done := make(chan struct{})
 	go func() {
@@ -390,8 +391,8 @@
 	e.mu.Lock()
 	e.tenure = nil
 	if e.fence == t.Fence {
-		// Whether the key is still there the follower will tell; until then
-		// nobody is known to lead.
+		// The follower will report whether the key still exists; until then no leader is
+		// known.
 		e.leader, e.fence, e.isKeyRead = Record{}, 0, false
 		e.follower.Reread()
 	}
@@ -399,7 +400,7 @@
 	e.log.Event("leader_stepped_down", eventlog.Fields{"fence": t.Fence})
 }
 
-// renew keeps the lease until it is lost or ctx ends.
+// renew renews the lease until it is lost or ctx ends.
 func (e *Election) renew(ctx context.Context, t *Tenure) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
--- a/internal/leader/predecessors.go
+++ b/internal/leader/predecessors.go
@@ -16,45 +16,45 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// A VM that a new leader does not hear may run what an earlier one started, until the
-// last lease there is over. Who took it knows when that is: a new leader asks its
-// predecessors, and waits out in full only those that do not answer.
+// A VM that is unresponsive to a new leader may run tasks of an earlier one until the last
+// lease there expires. The process that renewed the lease knows when that is: a new leader
+// asks its predecessors, and waits the full time only for those that do not respond.
 
 const (
-	// predecessorsDelay is how long a new leader tries to hear the VMs itself, most of
-	// which answer within a few milliseconds, before it asks anybody.
+	// predecessorsDelay is how long a new leader tries to reach the VMs itself before it asks
+	// its predecessors. Most VMs respond within a few milliseconds.
 	predecessorsDelay = 300 * time.Millisecond
-	// predecessorsInterval is the pause between questions: a process that died is back
-	// after some seconds and knows that its earlier life has ended.
+	// predecessorsInterval is the pause between requests to predecessors. A process that died
+	// is restarted after some seconds and knows that its earlier incarnation has ended.
 	predecessorsInterval = 400 * time.Millisecond
 	predecessorsTimeout  = 500 * time.Millisecond
 )
 
-// PastTenure names a tenure of which leases may last.
+// PastTenure identifies an earlier tenure whose leases may last.
 type PastTenure struct {
 	Fence   int64  `json:"fence"`
 	Node    string `json:"node"`
 	Address string `json:"address"`
 }
 
-// LeaseReport is what a process says of a tenure of its.
+// LeaseReport is the response of a process about a tenure of its own.
 type LeaseReport struct {
-	// Remaining is how long leases may last, in the order of the VMs asked about.
+	// Remaining holds how long leases may last, in the order of the requested VMs.
 	Remaining []time.Duration
-	// Remembered is set when the process that led says so, and not one that was started
-	// again since: Left then holds for the leaders before it, too.
+	// Remembered is set when the responding process itself led the tenure and was not
+	// restarted since. Remaining then covers earlier leaders, too.
 	Remembered bool
-	// Crashes are what that tenure knew and may not have written.
+	// Crashes are the crashes known to that tenure that may not have been written.
 	Crashes []scheduler.CrashReport
 }
 
-// Predecessors asks the process of an earlier tenure how long leases on the VMs may
-// last and what it could not write, and ends that tenure.
+// Predecessors asks the process of an earlier tenure how long leases on the VMs may last and
+// which crashes it could not write. The request ends that tenure.
 type Predecessors interface {
 	LeasesLeft(ctx context.Context, past PastTenure, successor int64, vms []string) (LeaseReport, error)
 }
 
-// readPastTenures returns the tenures before this one that were not waited out. complete is
+// readPastTenures returns the earlier tenures whose leases were not waited out. complete is
 // false when an earlier leader did not record itself.
 func (t *term) readPastTenures(ctx context.Context) (past []PastTenure, complete bool, err error) {
 	item, err := t.Store.Get(ctx, tenuresKey)
@@ -65,18 +65,18 @@
 		t.log.Warn("tenures_unreadable", err, nil)
 		return nil, false, nil
 	}
-	// After a reading that failed halfway the record names this tenure, too.
+	// After a rebuild that failed halfway the record contains this tenure, too.
 	seen := map[int64]bool{t.tenure.Fence: true}
 	past = slices.DeleteFunc(past, func(p PastTenure) bool {
-		known := seen[p.Fence]
+		duplicate := seen[p.Fence]
 		seen[p.Fence] = true
-		return known
+		return duplicate
 	})
 	return past, true, nil
 }
 
-// recordTenures writes the tenures that a successor has to ask, this one among them. It
-// is written before the first order of a tenure is given.
+// recordTenures writes the tenures that a successor has to ask, including this one. It runs
+// before the first order of a tenure is sent.
 func (t *term) recordTenures(ctx context.Context, past []PastTenure) error {
 	self := PastTenure{Fence: t.tenure.Fence, Node: t.Node, Address: t.Address}
 	value, err := json.Marshal(append([]PastTenure{self}, past...))
@@ -90,21 +90,22 @@
 	return err
 }
 
-// predecessorsLoop shortens the wait for silent VMs by what predecessors say, and takes over
-// what they could not write: they are asked once in any case. They go off the record once no VM
-// is waited for any more: what they have told is known to this process alone, which may die.
+// predecessorsLoop shortens the wait for unresponsive VMs by the responses of predecessors,
+// and accepts the crashes that they could not write; for those they are asked at least once.
+// Predecessors are removed from the record only when no VM is awaited any more: their
+// responses are known to this process alone, which may die.
 func (t *term) predecessorsLoop(ctx context.Context) {
 	pause.For(ctx, predecessorsDelay)
-	open := t.pastTenures
-	said := map[string]time.Duration{}
-	known := false
+	pending := t.pastTenures
+	expiry := map[string]time.Duration{}
+	complete := false
 	for first := true; ctx.Err() == nil && (first || t.awaitsVMs()); first = false {
-		if !known {
-			open = t.askPredecessors(ctx, open, said)
-			known = len(open) == 0 && t.pastTenuresComplete
-			if known {
+		if !complete {
+			pending = t.askPredecessors(ctx, pending, expiry)
+			complete = len(pending) == 0 && t.pastTenuresComplete
+			if complete {
 				t.mu.Lock()
-				t.sched.ShortenWaits(said)
+				t.sched.ShortenWaits(expiry)
 				t.mu.Unlock()
 				t.requestPlan()
 			}
@@ -120,41 +121,42 @@
 	}
 }
 
-// awaitsVMs reports whether VMs of earlier leaders are still waited for.
+// awaitsVMs reports whether VMs of earlier leaders are still awaited.
 func (t *term) awaitsVMs() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.sched.AwaitedInstances()) > 0
 }
 
-// askPredecessors asks the tenures and returns those for which nobody answered. said gets, for each
-// silent VM, the latest moment at which a lease of those that answered is over.
-func (t *term) askPredecessors(ctx context.Context, past []PastTenure, said map[string]time.Duration) []PastTenure {
+// askPredecessors asks the processes of the tenures and returns the tenures without a
+// response. It raises expiry, for each awaited VM, to the latest expiry of a lease among the
+// responses.
+func (t *term) askPredecessors(ctx context.Context, past []PastTenure, expiry map[string]time.Duration) []PastTenure {
 	t.mu.Lock()
 	vms := t.sched.AwaitedInstances()
 	t.mu.Unlock()
 	var mu sync.Mutex
-	var left []PastTenure
+	var unanswered []PastTenure
 	remembered := int64(0)
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, p := range past {
-		asked.Go(func() {
+		calls.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, predecessorsTimeout)
 			defer cancel()
 			leases, err := t.Predecessors.LeasesLeft(callCtx, p, t.tenure.Fence, vms)
 			now := steady.Now()
 			if err == nil && len(leases.Remaining) != len(vms) {
-				err = errors.Newf("%d leases told of %d VMs", len(leases.Remaining), len(vms))
+				err = errors.Newf("predecessor reported %d leases for %d VMs", len(leases.Remaining), len(vms))
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				left = append(left, p)
+				unanswered = append(unanswered, p)
 				return
 			}
 			longest := time.Duration(0)
 			for i, id := range vms {
-				said[id] = max(said[id], now+leases.Remaining[i])
+				expiry[id] = max(expiry[id], now+leases.Remaining[i])
 				longest = max(longest, leases.Remaining[i])
 			}
 			if leases.Remembered {
@@ -170,34 +172,34 @@
 			})
 		})
 	}
-	asked.Wait()
-	return slices.DeleteFunc(left, func(p PastTenure) bool { return p.Fence < remembered })
+	calls.Wait()
+	return slices.DeleteFunc(unanswered, func(p PastTenure) bool { return p.Fence < remembered })
 }
 
-// closedTenure are when the leases of a tenure that ended are certainly over, and what it may not
-// have written.
+// closedTenure holds when the leases of an ended tenure have certainly expired, and the
+// crashes that it may not have written.
 type closedTenure struct {
 	fence       int64
 	leaseExpiry map[string]time.Duration
 	crashes     []scheduler.CrashReport
-	// lastExpiry is when all of them are.
+	// lastExpiry is the latest time in leaseExpiry.
 	lastExpiry time.Duration
 }
 
-// close ends the term and returns its leases, after which it takes no further ones.
+// close ends the tenure and returns its leases. No lease is renewed afterwards.
 func (t *term) close() closedTenure {
 	t.tenure.End()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	l := closedTenure{fence: t.tenure.Fence, leaseExpiry: t.sched.LeaseDeadlines(), crashes: t.sched.UnrecordedCrashes()}
-	for _, over := range l.leaseExpiry {
-		l.lastExpiry = max(l.lastExpiry, over)
+	for _, expiry := range l.leaseExpiry {
+		l.lastExpiry = max(l.lastExpiry, expiry)
 	}
 	return l
 }
 
-// endTerm notes the end of a term, whose leases may last.
+// endTerm records the end of a term whose leases may last.
 func (l *Leader) endTerm(t *term) {
 	ended := t.close()
 	l.mu.Lock()
@@ -212,25 +214,25 @@
 	l.closedTenures = append(kept, ended)
 }
 
-// LeasesLeft says how long leases that were taken in the tenure of the given fence, or
-// before it, may last on the VMs. That tenure is over already. One that is not known
-// was that of the process's earlier life, which ended before this one began, or all
-// its leases are over.
+// LeasesLeft returns how long leases of the tenure with the given fence, or of earlier ones,
+// may last on the VMs, and ends that tenure. If the tenure is unknown, it belonged to an
+// earlier incarnation of this process, which ended before this one began, or all its leases
+// have expired.
 func (l *Leader) LeasesLeft(fence int64, vms []string) LeaseReport {
 	now := steady.Now()
-	known := l.leasesOf(fence)
-	said := LeaseReport{Remaining: make([]time.Duration, len(vms)), Remembered: known != nil}
-	if known != nil {
-		said.Crashes = known.crashes
+	tenure := l.leasesOf(fence)
+	report := LeaseReport{Remaining: make([]time.Duration, len(vms)), Remembered: tenure != nil}
+	if tenure != nil {
+		report.Crashes = tenure.crashes
 	}
 	for i, id := range vms {
-		over := l.Settings.TakeoverWait(0)
-		if known != nil {
-			over = known.leaseExpiry[id]
+		expiry := l.Settings.TakeoverWait(0)
+		if tenure != nil {
+			expiry = tenure.leaseExpiry[id]
 		}
-		said.Remaining[i] = max(0, over-now)
+		report.Remaining[i] = max(0, expiry-now)
 	}
-	return said
+	return report
 }
 
 func (l *Leader) leasesOf(fence int64) *closedTenure {
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// flushInterval is how often progress is written. Ends wait for it at their
-	// VMs, jobs that are done until their callers are told.
+	// flushInterval is how often progress is written. The acknowledgement of ends to VMs, and
+	// of completed jobs to callers, waits for it.
 	flushInterval = 40 * time.Millisecond
 	flushTimeout  = time.Second
-	// entriesPerRecord are a record's condition and write; that of an ended job has one
-	// write more, of the job's key. The leader's key takes a condition.
+	// entriesPerRecord counts a record's condition and write; an ended job needs one more
+	// write, for the job's key. maxTxnEntries leaves room for the condition on the leader's
+	// key.
 	entriesPerRecord = 2
 	maxTxnEntries    = durable.MaxTxnEntries - 1
-	// endedJobRetention is how long ended jobs are remembered: longer than callers may
-	// ask, and than a repeated submission may come late.
+	// endedJobRetention is how long ended jobs are remembered: longer than callers may ask for
+	// them, and longer than a repeated submission may be delayed.
 	endedJobRetention = 10 * time.Minute
 	forgetInterval    = time.Second
-	// maxJobsPerForget bounds the jobs forgotten at once: three keys each.
+	// maxJobsPerForget bounds the jobs removed in one transaction, at three keys each.
 	maxJobsPerForget = 10
 )
 
-// flushLoop writes progress.
+// flushLoop writes progress periodically.
 func (t *term) flushLoop(ctx context.Context) {
 	pause.Every(ctx, flushInterval, func() { t.flushPending(ctx) })
 }
@@ -63,11 +64,11 @@
 	t.flushed = make(chan struct{})
 }
 
-// errDeposed: the leader's key is no longer the one of this tenure.
+// errDeposed is returned when the leader's key no longer belongs to this tenure.
 var errDeposed = errors.New("another leads")
 
-// flush writes records in as many transactions as they need. The first takes the change of the
-// log of starts along, nil for none.
+// flush writes records in as many transactions as needed. The first one includes the change of
+// the start log, if starts is not nil.
 func (t *term) flush(ctx context.Context, f *scheduler.Flush, starts *scheduler.StartLogChange) error {
 	for rest := f.Records; len(rest) > 0 || starts != nil; starts = nil {
 		txn, err := t.startsTxn(starts)
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// recordStartsOutcome notes what became of a change of the log of starts.
+// recordStartsOutcome passes the result of writing a start log change to the scheduler.
 func (t *term) recordStartsOutcome(starts *scheduler.StartLogChange, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,11 +97,12 @@
 		return
 	}
 	var conflict *durable.ConflictError
-	nothing := errors.Is(err, durable.ErrRefused) || errors.As(err, &conflict)
-	t.sched.StartsNotWritten(steady.Now(), starts, !nothing)
+	notWritten := errors.Is(err, durable.ErrRefused) || errors.As(err, &conflict)
+	t.sched.StartsNotWritten(steady.Now(), starts, !notWritten)
 }
 
-// startsTxn is a transaction with a change of the log of starts, to which records are added.
+// startsTxn returns a transaction with a change of the start log, to which records can be
+// added.
 func (t *term) startsTxn(starts *scheduler.StartLogChange) (durable.Txn, error) {
 	txn := durable.Txn{Conditions: []durable.Condition{t.leaderCondition()}}
 	if starts == nil {
@@ -119,7 +121,8 @@
 	return txn, nil
 }
 
-// countFitting is how many of the records fit into a transaction beside so many other entries.
+// countFitting returns how many of the records fit into a transaction that has the given
+// number of other entries.
 func countFitting(records []scheduler.Record, entries int) int {
 	for i := range records {
 		entries += entriesPerRecord
@@ -133,7 +136,8 @@
 	return len(records)
 }
 
-// writeRecords commits a transaction with some records added, on condition that this tenure goes on.
+// writeRecords adds records to a transaction and commits it, provided that this tenure is
+// current.
 func (t *term) writeRecords(ctx context.Context, txn durable.Txn, records []scheduler.Record) error {
 	for i := range records {
 		value, err := json.Marshal(records[i].Progress)
@@ -144,8 +148,8 @@
 		txn.Conditions = append(txn.Conditions, durable.Condition{Key: key, Revision: records[i].Revision})
 		txn.Writes = append(txn.Writes, durable.Write{Key: key, Value: value})
 		if records[i].Progress.State.Final() {
-			// An answer that was lost leaves this write as conditional on the
-			// record's revision as the record itself.
+			// This write is conditional on the record's revision like the record itself, also
+			// when the response is lost.
 			ended, err := encodeEndedJob(&records[i])
 			if err != nil {
 				return err
@@ -156,7 +160,7 @@
 	revision, err := t.commit(ctx, txn)
 	var conflict *durable.ConflictError
 	if errors.As(err, &conflict) {
-		// A write whose answer was lost: the next one goes by what is there.
+		// The response of an earlier write was lost; the next write uses the stored revision.
 		t.mu.Lock()
 		for i := range records {
 			found := int64(0)
@@ -178,13 +182,12 @@
 	return nil
 }
 
-// leaderCondition is the condition that this tenure goes on.
+// leaderCondition is the condition that this tenure is current.
 func (t *term) leaderCondition() durable.Condition {
 	return durable.Condition{Key: leaderKey, Revision: t.tenure.Fence}
 }
 
-// commit writes on condition of the leader's key and ends the tenure when that
-// has changed.
+// commit writes if the leader's key is unchanged, and ends the tenure if it has changed.
 func (t *term) commit(ctx context.Context, txn durable.Txn) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -210,8 +213,8 @@
 	pause.Every(ctx, forgetInterval, func() { t.forget(ctx) })
 }
 
-// forget removes jobs that ended long ago, first from the store: a job whose keys
-// are there still, and that this leader does not know, is a new one to it.
+// forget removes jobs that ended long ago, from the store first: a job that this leader does
+// not know counts as new while its keys exist.
 func (t *term) forget(ctx context.Context) {
 	now := steady.Now()
 	t.mu.Lock()
@@ -239,27 +242,26 @@
 	}
 }
 
-// removal is when a job was removed from the store.
+// removal records when a job was removed from the store.
 type removal struct {
 	at       time.Duration
 	revision int64
 }
 
-// removals are the jobs that were removed of late, by ID.
+// removals holds the recently removed jobs by ID.
 type removals map[string]removal
 
-// removalRetention is how long a removal, or a cancellation that came early, is remembered:
-// longer than an announcement, or a read of all jobs that began before it, may take.
+// removalRetention is how long a removal, or an early cancellation, is remembered: longer than
+// an announcement, or a read of all jobs, may be under way.
 const removalRetention = time.Minute
 
 func (r removals) purge(now time.Duration) {
-	maps.DeleteFunc(r, func(_ string, one removal) bool { return now-one.at > removalRetention })
+	maps.DeleteFunc(r, func(_ string, job removal) bool { return now-job.at > removalRetention })
 }
 
-// covers reports whether the item is what was left of a removed job, rather than a job
-// that was handed in since. An announcement has no revision; the watch tells of a
-// new job as well.
+// covers reports whether the item is a stale copy of a removed job rather than a job submitted
+// since. An announcement has no revision; a new job is also reported by the watch.
 func (r removals) covers(id string, item *durable.Item) bool {
-	one, ok := r[id]
-	return ok && item.Created <= one.revision
+	job, ok := r[id]
+	return ok && item.Created <= job.revision
 }
--- a/internal/leader/rebuild.go
+++ b/internal/leader/rebuild.go
@@ -18,16 +18,17 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// rebuildResult is what a new leader has read.
+// rebuildResult summarizes the state that a new leader has read.
 type rebuildResult struct {
 	jobCount int
-	// startCount counts the starts that earlier leaders may not have noted the ends of.
+	// startCount is the number of logged starts whose ends may not be recorded.
 	startCount int
 	// revision is where the watch for new jobs begins.
 	revision int64
 }
 
-// rebuild reads what earlier leaders left, until it succeeds or the tenure ends.
+// rebuild restores the state of earlier leaders. It retries until it succeeds or the tenure
+// ends.
 func (t *term) rebuild(ctx context.Context) (rebuildResult, error) {
 	for {
 		r, err := t.tryRebuild(ctx)
@@ -88,9 +89,9 @@
 	now := steady.Now()
 	t.sched.SetInstances(now, list)
 	used := slices.Collect(maps.Keys(earlier))
-	// The earlier leader may have renewed its own lease just before this one was
-	// elected, since a key can be taken away before its lease is over, and leases of
-	// VMs for as long as it may act without the store.
+	// The earlier leader may have renewed its own lease just before this one was elected,
+	// since a key can be removed before its lease expires, and may have renewed leases of VMs
+	// for as long as it may act without the store.
 	t.sched.AwaitInstances(used, now+t.Settings.TakeoverWait(maxUnrenewedTenure))
 	for _, id := range used {
 		t.sched.AddUnlisted(now, batch.Instance{ID: id, Address: earlier[id]})
@@ -135,7 +136,8 @@
 			t.addProgress(&sub, &item)
 		}
 		if r.Ended && (sub.Progress == nil || !sub.Progress.State.Final()) {
-			// Its payload is gone: whatever the record says, it is not to be started.
+			// The payload was removed, so the job must not be started, whatever its record
+			// contains.
 			sub.Unreadable = true
 		}
 		sub.PredatesLeader = true
@@ -145,8 +147,8 @@
 	return count
 }
 
-// addProgress adds what earlier leaders recorded of a job. A record that can't be
-// read is not the same as none.
+// addProgress adds the recorded progress of a job. An unreadable record is not treated as a
+// missing one.
 func (t *term) addProgress(sub *scheduler.Submission, item *durable.Item) {
 	var err error
 	sub.RecordRevision = item.Revision
@@ -156,7 +158,7 @@
 	}
 }
 
-// instanceAddresses are the addresses of instances by ID.
+// instanceAddresses maps instance IDs to addresses.
 type instanceAddresses map[string]string
 
 // readInstances returns the instances that earlier leaders may have used.
@@ -176,17 +178,17 @@
 	return used, nil
 }
 
-// restoreExpiredLeases takes over which leases earlier leaders know to have run out. Without it
-// ends are withheld that may be acknowledged, so that a failure is no reason not to lead;
-// it is read again before it is written.
+// restoreExpiredLeases reads which leases earlier leaders know to have expired. Without them
+// some ends that may be acknowledged are withheld, so a failure does not prevent leading; the
+// read is repeated before the record is written.
 func (t *term) restoreExpiredLeases(ctx context.Context) {
 	if t.expiredLeasesRead {
 		return
 	}
 	item, err := t.Store.Get(ctx, expiredLeasesKey)
-	var lapsed map[string]scheduler.ExpiredLease
+	var expired map[string]scheduler.ExpiredLease
 	if err == nil && item != nil {
-		err = json.Unmarshal(item.Value, &lapsed)
+		err = json.Unmarshal(item.Value, &expired)
 	}
 	if err != nil {
 		t.log.Warn("lapsed_not_read", err, nil)
@@ -194,13 +196,13 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.expiredLeases, t.expiredLeasesRead = lapsed, true
-	t.sched.RestoreExpiredLeases(lapsed)
+	t.expiredLeases, t.expiredLeasesRead = expired, true
+	t.sched.RestoreExpiredLeases(expired)
 }
 
-// recordInstances makes sure that the store names every instance before it may
-// be given work: a successor has to hear each, or to wait its lease out. Those
-// that are known to have ended are taken off, so that it need not.
+// recordInstances ensures that the store lists every instance before it may get work: a
+// successor has to get a report from each, or wait until its lease expires. Instances that are
+// known to have ended are removed, so that it need not wait for them.
 func (t *term) recordInstances(ctx context.Context, list []batch.Instance, earlier instanceAddresses) error {
 	t.mu.Lock()
 	next := instanceAddresses{}
@@ -215,9 +217,9 @@
 		next[list[i].ID] = list[i].Address
 	}
 	revision := t.instancesRevision
-	lapsed := t.sched.ExpiredLeases()
+	expired := t.sched.ExpiredLeases()
 	txn := durable.Txn{Conditions: []durable.Condition{t.leaderCondition()}}
-	usedChanged, lapsedChanged := !maps.Equal(next, t.recordedInstances), t.expiredLeasesRead && !maps.Equal(lapsed, t.expiredLeases)
+	usedChanged, expiredChanged := !maps.Equal(next, t.recordedInstances), t.expiredLeasesRead && !maps.Equal(expired, t.expiredLeases)
 	t.mu.Unlock()
 	if usedChanged {
 		value, err := json.Marshal(next)
@@ -227,8 +229,8 @@
 		txn.Conditions = append(txn.Conditions, durable.Condition{Key: instancesKey, Revision: revision})
 		txn.Writes = append(txn.Writes, durable.Write{Key: instancesKey, Value: value})
 	}
-	if lapsedChanged {
-		value, err := json.Marshal(lapsed)
+	if expiredChanged {
+		value, err := json.Marshal(expired)
 		if err != nil {
 			return err
 		}
@@ -255,13 +257,13 @@
 	if usedChanged {
 		t.instancesRevision, t.recordedInstances = written, next
 	}
-	if lapsedChanged {
-		t.expiredLeases = lapsed
+	if expiredChanged {
+		t.expiredLeases = expired
 	}
 	return nil
 }
 
-// listLoop follows the list of instances and holds each of them.
+// listLoop refreshes the list of instances and holds each of them.
 func (t *term) listLoop(ctx context.Context) {
 	t.syncHolds(ctx)
 	pause.Every(ctx, listInterval, func() {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -1,5 +1,5 @@
-// Package leader elects the one process that schedules, and carries out what
-// package scheduler decides while it leads.
+// Package leader elects the one process that schedules, and executes the decisions of package
+// scheduler while it leads.
 package leader
 
 import (
@@ -17,57 +17,58 @@
 const (
 	// leaderKey exists while there is a leader; its revision is the fencing token.
 	leaderKey = "lead/leader"
-	// instancesKey lists the instances that leaders may have given work to.
+	// instancesKey lists the instances that leaders may have given work.
 	instancesKey = "lead/instances"
-	// expiredLeasesKey holds the instances whose leases were all over once, with the highest
-	// number that a run had by then.
+	// expiredLeasesKey lists the instances whose leases had all expired at some time, with the
+	// highest run number until then.
 	expiredLeasesKey = "lead/lapsed"
-	// tenuresKey lists the tenures of which leases may last, the current one first.
+	// tenuresKey lists the tenures whose leases may last, the current one first.
 	tenuresKey = "lead/tenures"
-	// tokenKey is written by a leader that needs a higher fencing token than its own: the
-	// revision of the write.
+	// tokenKey is written by a leader that needs a higher fencing token than its own, which is
+	// the revision of that write.
 	tokenKey = "lead/token"
-	// modelKey holds what leaders have learned of interference.
+	// modelKey holds the learned interference model.
 	modelKey = "lead/model"
-	// startsPrefix holds the logs of starts, by leader and segment.
+	// startsPrefix is the prefix of the start logs, by leader and segment.
 	startsPrefix = "lead/starts/"
-	// jobsPrefix holds accepted jobs, and a second key for each cancelled one.
+	// jobsPrefix is the prefix of accepted jobs, with a second key for each cancelled one.
 	jobsPrefix = "job/"
-	// cancelSuffix ends the key that marks a job as cancelled.
+	// cancelSuffix is the suffix of the key that marks a job as cancelled.
 	cancelSuffix = "/cancelled"
-	// progressPrefix holds what leaders record of jobs.
+	// progressPrefix is the prefix of the recorded progress of jobs.
 	progressPrefix = "progress/"
 )
 
-// JobKey is the key of an accepted job. Its creation is the acceptance: whoever
-// creates it first decides, and every later submission of the ID finds it.
+// JobKey returns the key of an accepted job. Creating it accepts the job: the first creation
+// wins, and every later submission of the ID finds it.
 func JobKey(id string) string { return jobsPrefix + id }
 
-// CancelKey is the key that marks a job as cancelled.
+// CancelKey returns the key that marks a job as cancelled.
 func CancelKey(id string) string { return jobsPrefix + id + cancelSuffix }
 
-// ProgressKey is the key of a job's progress.
+// ProgressKey returns the key of a job's progress.
 func ProgressKey(id string) string { return progressPrefix + id }
 
-// JobRecord is the value of an accepted job.
+// JobRecord is the stored value of an accepted job.
 type JobRecord struct {
 	Queue string `json:"queue"`
 	Pool  string `json:"pool"`
-	// SubmittedMS is the time of day of the first submission that this process
-	// knows of, in milliseconds since 1970.
+	// SubmittedMS is the wall clock time of the first submission known to the accepting
+	// process, in milliseconds since 1970.
 	SubmittedMS int64      `json:"submitted_ms"`
 	Job         *batch.Job `json:"job"`
-	// Terms is the queue as it was at the acceptance. A leader that has no
-	// configuration yet, or one without the queue, goes by it: without it the first
-	// failure of a task would end its job.
+	// Terms is the queue's configuration at acceptance. It applies while a leader has no
+	// configuration, or one without the queue; otherwise the first failure of a task would end
+	// its job.
 	Terms *batch.Queue `json:"terms,omitempty"`
-	// Ended is set once the job's final state is recorded. The key stays, so that the ID
-	// is not accepted again, without the payload, which nobody needs any more.
+	// Ended is set once the job's final state is recorded. The key stays, so that the ID is
+	// not accepted again, but without the payload, which is not needed any more.
 	Ended bool `json:"ended,omitempty"`
 }
 
-// encodeEndedJob is the value of an ended job's key. What a leader that takes over has to read
-// of the jobs of the last ten minutes is a tenth with it: 0.4 KB each instead of 4.
+// encodeEndedJob returns the stored value of an ended job. It is a tenth of the full value,
+// 0.4 KB instead of 4, which limits what a new leader reads of the jobs of the last ten
+// minutes.
 func encodeEndedJob(r *scheduler.Record) ([]byte, error) {
 	spec := *r.Spec
 	spec.Payload = ""
@@ -79,7 +80,7 @@
 	return JobRecord{Queue: queue.Name, Pool: queue.Pool, SubmittedMS: submittedMS, Job: job, Terms: queue}
 }
 
-// submission is the record as the scheduler takes it.
+// submission converts the record for the scheduler.
 func (r *JobRecord) submission(age time.Duration) scheduler.Submission {
 	return scheduler.Submission{Job: r.Job, Queue: r.Queue, Pool: r.Pool, AcceptedQueue: r.Terms, Age: age}
 }
@@ -122,7 +123,7 @@
 	return p.State, nil
 }
 
-// Record is the value of leaderKey: who leads.
+// Record is the value of leaderKey and identifies the leader.
 type Record struct {
 	Node string `json:"node"`
 	// Address is where the leader serves its peers.
--- a/internal/leader/starts.go
+++ b/internal/leader/starts.go
@@ -12,40 +12,40 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// startsKeyFormat orders segments by leader and number.
+// startsKeyFormat sorts segments by leader and number.
 const startsKeyFormat = startsPrefix + "%016x/%08x"
 
-// startsKey is the key of a segment of the log of starts.
+// startsKey returns the key of a segment of the start log.
 func startsKey(id scheduler.SegmentID) string {
 	return fmt.Sprintf(startsKeyFormat, id.Fence, id.Number)
 }
 
 func decodeStarts(key string, value []byte) (scheduler.StartSegment, error) {
-	var g scheduler.StartSegment
-	if _, err := fmt.Sscanf(key, startsKeyFormat, &g.ID.Fence, &g.ID.Number); err != nil {
-		return g, errors.Wrapf(err, "key %s", key)
+	var segment scheduler.StartSegment
+	if _, err := fmt.Sscanf(key, startsKeyFormat, &segment.ID.Fence, &segment.ID.Number); err != nil {
+		return segment, errors.Wrapf(err, "key %s", key)
 	}
-	return g, errors.Wrapf(json.Unmarshal(value, &g), "log of starts %s", key)
+	return segment, errors.Wrapf(json.Unmarshal(value, &segment), "log of starts %s", key)
 }
 
-// readStarts returns what earlier leaders have logged of their starts. A segment that can't be
-// read is returned as one without starts, so that it is removed.
+// readStarts returns the start logs of earlier leaders. An unreadable segment is returned
+// without starts, so that it is removed.
 func (t *term) readStarts(ctx context.Context) ([]scheduler.StartSegment, error) {
 	items, _, err := t.Store.Range(ctx, startsPrefix)
 	if err != nil {
 		return nil, err
 	}
-	var log []scheduler.StartSegment
+	var segments []scheduler.StartSegment
 	for i := range items {
-		g, err := decodeStarts(items[i].Key, items[i].Value)
+		segment, err := decodeStarts(items[i].Key, items[i].Value)
 		if err != nil {
 			t.log.Warn("starts_unreadable", err, eventlog.Fields{"key": items[i].Key})
-			g = scheduler.StartSegment{ID: g.ID}
+			segment = scheduler.StartSegment{ID: segment.ID}
 		}
-		if g.ID.Fence != t.tenure.Fence {
-			log = append(log, g)
+		if segment.ID.Fence != t.tenure.Fence {
+			segments = append(segments, segment)
 		}
 	}
-	slices.SortFunc(log, func(a, b scheduler.StartSegment) int { return a.ID.Compare(b.ID) })
-	return log, nil
+	slices.SortFunc(segments, func(a, b scheduler.StartSegment) int { return a.ID.Compare(b.ID) })
+	return segments, nil
 }
--- a/internal/leader/window.go
+++ b/internal/leader/window.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// startWindow bounds the starts under way by how fast they are answered. A leader whose link
-// or processor is full has all calls time out; each start that gets no answer costs a
-// stop, a restart and the work of both, so that it would never catch up. VMs that leave
-// starts without an answer must not shrink it: there most others are fast.
+// startWindow limits concurrent starts by their response times. When the link or the processor
+// of a leader is saturated, all calls time out; each start without a response costs a stop, a
+// restart and the work of both, so that the leader would never catch up. VMs that do not
+// respond to starts must not shrink the window; in that case most other starts are fast.
 type startWindow struct {
 	mu      sync.Mutex
 	size    float64
 	maxSize float64
 	inUse   int
-	// waiters holds those that wait for a place, the first first.
+	// waiters are the callers of acquire that wait for a slot, in order of arrival.
 	waiters []chan struct{}
-	// fastOutcomes and slow count the outcomes since the last look at them, which was at adaptedAt.
+	// fastOutcomes and slowOutcomes count the attempts since the last adaptation, at
+	// adaptedAt.
 	fastOutcomes, slowOutcomes int
 	adaptedAt                  time.Time
 }
 
 const (
-	// initialWindowSize is the window of a new leader.
+	// initialWindowSize is the window size of a new leader.
 	initialWindowSize = 96
-	// minWindowSize keeps starts coming, so that it is noticed when they are fast again.
+	// minWindowSize keeps some starts going, so that recovery is noticed.
 	minWindowSize = 16
-	// slowStartThreshold is the time from which a start counts as slow: mostly it takes 5 to
-	// 40 ms, and after 500 the try is given up.
+	// slowStartThreshold is the response time from which a start counts as slow. Most take 5
+	// to 40 ms; after 500 ms the attempt times out.
 	slowStartThreshold = 200 * time.Millisecond
-	// maxPlaceDuration is how long a start holds its place at most: one that a VM leaves
-	// without an answer for 1.5 s must not keep those of other VMs from being given.
+	// maxPlaceDuration bounds how long a start occupies a slot: one that gets no response for
+	// 1.5 s must not delay those to other VMs.
 	maxPlaceDuration = 250 * time.Millisecond
-	// windowAdaptInterval is how often the window is adapted: an outcome shows what was sent a
-	// round trip before.
+	// windowAdaptInterval is how often the window is adapted: an outcome reflects what was
+	// sent one round trip earlier.
 	windowAdaptInterval = 250 * time.Millisecond
-	// shrinkFactor and growFactor change it: half of a window that is too large is enough at once,
-	// and a quarter more takes it from 96 to 2,000 within three and a half seconds.
+	// shrinkFactor and growFactor change the size in one step. Halving is enough for a window
+	// that is too large; growing by a quarter takes it from 96 to 2,000 within three and a
+	// half seconds.
 	shrinkFactor = 0.5
 	growFactor   = 1.25
-	// minOutcomes are needed for a change.
+	// minOutcomes is the minimum number of outcomes for an adaptation.
 	minOutcomes = 8
 )
 
-func newStartWindow(most int) *startWindow {
-	return &startWindow{size: min(initialWindowSize, float64(most)), maxSize: float64(most)}
+func newStartWindow(maxSize int) *startWindow {
+	return &startWindow{size: min(initialWindowSize, float64(maxSize)), maxSize: float64(maxSize)}
 }
 
-// acquire waits for a place, and returns what gives it back, which may be called often.
+// acquire waits for a slot. release frees it and may be called repeatedly.
 func (w *startWindow) acquire(ctx context.Context) (release func(), err error) {
 	w.mu.Lock()
 	if float64(w.inUse) < w.size && len(w.waiters) == 0 {
@@ -72,13 +74,14 @@
 			return nil, ctx.Err()
 		}
 	}
-	// It was given meanwhile.
+	// The slot was granted meanwhile.
 	w.inUse--
 	w.admitWaiters()
 	return nil, ctx.Err()
 }
 
-// releaseFunc returns what gives a place back; after maxPlaceDuration it is given back anyway.
+// releaseFunc returns a function that frees a slot. The slot is freed after maxPlaceDuration
+// in any case.
 func (w *startWindow) releaseFunc() func() {
 	var once sync.Once
 	release := func() {
@@ -96,7 +99,7 @@
 	}
 }
 
-// admitWaiters lets those in that wait while there is room. w.mu is held.
+// admitWaiters grants free slots to waiters. w.mu is held.
 func (w *startWindow) admitWaiters() {
 	for len(w.waiters) > 0 && float64(w.inUse) < w.size {
 		w.inUse++
@@ -105,7 +108,7 @@
 	}
 }
 
-// recordOutcome notes how long a try took; answered is false when it was given up.
+// recordOutcome records the duration of an attempt; answered is false if it timed out.
 func (w *startWindow) recordOutcome(took time.Duration, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,15 +130,15 @@
 	w.fastOutcomes, w.slowOutcomes, w.adaptedAt = 0, 0, now
 }
 
-// isFull reports whether as many wait as the window holds: more would only wait longer,
-// and hold room on VMs meanwhile.
+// isFull reports whether the waiters are as many as the window holds. More would only wait
+// longer and occupy VM capacity meanwhile.
 func (w *startWindow) isFull() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return float64(len(w.waiters)) >= w.size
 }
 
-// stats are the window and how many wait for a place in it.
+// stats returns the window size and the number of waiters.
 func (w *startWindow) stats() (size, waiting int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
