--- a/internal/leader/cutoff_test.go
+++ b/internal/leader/cutoff_test.go
@@ -18,7 +18,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// unreachableStore is a store that does not answer until it is back.
+// unreachableStore is a store that does not respond until isReachable is set.
 type unreachableStore struct {
 	durable.Store
 	isReachable bool
@@ -34,7 +34,7 @@
 	return s.commits
 }
 
-// commitRevision is the revision of what unreachableStore writes.
+// commitRevision is the revision of each commit to unreachableStore.
 const commitRevision = 9
 
 func (s *unreachableStore) Get(_ context.Context, key string) (*durable.Item, error) {
@@ -68,13 +68,13 @@
 	return batch.Report{}, nil
 }
 
-// newTerm is the term of a leader that renewed its lease a while ago.
-func newTerm(t *testing.T, store durable.Store, renewed time.Duration) *term {
+// newTerm returns the term of a leader whose lease was renewed the given time ago.
+func newTerm(t *testing.T, store durable.Store, sinceRenewed time.Duration) *term {
 	_, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	return &term{
 		Leader: &Leader{Store: store, WallMS: func() int64 { return 0 }},
-		tenure: &Tenure{Fence: 1, renewedAt: steady.Now() - renewed, cancel: cancel},
+		tenure: &Tenure{Fence: 1, renewedAt: steady.Now() - sinceRenewed, cancel: cancel},
 		log:    eventlog.New(io.Discard, logrus.ErrorLevel), planRequested: make(chan struct{}, 1), directCalls: make(chan struct{}, maxConcurrentOrders), startWindow: newStartWindow(maxConcurrentOrders), backlog: scheduler.NewBacklog(),
 		sched: scheduler.New(scheduler.Settings{}, 1, nil), removed: removals{}, cancelledEarly: map[string]time.Duration{},
 	}
@@ -82,11 +82,10 @@
 
 var queuedJobItem = durable.Item{Key: JobKey("j"), Value: []byte(`{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`)}
 
-// What happened: a lease was renewed on a VM that the next leader did not reach and
-// had waited out; the VM's tasks ran there and elsewhere.
-// Sequence: a process is suspended between the question whether it may act and the
-// look at the clock from which the lease is counted; it wakes seconds later.
-// Cause: the question was asked before the clock was read.
+// Guards against renewing a lease on a VM that the next leader did not reach and no longer
+// awaits, so that tasks run both there and elsewhere. A process is suspended between checking
+// whether it may act and reading the clock from which the lease is counted, and resumes
+// seconds later. The clock must be read before the check.
 func TestNoLeaseFromAMomentThatWasNotAskedAbout(t *testing.T) {
 	te := newTerm(t, nil, maxUnrenewedTenure+time.Second)
 	agents := &countingAgents{}
@@ -97,16 +96,15 @@
 	require.Zero(t, agents.sent.Load())
 }
 
-// What happened: two leaders started the same new job.
-// Sequence: a leader finds that it is confirmed and waits for its turn to take a job
-// up; meanwhile its lease runs out, and another leads.
-// Cause: it did not ask again once it had its turn.
+// Guards against two leaders starting the same new job. A leader finds that it is confirmed
+// and waits for the lock to accept a job; meanwhile its lease expires and another process
+// leads. It must check again once it has the lock.
 func TestJobIsAcceptedOnlyWhileConfirmed(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.mu.Lock()
-	taken := make(chan struct{})
+	accepted := make(chan struct{})
 	go func() {
-		defer close(taken)
+		defer close(accepted)
 		te.observeJobs([]durable.Item{queuedJobItem}, false)
 	}()
 	time.Sleep(3 * confirmPollInterval)
@@ -116,52 +114,48 @@
 	te.mu.Lock()
 	_, known := te.sched.State("j")
 	te.mu.Unlock()
-	require.False(t, known, "taken up by a leader that may have been deposed")
+	require.False(t, known, "accepted by a leader that may be deposed")
 	te.tenure.End()
-	<-taken
+	<-accepted
 }
 
-// What happened: a job that had ended was executed again from the beginning.
-// Sequence: a leader forgets a job that ended long ago, and the store does not
-// answer when its keys are to be removed; later the watch has lost its history, and
-// the leader reads all jobs that there are.
-// Cause: a job that the leader had forgotten was taken for a new one, though its
-// keys were there still.
+// Guards against executing an ended job again. A leader forgets a job that ended long ago
+// while the store does not respond to the removal of its keys; later its watch loses its
+// history, and it reads all jobs. A forgotten job whose keys still exist must not count as
+// new.
 func TestForgottenJobIsNotResubmitted(t *testing.T) {
 	store := &unreachableStore{}
 	te := newTerm(t, store, 0)
-	long := steady.Now() - 2*endedJobRetention
-	te.sched.Submit(long, scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Cancelled: true})
+	longAgo := steady.Now() - 2*endedJobRetention
+	te.sched.Submit(longAgo, scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Cancelled: true})
 	te.sched.RecordWritten(te.sched.PendingWrites().Records[0], 1)
 	te.forget(context.Background())
-	old := queuedJobItem
-	old.Created = 5
-	te.observeJobs([]durable.Item{old}, true)
+	stale := queuedJobItem
+	stale.Created = 5
+	te.observeJobs([]durable.Item{stale}, true)
 	state, known := te.sched.State("j")
-	require.True(t, !known || state == batch.Cancelled, "executed again: %s", state)
+	require.True(t, !known || state == batch.Cancelled, "job is executed again, state %s", state)
 
 	store.isReachable = true
 	te.forget(context.Background())
-	require.Len(t, store.commits, 1, "removed when the store is back")
+	require.Len(t, store.commits, 1, "commits after the store is reachable again")
 	require.Contains(t, store.commits[0].Deletes, JobKey("j"))
 	te.forget(context.Background())
-	require.Len(t, store.commits, 1, "removed once")
-	te.observeJobs([]durable.Item{old}, true)
+	require.Len(t, store.commits, 1, "the job is removed a second time")
+	te.observeJobs([]durable.Item{stale}, true)
 	_, known = te.sched.State("j")
-	require.False(t, known, "a read that began before the removal")
+	require.False(t, known, "a read from before the removal resubmits the job")
 
-	again := old
-	again.Created = commitRevision + 1
-	te.observeJobs([]durable.Item{again}, false)
+	resubmitted := stale
+	resubmitted.Created = commitRevision + 1
+	te.observeJobs([]durable.Item{resubmitted}, false)
 	_, known = te.sched.State("j")
-	require.True(t, known, "handed in anew after the removal")
+	require.True(t, known, "a submission after the removal is not accepted")
 }
 
-// What happened: what leaders had learned of interference was lost with a change of
-// leader.
-// Sequence: the new leader reads the model and gets no answer; seconds later it
-// stores what it has learned by itself.
-// Cause: a model that was not read counted as one that does not exist.
+// Guards against losing the learned interference model with a change of leader. The new
+// leader's read of the model gets no response, and seconds later it stores what it has learned
+// itself. A model that could not be read must not count as absent.
 func TestUnreadModelIsNotReplaced(t *testing.T) {
 	model := []byte(`{"images":["fill"],"pairs":{"web":{"a":[[1,0],[0,1]],"b":[1,1]}}}`)
 	store := &unreachableStore{items: map[string]durable.Item{modelKey: {Key: modelKey, Value: model, Revision: 3}}}
@@ -176,10 +170,9 @@
 	}
 }
 
-// What happened: a VM that is up and listed got nothing new, and what it ran lapsed.
-// Sequence: the scheduler takes the VM out, and its hold loop ends; the VM is on the
-// list again before the leader has looked which VMs are held.
-// Cause: a loop that had ended counted as one that holds the VM.
+// Guards against a listed VM that gets no new tasks and whose runs expire. The scheduler
+// removes a VM and its hold loop ends; the VM is listed again before the next syncHolds. An
+// ended loop must not count as holding the VM.
 func TestRelistedInstanceIsHeldAgain(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	agents := &countingAgents{}
@@ -188,21 +181,19 @@
 	te.holds = map[string]context.CancelFunc{"vm": cancel}
 	inst := batch.Instance{ID: "vm", Address: "10.0.0.1:1"}
 	ok, _ := te.holdOnce(ctx, &inst, 0, &holdFailures{})
-	require.False(t, ok, "the scheduler does not know it")
+	require.False(t, ok, "an instance unknown to the scheduler is held")
 
 	te.sched.SetInstances(steady.Now(), []batch.Instance{inst})
-	tenure, end := context.WithCancel(context.Background())
+	tenure, endTenure := context.WithCancel(context.Background())
 	te.syncHolds(tenure)
 	require.Eventually(t, func() bool { return agents.sent.Load() > 0 }, time.Second, time.Millisecond)
-	end()
+	endTenure()
 	te.work.Wait()
 }
 
-// What happened: a task waited for ever.
-// Sequence: a start has no answer, so that its run is to be stopped; the VM answers
-// its holds and refuses stops for half a minute.
-// Cause: the stop was given up while its run still counted, as if a lease had run
-// out that each hold renews.
+// Guards against a task that waits for ever. A start gets no response, so its run is to be
+// stopped; the VM responds to holds but refuses stops for half a minute. The stop must be
+// repeated while its run counts, since each hold renews the VM's lease.
 func TestStopIsRepeatedWhileItsRunCounts(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	inst := batch.Instance{ID: "vm", Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 1000}}
@@ -219,16 +210,14 @@
 	require.False(t, te.shouldRepeatStop(stop, stopRetryDuration+time.Second))
 
 	stop.Run++
-	require.True(t, te.shouldRepeatStop(stop, stopRetryDuration-time.Second), "a run that the leader did not start")
+	require.True(t, te.shouldRepeatStop(stop, stopRetryDuration-time.Second), "stop of a run that this leader did not start")
 	require.False(t, te.shouldRepeatStop(stop, stopRetryDuration+time.Second))
 }
 
-// What happened: a job was executed after its caller had been told that it is
-// cancelled.
-// Sequence: the announcement of the job is lost, and the watch tells nothing for a
-// while; the cancellation is announced; then the watch tells of the job, and of its
-// cancellation only with its next answer.
-// Cause: the cancellation of a job that was not known was forgotten.
+// Guards against executing a job after its caller was told that it is cancelled. The
+// announcement of the job is lost and the watch is late; the cancellation is announced; then
+// the watch delivers the job, and the cancellation only with its next response. The
+// cancellation of an unknown job must be remembered.
 func TestCancellationBeforeItsJob(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.observeJobs([]durable.Item{{Key: CancelKey("j")}}, false)
@@ -238,8 +227,8 @@
 	require.Equal(t, batch.Cancelled, state)
 }
 
-// A VM that had started again under its ID at another address was held at the old one for
-// as long as its leader led, and got nothing.
+// Guards against holding a restarted VM at its old address. Its new incarnation has the same
+// ID at another address, and would get no tasks for the rest of the tenure.
 func TestHoldFollowsItsVMToAnotherAddress(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.Agents = &countingAgents{}
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -10,7 +10,7 @@
 	"github.com/rattanwall/rattanwall/internal/durable"
 )
 
-// electionStore lets something happen while a candidate waits for its lease.
+// electionStore calls onGrant while a candidate waits for its lease, and records commits.
 type electionStore struct {
 	durable.Store
 	onGrant func()
@@ -31,11 +31,10 @@
 	return durable.Item{Key: leaderKey, Value: []byte(`{"node":"` + node + `","address":"` + node + `:1"}`), Revision: revision}
 }
 
-// Symptom: two leaders are elected within 15 ms, the second deposes the first.
-// Sequence: a candidate finds the key vacant and asks for a lease; meanwhile its
-// watch tells it that another has taken the key; it goes on.
-// Cause: it wrote on condition of the revision known at the time of the write,
-// which was that of the other's key.
+// Guards against electing two leaders within 15 ms, of which the second deposes the first. A
+// candidate finds the key vacant and requests a lease; meanwhile its watch reports that
+// another process has acquired the key. It must not write on condition of the other's
+// revision.
 func TestCandidateDoesNotReplaceAnother(t *testing.T) {
 	store := &electionStore{}
 	e := NewElection(store, Record{Node: "me", Address: "me:1"}, 1, nil, nil)
@@ -47,7 +46,7 @@
 	require.Empty(t, store.commits)
 }
 
-// A process that was killed and started again replaces its own key at once.
+// A restarted process replaces its own key without waiting for the lease to expire.
 func TestKeyOfOwnEarlierIncarnationIsReplaced(t *testing.T) {
 	store := &electionStore{onGrant: func() {}}
 	e := NewElection(store, Record{Node: "me", Address: "me:1"}, 1, nil, nil)
--- a/internal/leader/own_tenure_test.go
+++ b/internal/leader/own_tenure_test.go
@@ -6,14 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A deployment started nothing any more while its leader kept the lead. The leader had
-// recorded its tenure, the answer of that write was lost, and the rebuild began anew:
-// it read its own tenure among those before it, asked itself how long its leases may
-// last, and took no further ones, as it does for a successor. Its log showed
-// predecessor_answered of its own node and its own fence, 0.3 s after leader_ready;
-// 30 s later 90 jobs were still queued or running.
+// Guards against a leader that takes itself for its predecessor and starts nothing. It records
+// its tenure, the response is lost, and the repeated rebuild reads its own tenure among the
+// earlier ones; asking itself about its leases closes the tenure. The log showed
+// predecessor_answered of its own node and fence 0.3 s after leader_ready; 30 s later 90 jobs
+// were still queued or running.
 func TestLeaderIsNotItsOwnPredecessor(t *testing.T) {
-	before := PastTenure{Fence: 7, Node: "b", Address: "b:1"}
+	predecessor := PastTenure{Fence: 7, Node: "b", Address: "b:1"}
 	te := newReportedTerm(map[string]string{
 		tenuresKey: `[{"fence":9,"node":"a","address":"a:1"},{"fence":9,"node":"a","address":"a:1"},` +
 			`{"fence":7,"node":"b","address":"b:1"},{"fence":7,"node":"b","address":"b:1"}]`,
@@ -22,5 +21,5 @@
 	past, complete, err := te.readPastTenures(t.Context())
 	require.NoError(t, err)
 	require.True(t, complete)
-	require.Equal(t, []PastTenure{before}, past)
+	require.Equal(t, []PastTenure{predecessor}, past)
 }
--- a/internal/leader/predecessors_test.go
+++ b/internal/leader/predecessors_test.go
@@ -13,7 +13,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// testLease is what the tests' tenures take on VMs.
+// testLease is the lease duration of the tenures in these tests.
 const testLease = 8 * time.Second
 
 // newLeadingTerm returns a leader whose tenure of fence 9 has just renewed the lease of "vm".
@@ -30,74 +30,75 @@
 	return te.Leader, te
 }
 
-// A leader that goes on says when its leases are over, and takes no further ones.
+// A current leader reports when its leases expire, and renews none afterwards.
 func TestLeasesLeftOfCurrentTenure(t *testing.T) {
 	l, te := newLeadingTerm()
-	said := l.LeasesLeft(9, []string{"vm", "never held"})
-	require.True(t, said.Remembered)
-	left := said.Remaining
-	require.Greater(t, left[0], testLease)
-	require.Less(t, left[0], testLease+time.Second)
-	require.Zero(t, left[1])
+	report := l.LeasesLeft(9, []string{"vm", "never held"})
+	require.True(t, report.Remembered)
+	remaining := report.Remaining
+	require.Greater(t, remaining[0], testLease)
+	require.Less(t, remaining[0], testLease+time.Second)
+	require.Zero(t, remaining[1])
 	_, err := te.holdOnce(t.Context(), &batch.Instance{ID: "vm"}, 0, &holdFailures{})
-	require.NoError(t, err, "a hold was sent after the leases were told")
+	require.NoError(t, err, "a hold was sent after the leases were reported")
 }
 
-// After its end the process still knows.
+// The process remembers the leases of a tenure that has ended.
 func TestLeasesLeftOfEndedTenure(t *testing.T) {
 	l, te := newLeadingTerm()
 	l.endTerm(te)
 	require.Nil(t, l.currentTerm())
-	said := l.LeasesLeft(9, []string{"vm"})
-	require.True(t, said.Remembered)
-	require.Greater(t, said.Remaining[0], testLease)
+	report := l.LeasesLeft(9, []string{"vm"})
+	require.True(t, report.Remembered)
+	require.Greater(t, report.Remaining[0], testLease)
 }
 
-// A tenure that the process does not know was that of its earlier life: whatever it
-// took was taken before this life began.
+// An unknown tenure belongs to an earlier incarnation of the process, whose leases were all
+// renewed before this one began.
 func TestLeasesLeftOfUnknownTenure(t *testing.T) {
 	l, _ := newLeadingTerm()
-	said := l.LeasesLeft(4, []string{"vm"})
-	require.False(t, said.Remembered)
-	require.LessOrEqual(t, said.Remaining[0], l.Settings.TakeoverWait(0)-steady.Now()+time.Second)
+	report := l.LeasesLeft(4, []string{"vm"})
+	require.False(t, report.Remembered)
+	require.LessOrEqual(t, report.Remaining[0], l.Settings.TakeoverWait(0)-steady.Now()+time.Second)
 }
 
-// A leader tells of the VMs that it waits for itself, too: they may run what the one
-// before it started.
+// The reported leases include those of VMs that the leader itself still awaits, which may run
+// tasks of its predecessor.
 func TestLeasesLeftIncludeEarlierLeaders(t *testing.T) {
 	l, te := newLeadingTerm()
 	te.sched.AwaitInstances([]string{"silent"}, steady.Now()+14*time.Second)
 	require.Greater(t, l.LeasesLeft(9, []string{"silent"}).Remaining[0], 13*time.Second)
 }
 
-// fakePredecessors answers for the nodes that it names; the others are out of reach.
+// fakePredecessors returns the report of each node that it contains; other nodes are
+// unreachable.
 type fakePredecessors map[string]LeaseReport
 
-func (a fakePredecessors) LeasesLeft(_ context.Context, p PastTenure, _ int64, _ []string) (LeaseReport, error) {
-	said, ok := a[p.Node]
+func (f fakePredecessors) LeasesLeft(_ context.Context, p PastTenure, _ int64, _ []string) (LeaseReport, error) {
+	report, ok := f[p.Node]
 	if !ok {
 		return LeaseReport{}, errors.New("unreachable")
 	}
-	return said, nil
+	return report, nil
 }
 
-func leaseReport(d time.Duration, remembered bool) LeaseReport {
-	return LeaseReport{Remaining: []time.Duration{d}, Remembered: remembered}
+func leaseReport(remaining time.Duration, remembered bool) LeaseReport {
+	return LeaseReport{Remaining: []time.Duration{remaining}, Remembered: remembered}
 }
 
-// A silent VM is waited for until the longest lease that any predecessor tells of is
-// over; while one does not answer, nothing is shortened.
+// An unresponsive VM is awaited until the longest lease reported by any predecessor expires.
+// While one does not respond, nothing is shortened.
 func TestEveryPredecessorIsAwaited(t *testing.T) {
 	_, te := newLeadingTerm()
 	now := steady.Now()
 	te.sched.AwaitInstances([]string{"silent"}, now+time.Minute)
 	te.Predecessors = fakePredecessors{"a": leaseReport(time.Second, false), "b": leaseReport(3*time.Second, false)}
-	said := map[string]time.Duration{}
-	open := te.askPredecessors(t.Context(), []PastTenure{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, said)
-	require.Equal(t, []PastTenure{{Node: "dead", Fence: 5}}, open)
+	expiry := map[string]time.Duration{}
+	unanswered := te.askPredecessors(t.Context(), []PastTenure{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, expiry)
+	require.Equal(t, []PastTenure{{Node: "dead", Fence: 5}}, unanswered)
 	te.Predecessors = fakePredecessors{"dead": leaseReport(2*time.Second, false)}
-	require.Empty(t, te.askPredecessors(t.Context(), open, said))
-	te.sched.ShortenWaits(said)
+	require.Empty(t, te.askPredecessors(t.Context(), unanswered, expiry))
+	te.sched.ShortenWaits(expiry)
 	te.sched.ConfirmLeadership(now + time.Minute)
 	te.sched.Tick(now + 2900*time.Millisecond)
 	require.Equal(t, []string{"silent"}, te.sched.AwaitedInstances())
@@ -105,17 +106,17 @@
 	require.Empty(t, te.sched.AwaitedInstances())
 }
 
-// Who remembers its tenure speaks for the leaders before it, and for none after it.
+// A process that remembers its tenure covers earlier leaders, but no later ones.
 func TestRememberedTenureCoversEarlierOnes(t *testing.T) {
 	_, te := newLeadingTerm()
 	te.sched.AwaitInstances([]string{"silent"}, steady.Now()+time.Minute)
 	te.Predecessors = fakePredecessors{"b": leaseReport(3*time.Second, true)}
-	open := te.askPredecessors(t.Context(), []PastTenure{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, map[string]time.Duration{})
-	require.Equal(t, []PastTenure{{Node: "a", Fence: 7}}, open)
+	unanswered := te.askPredecessors(t.Context(), []PastTenure{{Node: "a", Fence: 7}, {Node: "b", Fence: 6}, {Node: "dead", Fence: 5}}, map[string]time.Duration{})
+	require.Equal(t, []PastTenure{{Node: "a", Fence: 7}}, unanswered)
 }
 
-// Guards against counts of VMs that ended under a task which a deposed leader could not write:
-// its successor asks it once, also where it waits for no VM.
+// Guards against losing crashes that a deposed leader could not write: its successor asks it
+// at least once, even if it awaits no VM.
 func TestPredecessorIsAskedWithoutUnresponsiveVMs(t *testing.T) {
 	_, te := newLeadingTerm()
 	te.sched.Submit(steady.Now(), scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1}}}, Queue: "q", Pool: "p"})
@@ -127,8 +128,8 @@
 	require.Len(t, te.sched.UnrecordedCrashes(), 1)
 }
 
-// Guards against work that runs twice: a leader took its predecessors off the record while it
-// waited for leases of theirs, died, and its successor knew of its own leases only.
+// Guards against tasks that run twice. A leader removed its predecessors from the record while
+// it awaited their leases, and died; its successor knew only of its own leases.
 func TestPredecessorsStayOnRecordWhileTheirLeasesLast(t *testing.T) {
 	_, te := newLeadingTerm()
 	store := &unreachableStore{isReachable: true}
@@ -147,7 +148,7 @@
 		te.sched.ConfirmLeadership(steady.Now())
 		te.sched.Tick(steady.Now())
 		if len(te.sched.AwaitedInstances()) > 0 {
-			require.Empty(t, store.committed(), "off the record while a lease may last")
+			require.Empty(t, store.committed(), "predecessors removed from the record while a lease may last")
 		}
 		return len(store.committed())
 	}
@@ -155,18 +156,18 @@
 	<-ended
 }
 
-// A process that is told of a successor neither goes on nor begins a tenure with a
-// lower fencing token: the answer to its own claim may be on its way.
+// A process that learns of a successor neither continues nor begins a tenure with a lower
+// fencing token. The response to its own claim may still be on its way.
 func TestSuccessorEndsAndPreventsOlderTenures(t *testing.T) {
 	began := make(chan int64, 2)
 	e := NewElection(nil, Record{}, 1, newReportedTerm(nil).log, func(_ context.Context, t *Tenure) { began <- t.Fence })
 	e.EndTenuresBefore(7)
 	e.serveTenure(t.Context(), &Tenure{Fence: 6})
 	require.Empty(t, began)
-	going := &Tenure{Fence: 8, cancel: func() {}, renewedAt: steady.Now()}
-	e.tenure = going
+	current := &Tenure{Fence: 8, cancel: func() {}, renewedAt: steady.Now()}
+	e.tenure = current
 	e.EndTenuresBefore(8)
-	require.True(t, going.MayAct())
+	require.True(t, current.MayAct())
 	e.EndTenuresBefore(9)
-	require.False(t, going.MayAct())
+	require.False(t, current.MayAct())
 }
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -18,10 +18,9 @@
 	return scheduler.Record{Job: id, Queue: "q", Pool: "p", Spec: spec, Progress: &scheduler.Progress{State: state}}
 }
 
-// Symptom: on a narrow link a leader that takes over reads for seconds, loses its lease
-// meanwhile, and so does its successor.
-// Sequence: hundreds of jobs have ended within the last ten minutes; a leader takes over.
-// Cause: an ended job's record was as long as that of one that runs.
+// Guards against a takeover that takes seconds on a narrow link, so that the new leader and
+// its successor lose their leases. It has to read the records of hundreds of jobs that ended
+// in the last ten minutes, which must not be as long as those of running jobs.
 func TestEndedJobsDropTheirPayload(t *testing.T) {
 	store := &memoryStore{values: map[string]string{}}
 	te := newRebuildTerm(t, store)
@@ -30,19 +29,17 @@
 	r, err := decodeJob("ended", []byte(store.values[JobKey("ended")]))
 	require.NoError(t, err)
 	require.Empty(t, r.Job.Payload)
-	require.Equal(t, 2, r.Job.Steps[0].Tasks, "what its runs were is still asked for")
+	require.Equal(t, 2, r.Job.Steps[0].Tasks, "the steps of an ended job are still needed")
 	require.True(t, r.Ended)
 }
 
-// Symptom: a task is started without its payload.
-// Sequence: a leader reads an ended job whose record is missing, or that its watch tells
-// of for the first time.
-// Cause: the job was taken for one that has not begun.
+// Guards against starting a task without its payload. An ended job whose record is missing, or
+// that the watch delivers for the first time, must not be taken for one that has not begun.
 func TestEndedJobIsNotStartedAgain(t *testing.T) {
 	value, err := json.Marshal(JobRecord{Queue: "q", Pool: "p", Ended: true, Job: recordOf("j", "").Spec})
 	require.NoError(t, err)
 	item := durable.Item{Key: JobKey("j"), Value: value}
-	for name, take := range map[string]func(*term){
+	for name, submit := range map[string]func(*term){
 		"read":    func(te *term) { te.submitJobs(steady.Now(), []durable.Item{item}, nil) },
 		"watched": func(te *term) { te.observeJobs([]durable.Item{item}, false) },
 	} {
@@ -51,7 +48,7 @@
 			te.sched.SetInstances(steady.Now(), []batch.Instance{{ID: "vm", Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 8000, MemoryMB: 8000}}})
 			te.sched.Hold(steady.Now(), "vm", 0)
 			te.sched.HandleReport(steady.Now(), steady.Now(), "vm", batch.Report{Clock: time.Hour})
-			take(te)
+			submit(te)
 			require.Empty(t, te.sched.Plan(steady.Now()))
 		})
 	}
@@ -66,5 +63,5 @@
 	require.Equal(t, 15, countFitting(running, 0))
 	require.Equal(t, 10, countFitting(ended, 0))
 	require.Equal(t, 1, countFitting(ended[:1], 0))
-	require.Equal(t, 11, countFitting(running, 9), "beside a segment of the log of starts and eight that are removed")
+	require.Equal(t, 11, countFitting(running, 9), "with one start log segment written and eight removed")
 }
--- a/internal/leader/rebuild_test.go
+++ b/internal/leader/rebuild_test.go
@@ -14,14 +14,13 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// memoryStore is a store that keeps what is written, and loses the answer of the first
-// write of a key.
+// memoryStore is a store in memory that can lose responses.
 type memoryStore struct {
 	values map[string]string
-	// lostKey is the key, lost whether its first write's answer is lost already.
+	// lostKey is a key whose first write gets no response; hasLost is set after that write.
 	lostKey string
 	hasLost bool
-	// unreadableKey is a key whose reads have no answer.
+	// unreadableKey is a key whose reads get no response.
 	unreadableKey string
 	durable.Store
 }
@@ -63,7 +62,8 @@
 	return 6, nil
 }
 
-// newRebuildTerm is the term of a leader that is to read what earlier ones left.
+// newRebuildTerm returns the term of a leader that has yet to read the state of earlier
+// leaders.
 func newRebuildTerm(t *testing.T, store durable.Store) *term {
 	te := newTerm(t, store, 0)
 	te.Node, te.Address = "self", "y"
@@ -78,7 +78,7 @@
 	return te
 }
 
-// leadersByNode answers as the process at an address does.
+// leadersByNode forwards each request to the leader at the node.
 type leadersByNode map[string]*Leader
 
 func (b leadersByNode) LeasesLeft(_ context.Context, past PastTenure, _ int64, vms []string) (LeaseReport, error) {
@@ -89,14 +89,10 @@
 	return l.LeasesLeft(past.Fence, vms), nil
 }
 
-// What happened: a leader went on being the leader and did nothing: no hold was sent
-// and nothing planned, for as long as its process lived.
-// Sequence: a new leader writes itself into the record of tenures while it reads what
-// earlier ones left; a later step of the same reading fails, or the answer of that
-// write is lost, and it begins anew. Now the record names its own tenure as an earlier
-// one. A VM is silent, so that it asks its predecessors, itself among them.
-// Cause: the question how long leases of a tenure may last keeps that tenure from
-// taking further ones, also where the asker's own tenure is the one asked about.
+// Guards against a leader that sends no holds and plans nothing for the life of its process.
+// It records its tenure during a rebuild that then fails, or whose write gets no response; the
+// repeated rebuild reads its own tenure as an earlier one. As a VM is unresponsive, it asks
+// its predecessors, including itself, which closes its tenure.
 func TestRepeatedRebuildDoesNotCloseOwnTenure(t *testing.T) {
 	store := &memoryStore{
 		values: map[string]string{
@@ -113,23 +109,22 @@
 	te.setTerm(te)
 
 	te.Predecessors = leadersByNode{"self": te.Leader}
-	asking, stop := context.WithTimeout(t.Context(), 2*predecessorsDelay)
-	defer stop()
-	te.predecessorsLoop(asking)
+	askCtx, cancel := context.WithTimeout(t.Context(), 2*predecessorsDelay)
+	defer cancel()
+	te.predecessorsLoop(askCtx)
 	require.True(t, te.tenure.MayAct())
 	ok, err := te.holdOnce(t.Context(), &batch.Instance{ID: "vm", Address: "a"}, 0, &holdFailures{})
 	require.NoError(t, err)
-	require.True(t, ok, "a leader that may act sends no hold any more")
+	require.True(t, ok, "a leader that may act sends no hold")
 	require.EqualValues(t, 1, agents.sent.Load())
 	for _, p := range te.pastTenures {
-		require.NotEqual(t, te.tenure.Fence, p.Fence, "its own tenure is taken for an earlier one")
+		require.NotEqual(t, te.tenure.Fence, p.Fence, "the own tenure is treated as an earlier one")
 	}
 }
 
-// What happened: VMs that were back after a cut stood idle for good.
-// Sequence: a new leader's read of which leases have run out has no answer; it leads
-// without, and records the list of VMs, which has changed.
-// Cause: what was not read was replaced by what this leader knows, which is nothing.
+// Guards against VMs that stay idle after a cut. A new leader's read of the expired leases
+// gets no response, and it leads without them and records a changed list of VMs. What could
+// not be read must not be overwritten.
 func TestUnreadExpiredLeasesAreNotReplaced(t *testing.T) {
 	store := &memoryStore{values: map[string]string{instancesKey: `{"old":"b"}`, expiredLeasesKey: `{"cut":77}`}, unreadableKey: expiredLeasesKey}
 	te := newRebuildTerm(t, store)
@@ -139,27 +134,22 @@
 	require.Contains(t, store.values[expiredLeasesKey], `"cut":77`)
 }
 
-// What happened: the end of a task was acknowledged and forgotten, and the task was
-// started again by the next leader.
-// Sequence: a leader can't read the record of a job, which a process of another version
-// has written. A VM tells that a run of the job has ended well. The leader doesn't know
-// the job and asks the store, which has it.
-// Cause: a job whose record can't be read counted as one that does not exist, so that
-// what VMs tell of it has no effect.
+// Guards against starting a task again whose end was acknowledged and forgotten. A VM reports
+// the end of a run whose job is unknown to the leader, and the stored record of the job can't
+// be read because a process of another version has written it. The job must not count as
+// absent.
 func TestJobThatCannotBeReadIsNotAbsent(t *testing.T) {
 	te := newReportedTerm(map[string]string{JobKey("j"): `{"queue":"q","job":`},
 		batch.RunEnd{Seq: 1, Task: batch.TaskID{Job: "j"}, Run: 7, Kind: batch.EndDone})
 	require.NoError(t, te.readUnknownJob(t.Context(), "j"))
-	require.Zero(t, te.flushAndGetAcked(), "the end of a job that the store has was acknowledged without a record")
+	require.Zero(t, te.flushAndGetAcked(), "the end of a stored job was acknowledged without a record")
 }
 
-// What happened: two runs of one task at once, some seconds after a change of leader.
-// Sequence: a job is handed in just after the election, by a process whose time of day
-// is seconds ahead. The deposed leader, which has not heard of it yet, takes the job up
-// and starts it on a VM that the next leader does not reach. That one's watch tells it
-// of the job late, and it starts the job at once.
-// Cause: whether an earlier leader may have known the job was worked out from two clocks
-// of the time of day, which may differ by seconds.
+// Guards against two concurrent runs of a task a few seconds after a change of leader. A job
+// is submitted just after the election by a process whose wall clock is seconds ahead. The
+// deposed leader, not yet aware of the election, accepts the job and starts it on a VM that is
+// unreachable for the new leader, whose watch delivers the job late. Whether an earlier leader
+// may know a job must not be derived from two wall clocks.
 func TestJobSubmittedByAFastClock(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	now := steady.Now()
@@ -173,7 +163,7 @@
 	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: time.Hour})
 	const wall = 1_000_000_000
 	te.WallMS = func() int64 { return wall }
-	// Handed in 3.9 s ago, by a clock that is 6 s ahead.
+	// Submitted 3.9 s ago, by a clock that is 6 s ahead.
 	job := durable.Item{
 		Key:     JobKey("j"),
 		Value:   []byte(`{"queue":"q","pool":"p","submitted_ms":1000002100,"job":{"steps":[{"tasks":1,"need":{}}]}}`),
@@ -181,11 +171,11 @@
 	}
 	te.observeJobs([]durable.Item{job}, false)
 	for _, o := range te.sched.Plan(steady.Now()) {
-		require.NotEqual(t, scheduler.OrderStart, o.Kind, "started while an earlier leader's run may be on the silent VM")
+		require.NotEqual(t, scheduler.OrderStart, o.Kind, "started while an earlier leader's run may be on the unresponsive VM")
 	}
 }
 
-// oneVMAgents answers for one VM and reaches no other.
+// oneVMAgents starts tasks on "vm" and reaches no other VM.
 type oneVMAgents struct {
 	Agents
 	started chan string
@@ -203,21 +193,20 @@
 	return durable.ErrUnknown
 }
 
-// What happened: nothing was started anywhere while some VMs were cut off.
-// Sequence: VMs are cut off with many starts on their way, which are to be stopped since
-// nobody knows whether they were carried out; the stops are repeated until they are
-// confirmed.
-// Cause: a stop holds its place among the orders under way for as long as it is repeated.
+// Guards against a cut of some VMs that blocks all starts. Many starts to them are under way
+// and have to be stopped, as their outcome is unknown, and the stops are repeated until they
+// are confirmed. A repeated stop must not keep its slot among the concurrent calls between
+// attempts.
 func TestRepeatedStopsDoNotBlockStarts(t *testing.T) {
 	te := newTerm(t, nil, 0)
 	te.directCalls = make(chan struct{}, maxConcurrentOrders)
 	te.Config = func() *batch.Config { return nil }
 	agents := oneVMAgents{started: make(chan string, 1)}
 	te.Agents = agents
-	room := batch.Resources{MilliCPU: 1_000_000, MemoryMB: 1000}
+	capacity := batch.Resources{MilliCPU: 1_000_000, MemoryMB: 1000}
 	now := steady.Now()
-	te.sched.SetInstances(now, []batch.Instance{{ID: "cut", Pool: "cut", Address: "a", Capacity: room}, {ID: "vm", Pool: "p", Address: "b", Capacity: room}})
-	hear := func() {
+	te.sched.SetInstances(now, []batch.Instance{{ID: "cut", Pool: "cut", Address: "a", Capacity: capacity}, {ID: "vm", Pool: "p", Address: "b", Capacity: capacity}})
+	report := func() {
 		now := steady.Now()
 		te.mu.Lock()
 		defer te.mu.Unlock()
@@ -229,7 +218,7 @@
 	te.sched.HandleReport(now, now, "cut", batch.Report{Clock: time.Hour})
 	te.sched.Hold(now, "cut", time.Second)
 	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "cut", Steps: []batch.Step{{Tasks: 2 * maxConcurrentOrders, Need: batch.Resources{MilliCPU: 100}}}}, Pool: "cut"})
-	hear()
+	report()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer func() {
 		cancel()
@@ -239,17 +228,17 @@
 		te.plan(ctx, 0)
 		time.Sleep(10 * time.Millisecond)
 	}
-	hear()
+	report()
 	te.sched.Submit(steady.Now(), scheduler.Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{{Tasks: 1, Need: batch.Resources{MilliCPU: 100}}}}, Pool: "p"})
 	for range 30 {
 		te.plan(ctx, 0)
 		time.Sleep(100 * time.Millisecond)
-		hear()
+		report()
 		te.tenure.renewed(steady.Now())
 	}
 	select {
 	case <-agents.started:
 	default:
-		require.Fail(t, "not begun in 3 s on a VM that answers")
+		require.Fail(t, "not started within 3 s on a responsive VM")
 	}
 }
--- a/internal/leader/sight_test.go
+++ b/internal/leader/sight_test.go
@@ -18,11 +18,11 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// fakeAgent is a VM that answers as it is told to.
+// fakeAgent is a VM that returns preset responses.
 type fakeAgent struct {
 	report batch.Report
 	err    error
-	// onOrder is called at each start and stop, held at each hold; may be nil.
+	// onOrder is called at each start and stop, onHold at each hold; may be nil.
 	onOrder, onHold func()
 }
 
@@ -51,7 +51,7 @@
 	return a.report, a.err
 }
 
-// logBuffer collects the lines of a log.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -63,7 +63,7 @@
 	return l.text.Write(p)
 }
 
-// line returns the one line of an event once it is written.
+// line waits for the line of an event, which must be the only one, and returns its fields.
 func (l *logBuffer) line(t *testing.T, event string) map[string]any {
 	t.Helper()
 	var found []map[string]any
@@ -85,192 +85,191 @@
 
 const testVM = "vm1"
 
-// newLoggedTerm is a tenure with one VM that was heard, and holds a lease.
+// newLoggedTerm returns a tenure with one VM that has reported and holds a lease.
 func newLoggedTerm(t *testing.T) (*term, *fakeAgent, *logBuffer) {
 	t.Helper()
 	agent, out := &fakeAgent{report: batch.Report{Clock: time.Hour}}, &logBuffer{}
 	log := eventlog.New(out, logrus.InfoLevel)
-	x := &term{
+	te := &term{
 		Leader: &Leader{Agents: agent, Log: log}, log: log,
 		tenure:      &Tenure{Fence: 7, renewedAt: steady.Now(), cancel: func() {}},
 		unackedEnds: map[string]unackedEnds{}, planRequested: make(chan struct{}, 1), flushed: make(chan struct{}), directCalls: make(chan struct{}, maxConcurrentOrders), startWindow: newStartWindow(maxConcurrentOrders), backlog: scheduler.NewBacklog(),
 	}
-	x.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second}, 7, x.logDecision)
-	x.sched.SetInstances(steady.Now(), []batch.Instance{{ID: testVM, Address: "10.0.0.1:1"}})
+	te.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second}, 7, te.logDecision)
+	te.sched.SetInstances(steady.Now(), []batch.Instance{{ID: testVM, Address: "10.0.0.1:1"}})
 	for range 2 {
-		holdTestVM(t, x, &holdFailures{}, true)
+		holdTestVM(t, te, &holdFailures{}, true)
 	}
-	return x, agent, out
+	return te, agent, out
 }
 
-func holdTestVM(t *testing.T, x *term, s *holdFailures, answered bool) {
+func holdTestVM(t *testing.T, te *term, s *holdFailures, answered bool) {
 	t.Helper()
-	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: testVM, Address: "10.0.0.1:1"}, 0, s)
+	ok, err := te.holdOnce(t.Context(), &batch.Instance{ID: testVM, Address: "10.0.0.1:1"}, 0, s)
 	require.True(t, ok)
 	require.Equal(t, answered, err == nil)
 }
 
-// A VM doesn't answer, and answers again: the lines tell for how long it was
-// unheard, whether a lease may live there, and what failed.
+// When a VM stops responding and responds again, the log lines contain the time since its last
+// report, the remaining lease and the cause of the failures.
 func TestLogOfUnresponsiveVM(t *testing.T) {
-	x, agent, out := newLoggedTerm(t)
-	var s holdFailures
+	te, agent, out := newLoggedTerm(t)
+	var failures holdFailures
 	agent.err = &batch.RefusalError{Reason: batch.RefusedUnreached, Cause: errors.New("connection refused")}
 	for range 3 {
-		holdTestVM(t, x, &s, false)
+		holdTestVM(t, te, &failures, false)
 	}
 	agent.err = nil
-	holdTestVM(t, x, &s, true)
-	silent := out.line(t, "vm_unanswered")
-	require.Equal(t, "refused: unreached: connection refused", silent["error"])
-	require.Contains(t, silent, "unheard_ms")
-	require.InDelta(t, 8000, silent["lease_left_ms"], 1000)
-	require.NotContains(t, silent, "unlisted_ms")
-	back := out.line(t, "vm_answers")
-	require.InDelta(t, 3, back["failures"], 0)
+	holdTestVM(t, te, &failures, true)
+	unanswered := out.line(t, "vm_unanswered")
+	require.Equal(t, "refused: unreached: connection refused", unanswered["error"])
+	require.Contains(t, unanswered, "unheard_ms")
+	require.InDelta(t, 8000, unanswered["lease_left_ms"], 1000)
+	require.NotContains(t, unanswered, "unlisted_ms")
+	answers := out.line(t, "vm_answers")
+	require.InDelta(t, 3, answers["failures"], 0)
 
-	x.sched.SetInstances(steady.Now(), nil)
+	te.sched.SetInstances(steady.Now(), nil)
 	agent.err = &batch.RefusalError{Reason: batch.RefusedGone}
-	ok, err := x.holdOnce(t.Context(), &batch.Instance{ID: testVM}, 0, &s)
+	ok, err := te.holdOnce(t.Context(), &batch.Instance{ID: testVM}, 0, &failures)
 	require.False(t, ok)
 	require.NoError(t, err)
 	require.Contains(t, out.line(t, "vm_replaced"), "unlisted_ms")
-	f := x.stats()
+	f := te.stats()
 	require.Zero(t, f.VMs)
 }
 
-// The lines on a VM that stays silent become rarer.
+// Log lines about a VM that stays unresponsive become rarer.
 func TestUnresponsiveVMIsLoggedRarely(t *testing.T) {
-	var s holdFailures
-	told := 0
+	var failures holdFailures
+	lines := 0
 	for now := time.Duration(0); now < time.Minute; now += holdRetryDelay {
-		if s.recordFailure(now, now) {
-			told++
+		if failures.recordFailure(now, now) {
+			lines++
 		}
 	}
-	require.Equal(t, 7, told)
+	require.Equal(t, 7, lines)
 }
 
-// An end that is told again and again is counted, with its age, and gets one line;
-// each end is observed once.
+// Ends that stay unacknowledged are counted with their age and logged once; each is observed
+// once.
 func TestUnacknowledgedEndsAreLogged(t *testing.T) {
-	x, _, out := newLoggedTerm(t)
+	te, _, out := newLoggedTerm(t)
 	observed := map[scheduler.EndStatus]int{}
-	x.ObserveEnd = func(s scheduler.EndStatus) { observed[s]++ }
+	te.ObserveEnd = func(s scheduler.EndStatus) { observed[s]++ }
 	ends := []batch.RunEnd{
 		{Seq: 5, Task: batch.TaskID{Job: "j"}, Run: 7<<24 + 1, Kind: batch.EndDone},
 		{Seq: 4, Task: batch.TaskID{Job: "j", Index: 1}, Run: 7<<24 + 2, Kind: batch.EndDone},
 	}
 	began := steady.Now()
 	for _, after := range []time.Duration{0, time.Second, unackedEndsLogDelay + time.Second, unackedEndsLogDelay + 2*time.Second} {
-		x.mu.Lock()
-		x.trackEnds(began+after, testVM, &batch.Report{Ended: ends})
-		x.mu.Unlock()
-		x.sched.HandleReport(began+after, began+after, testVM, batch.Report{Clock: time.Hour, Ended: ends})
+		te.mu.Lock()
+		te.trackEnds(began+after, testVM, &batch.Report{Ended: ends})
+		te.mu.Unlock()
+		te.sched.HandleReport(began+after, began+after, testVM, batch.Report{Clock: time.Hour, Ended: ends})
 	}
 	require.Equal(t, map[scheduler.EndStatus]int{scheduler.EndUnknownJob: 2}, observed)
-	require.Equal(t, 2, x.stats().UnackedEnds)
+	require.Equal(t, 2, te.stats().UnackedEnds)
 	line := out.line(t, "ends_unacknowledged")
 	require.Equal(t, "j.0.0.1", line["task"])
 	require.InDelta(t, 4000, line["age_ms"], 0)
-	x.trackEnds(began, testVM, &batch.Report{})
-	require.Zero(t, x.stats().UnackedEnds)
+	te.trackEnds(began, testVM, &batch.Report{})
+	require.Zero(t, te.stats().UnackedEnds)
 }
 
-// A leader that the store doesn't answer goes on for a while: lines tell since when
-// it is unconfirmed, and at its end where leases may outlive it.
+// A leader continues for some time while the store does not respond. The log shows since when
+// it is unconfirmed and, at its end, which leases outlast it.
 func TestLogOfUnconfirmedLeader(t *testing.T) {
-	x, _, out := newLoggedTerm(t)
-	require.True(t, x.logConfirmation(true))
-	x.tenure.renewed(steady.Now() - 2*leaseTTL)
-	require.False(t, x.logConfirmation(true))
-	require.False(t, x.logConfirmation(false))
-	x.tenure.renewed(steady.Now())
-	require.True(t, x.logConfirmation(false))
+	te, _, out := newLoggedTerm(t)
+	require.True(t, te.logConfirmation(true))
+	te.tenure.renewed(steady.Now() - 2*leaseTTL)
+	require.False(t, te.logConfirmation(true))
+	require.False(t, te.logConfirmation(false))
+	te.tenure.renewed(steady.Now())
+	require.True(t, te.logConfirmation(false))
 	require.InDelta(t, 2*leaseTTL.Milliseconds(), out.line(t, "leader_unconfirmed")["confirmed_ago_ms"], 500)
 	out.line(t, "leader_confirmed")
-	x.logEnd()
+	te.logEnd()
 	end := out.line(t, "leader_ended")
 	require.InDelta(t, 1, end["leased_vms"], 0)
 	require.InDelta(t, 8000, end["longest_lease_ms"], 1000)
 }
 
-// Orders whose outcome stays unknown have a line that names the run and what
-// failed: a start that nobody answered, one that the end of the tenure cut short,
-// and a stop that was given up.
+// An order whose outcome stays unknown is logged with its run and the failure: a start without
+// a response, a start that the end of the tenure interrupted, and a stop that stays
+// unconfirmed.
 func TestLogOfOrdersWithoutOutcome(t *testing.T) {
-	x, agent, out := newLoggedTerm(t)
-	x.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
+	te, agent, out := newLoggedTerm(t)
+	te.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	now := steady.Now()
-	x.sched.SetInstances(now, []batch.Instance{{
+	te.sched.SetInstances(now, []batch.Instance{{
 		ID: testVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
 	}})
 	step := batch.Step{Tasks: 2, Need: batch.Resources{MilliCPU: 100, MemoryMB: 10}, Estimate: time.Second}
-	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
-	orders := x.sched.Plan(now)
+	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
+	orders := te.sched.Plan(now)
 	require.Len(t, orders, 2)
 
 	agent.err = errors.New("timed out")
-	x.start(t.Context(), orders[0], func(time.Duration) {})
+	te.start(t.Context(), orders[0], func(time.Duration) {})
 	unanswered := out.line(t, "start_unanswered")
 	require.Equal(t, "timed out", unanswered["error"])
 	require.Equal(t, orders[0].Task.String(), unanswered["task"])
 
-	agent.onOrder = func() { x.tenure.End() }
-	x.start(t.Context(), orders[1], func(time.Duration) {})
+	agent.onOrder = func() { te.tenure.End() }
+	te.start(t.Context(), orders[1], func(time.Duration) {})
 	require.Equal(t, orders[1].Task.String(), out.line(t, "start_abandoned")["task"])
 
 	calls := 0
-	x.tenure.ended = false
+	te.tenure.ended = false
 	agent.onOrder = func() {
 		if calls++; calls == 2 {
-			x.tenure.End()
+			te.tenure.End()
 		}
 	}
-	x.stopSince(t.Context(), orders[0], steady.Now()-stopRetryDuration+time.Millisecond)
+	te.stopSince(t.Context(), orders[0], steady.Now()-stopRetryDuration+time.Millisecond)
 	require.Equal(t, "timed out", out.line(t, "stop_unconfirmed")["error"])
-	require.Equal(t, 2, calls, "goes on after the line")
+	require.Equal(t, 2, calls, "the stop is not repeated after the log line")
 }
 
-// What happened: a task was started a second after its end had been acknowledged.
-// Sequence: a start has no answer; a copy of the run elsewhere is done, so that the run
-// is ordered to stop; the next try of the start is made, and carried out.
-// Cause: whether a start is still wanted was asked before its first try only.
+// Guards against starting a task a second after its end was acknowledged. A start gets no
+// response, a copy of the run completes elsewhere, and the run is to be stopped. Whether the
+// start is still wanted must be checked before each attempt, not only the first.
 func TestUnwantedStartIsNotRetried(t *testing.T) {
-	x, agent, _ := newLoggedTerm(t)
-	x.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
+	te, agent, _ := newLoggedTerm(t)
+	te.sched.SetConfig(&batch.Config{Version: 1, Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3, Stretch: 2, Slack: time.Second}}})
 	now := steady.Now()
-	x.sched.SetInstances(now, []batch.Instance{{
+	te.sched.SetInstances(now, []batch.Instance{{
 		ID: testVM, Pool: "p", Address: "10.0.0.1:1", Capacity: batch.Resources{MilliCPU: 1000, MemoryMB: 100},
 	}})
 	step := batch.Step{Tasks: 1, Need: batch.Resources{MilliCPU: 100, MemoryMB: 10}, Estimate: time.Second}
-	x.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
-	orders := x.sched.Plan(now)
+	te.sched.Submit(now, scheduler.Submission{Job: &batch.Job{ID: "j", Payload: "p", Steps: []batch.Step{step}}, Queue: "q", Pool: "p"})
+	orders := te.sched.Plan(now)
 	require.Len(t, orders, 1)
 	agent.err = errors.New("timed out")
 	calls := 0
 	agent.onOrder = func() {
 		calls++
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.sched.Cancel(steady.Now(), "j")
+		te.mu.Lock()
+		defer te.mu.Unlock()
+		te.sched.Cancel(steady.Now(), "j")
 	}
-	x.start(t.Context(), orders[0], func(time.Duration) {})
+	te.start(t.Context(), orders[0], func(time.Duration) {})
 	require.Equal(t, 1, calls)
 }
 
-// A process that doesn't lead has no figures; one that leads has them.
+// Stats are available only while the process leads and may act.
 func TestStats(t *testing.T) {
-	x, _, _ := newLoggedTerm(t)
-	_, leading := x.Stats()
+	te, _, _ := newLoggedTerm(t)
+	_, leading := te.Stats()
 	require.False(t, leading)
-	x.setTerm(x)
-	f, leading := x.Stats()
+	te.setTerm(te)
+	f, leading := te.Stats()
 	require.True(t, leading)
 	require.True(t, f.Confirmed)
 	require.Equal(t, int64(7), f.Fence)
 	require.Equal(t, 1, f.VMs)
-	x.tenure.End()
-	_, leading = x.Stats()
+	te.tenure.End()
+	_, leading = te.Stats()
 	require.False(t, leading)
 }
--- a/internal/leader/starts_test.go
+++ b/internal/leader/starts_test.go
@@ -11,10 +11,10 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// oneTaskJob is an accepted job of one task.
+// oneTaskJob is the record of an accepted job of one task.
 const oneTaskJob = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`
 
-// startOneJob has a leader start the job "j" on "vm", and write.
+// startOneJob returns a leader that has started the job "j" on "vm" and written its state.
 func startOneJob(t *testing.T, store *memoryStore) *term {
 	te := newRebuildTerm(t, store)
 	te.flushed = make(chan struct{})
@@ -39,8 +39,8 @@
 	return n
 }
 
-// Guards against a start that is in no record when its leader dies: the successor learns of it,
-// and removes the log once that is over.
+// Guards against a start that is in no record when its leader dies: the successor reads it
+// from the start log, and removes the log once it is obsolete.
 func TestSuccessorReadsStartLog(t *testing.T) {
 	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}}
 	startOneJob(t, store)
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, r.startCount)
 	next.flushPending(t.Context())
-	require.Equal(t, 1, countSegments(store), "nobody has heard the VM")
+	require.Equal(t, 1, countSegments(store), "the start log is removed before the VM has reported")
 	next.sched.RemoveInstance(steady.Now(), "vm", "machine ended it")
 	next.flushPending(t.Context())
 	require.Contains(t, store.values[ProgressKey("j")], `"v":"vm"`)
@@ -65,8 +65,8 @@
 	}, 5*time.Second, flushInterval)
 }
 
-// Guards against starts that are in no record: the answer of their write was lost. They are written
-// under another key, so that the first write may come late.
+// Guards against starts that are in no record because the response to their write was lost.
+// They are written again under another key, since the first write may still be applied late.
 func TestStartLogIsRewrittenUnderAnotherKey(t *testing.T) {
 	key := startsKey(scheduler.SegmentID{Fence: 9, Number: 1})
 	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}, lostKey: key}
@@ -77,8 +77,8 @@
 	require.Contains(t, store.values, startsKey(scheduler.SegmentID{Fence: 9, Number: 2}))
 }
 
-// Guards against VMs that get nothing new while the store is away: ends that need no record stayed
-// unacknowledged, since the log of starts could not be written.
+// Guards against VMs that get no new tasks while the store is unreachable. Ends that need no
+// record must be acknowledged even if the start log can't be written.
 func TestEndsWithoutRecordDoNotWaitForStartLog(t *testing.T) {
 	store := &memoryStore{values: map[string]string{JobKey("j"): oneTaskJob}}
 	te := startOneJob(t, store)
@@ -92,7 +92,7 @@
 	require.False(t, te.sched.HasUnackedEnds("vm"))
 }
 
-// What can't be read is no reason not to lead, and goes.
+// An unreadable start log does not prevent leading, and is removed.
 func TestUnreadableStartLogIsRemoved(t *testing.T) {
 	store := &memoryStore{values: map[string]string{startsKey(scheduler.SegmentID{Fence: 4, Number: 2}): "{"}}
 	te := newRebuildTerm(t, store)
--- a/internal/leader/tenure_test.go
+++ b/internal/leader/tenure_test.go
@@ -13,11 +13,10 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// Symptom: 40 tasks run twice at the moment at which a zone is joined again.
-// Sequence: the leader's zone is cut off; another leads after 2 s and starts the
-// jobs that come; after 5 s the cut ends, and the first leader's watch brings it
-// the same jobs before its next renewal tells it that its lease is gone.
-// Cause: a leader that may still act took new jobs up without knowing whether it leads.
+// Guards against tasks that run twice when a zone is reconnected, as 40 once did. The leader's
+// zone is cut off; another process leads after 2 s and starts new jobs; after 5 s the cut
+// ends, and the first leader's watch delivers the same jobs before its next renewal fails. A
+// leader that may still act must not accept jobs while its lease is unconfirmed.
 func TestUnconfirmedLeaderAcceptsNoJobs(t *testing.T) {
 	_, cancel := context.WithCancel(context.Background())
 	tenure := &Tenure{Fence: 1, renewedAt: steady.Now() - 3*time.Second, cancel: cancel}
@@ -29,20 +28,20 @@
 	}
 	item := durable.Item{Key: JobKey("j"), Value: []byte(`{"queue":"q","pool":"p","job":{"steps":[{"tasks":1,"need":{}}]}}`)}
 
-	taken := make(chan struct{})
+	accepted := make(chan struct{})
 	go func() {
-		defer close(taken)
+		defer close(accepted)
 		te.observeJobs([]durable.Item{item}, false)
 	}()
 	time.Sleep(3 * confirmPollInterval)
 	te.mu.Lock()
 	_, known := te.sched.State("j")
 	te.mu.Unlock()
-	require.False(t, known, "taken up by a leader that may have been deposed")
+	require.False(t, known, "accepted by a leader that may be deposed")
 
 	tenure.renewed(steady.Now())
-	<-taken
+	<-accepted
 	state, known := te.sched.State("j")
-	require.True(t, known, "not taken up by a leader that was confirmed")
+	require.True(t, known, "not accepted by a confirmed leader")
 	require.Equal(t, batch.Queued, state)
 }
--- a/internal/leader/untold_test.go
+++ b/internal/leader/untold_test.go
@@ -17,7 +17,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// readOnlyStore is a store that keeps nothing of what is written.
+// readOnlyStore is a store that discards writes.
 type readOnlyStore struct {
 	durable.Store
 	values map[string]string
@@ -45,7 +45,8 @@
 
 const twoTaskJob = `{"queue":"q","pool":"p","job":{"steps":[{"tasks":2,"need":{}}]}}`
 
-// newReportedTerm returns a tenure that has just heard a VM with ends of one job.
+// newReportedTerm returns a tenure that has just received a report of "vm" with the given
+// ends.
 func newReportedTerm(values map[string]string, ends ...batch.RunEnd) *term {
 	te := &term{
 		Leader: &Leader{WallMS: func() int64 { return 0 }, Store: readOnlyStore{values: values}}, tenure: &Tenure{Fence: 9},
@@ -57,7 +58,8 @@
 	return te
 }
 
-// flushAndGetAcked writes what is pending and returns the highest end that is acknowledged then.
+// flushAndGetAcked marks pending records as written and returns the highest end that is
+// acknowledged then.
 func (t *term) flushAndGetAcked() int64 {
 	if f := t.sched.PendingWrites(); f != nil {
 		for i := range f.Records {
@@ -73,8 +75,8 @@
 	return batch.RunEnd{Seq: seq, Task: batch.TaskID{Job: "j", Index: index}, Run: run, Kind: batch.EndDone}
 }
 
-// A VM tells the end of a job that this leader's watch has not told it of. The store
-// is asked for the job, and the end acknowledged once it is in the job's record.
+// When a VM reports the end of a run whose job the watch has not delivered, the job is read
+// from the store, and the end is acknowledged once it is in the job's record.
 func TestUnknownJobIsRead(t *testing.T) {
 	te := newReportedTerm(map[string]string{JobKey("j"): twoTaskJob, JobKey("jj"): twoTaskJob}, doneEnd(1, 0, 3))
 	require.Zero(t, te.flushAndGetAcked())
@@ -82,12 +84,12 @@
 	_, known := te.sched.State("j")
 	require.True(t, known)
 	_, known = te.sched.State("jj")
-	require.False(t, known, "another job, whose ID begins alike")
+	require.False(t, known, "a job whose ID has the same prefix was submitted")
 	require.EqualValues(t, 1, te.flushAndGetAcked())
 }
 
-// Where the store has no such job its record was removed long after its end: the end
-// has no effect, and must not keep later ones from being acknowledged.
+// If the store has no such job, its record was removed long after its end. The reported end
+// has no effect, and must not block the acknowledgement of later ones.
 func TestEndOfAbsentJobIsAcknowledged(t *testing.T) {
 	te := newReportedTerm(map[string]string{JobKey("jj"): twoTaskJob}, doneEnd(1, 0, 3))
 	require.Zero(t, te.flushAndGetAcked())
@@ -96,9 +98,8 @@
 	require.Empty(t, te.sched.UnknownJobs(steady.Now(), 0))
 }
 
-// What happened: a job was run again from nothing.
-// Sequence: a leader finds the record of a job's progress and can't read it.
-// Cause: a record that can't be read was taken for none, and written over.
+// Guards against running a job again from the beginning because the record of its progress
+// can't be read. An unreadable record must not be treated as a missing one and overwritten.
 func TestJobWithAnUnreadableRecordIsHeld(t *testing.T) {
 	te := newReportedTerm(nil)
 	jobs := []durable.Item{{Key: JobKey("j"), Value: []byte(twoTaskJob)}}
@@ -106,8 +107,8 @@
 	te.sched.SetConfig(&batch.Config{Queues: []batch.Queue{{Name: "q", Pool: "p", Attempts: 3}}})
 	now := steady.Now()
 	te.sched.HandleReport(now, now, "vm", batch.Report{Clock: now, Running: []batch.RunStatus{{Task: batch.TaskID{Job: "j"}, Run: 3}}})
-	require.Empty(t, te.sched.Plan(now), "neither started anew nor stopped")
-	require.Nil(t, te.sched.PendingWrites(), "written over")
+	require.Empty(t, te.sched.Plan(now), "the job is started again or stopped")
+	require.Nil(t, te.sched.PendingWrites(), "the unreadable record is overwritten")
 	state, _ := te.sched.State("j")
 	require.Equal(t, batch.Running, state)
 
--- a/internal/leader/window_test.go
+++ b/internal/leader/window_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// narrowLink carries one message after the other.
+// narrowLink transmits one message at a time.
 type narrowLink struct {
 	mu sync.Mutex
-	// freeAt is when what is queued has been carried.
+	// freeAt is when all queued messages have been transmitted.
 	freeAt time.Time
-	// messageTime is the time that one takes.
+	// messageTime is the transmission time of one message.
 	messageTime time.Duration
 }
 
-// send queues a message, and returns whether it was carried within the time that a try
-// of an order has. One that was given up takes the link all the same.
+// send queues a message and reports whether it was transmitted within orderTimeout. A message
+// that timed out occupies the link all the same.
 func (l *narrowLink) send() bool {
 	l.mu.Lock()
 	l.freeAt = laterTime(l.freeAt, time.Now()).Add(l.messageTime)
@@ -37,20 +37,20 @@
 	return b
 }
 
-// sendStarts gives so many starts a second over the link for some time, as term.start
-// does: three tries each, and a stop for one that was left without an answer. It returns
-// how many were answered.
-func sendStarts(w *startWindow, link *narrowLink, perSecond int, length time.Duration) int {
-	var all sync.WaitGroup
+// sendStarts sends starts at the given rate for some time, as term.start does: up to
+// maxStartTries attempts each, and a stop if none got a response. It returns the number of
+// starts with a response.
+func sendStarts(w *startWindow, link *narrowLink, perSecond int, duration time.Duration) int {
+	var starts sync.WaitGroup
 	var mu sync.Mutex
 	answered := 0
-	end := time.Now().Add(length)
+	end := time.Now().Add(duration)
 	for time.Now().Before(end) {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		if w.isFull() {
 			continue
 		}
-		all.Go(func() {
+		starts.Go(func() {
 			release, err := w.acquire(context.Background())
 			if err != nil {
 				return
@@ -70,40 +70,37 @@
 			link.send()
 		})
 	}
-	all.Wait()
+	starts.Wait()
 	return answered
 }
 
-// What happened: for the rest of a day hardly a task was started on a narrow link, and
-// lasting tasks were not restarted.
-// Sequence: a burst of twice what the leader's link carries.
-// Cause: every call timed out; each start without an answer was sent three times and
-// stopped, so that the link stayed full of what nobody waited for.
+// Guards against a narrow link that stays saturated after a burst of twice its capacity, so
+// that hardly any task is started for the rest of the day and lasting tasks are not restarted.
+// Every call timed out, and each start without a response was sent three times and then
+// stopped, so that the link carried only messages that were already obsolete.
 func TestWindowKeepsANarrowLinkUseful(t *testing.T) {
 	const perSecond = 250
-	play := func(w *startWindow) (share float64) {
+	run := func(w *startWindow) (share float64) {
 		link := &narrowLink{messageTime: time.Second / perSecond}
 		return float64(sendStarts(w, link, 2*perSecond, 10*time.Second)) / (10 * perSecond)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		fixed := &startWindow{size: maxConcurrentRelayed, maxSize: maxConcurrentRelayed}
-		require.Less(t, play(fixed), 0.3, "the load that the window is for")
-		require.Greater(t, play(newStartWindow(maxConcurrentRelayed)), 0.8)
+		require.Less(t, run(fixed), 0.3, "the load does not saturate a fixed window")
+		require.Greater(t, run(newStartWindow(maxConcurrentRelayed)), 0.8)
 	})
 }
 
-// Symptom: nothing is started for as long as some VMs are cut off.
-// Sequence: a third of the VMs leave starts without an answer.
-// Cause it guards against: places that are held until a start is given up, and a window
-// that shrinks for the VMs' fault.
+// Guards against blocking all starts while a third of the VMs is cut off: slots must not be
+// kept until a start times out, and the window must not shrink because of these VMs.
 func TestUnresponsiveVMsDoNotBlockStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newStartWindow(maxConcurrentOrders)
-		var all sync.WaitGroup
+		var starts sync.WaitGroup
 		answered := make(chan struct{}, 10_000)
 		for n := range 3000 {
 			time.Sleep(time.Millisecond)
-			all.Go(func() {
+			starts.Go(func() {
 				release, err := w.acquire(t.Context())
 				if err != nil {
 					return
@@ -123,7 +120,7 @@
 		require.GreaterOrEqual(t, len(answered), 1900)
 		size, _ := w.stats()
 		require.Equal(t, maxConcurrentOrders, size)
-		all.Wait()
+		starts.Wait()
 	})
 }
 
