--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -160,14 +160,14 @@
 func (e *Election) Follower() *follow.Follower { return e.follower }
 
 // observe processes changes of the leader's key.
-func (e *Election) observe(items []durable.Item, whole bool) {
+func (e *Election) observe(items []durable.Item, complete bool) {
 	var found *durable.Item
 	for i := range items {
 		if items[i].Key == leaderKey {
 			found = &items[i]
 		}
 	}
-	if found == nil && !whole {
+	if found == nil && !complete {
 		return
 	}
 	e.mu.Lock()
@@ -198,7 +198,7 @@
 }
 
 // LearnLeader accepts a peer's information about the leader if its fencing token is newer. A
-// process that can't reach the store has no other way to learn of a new leader.
+// process that is refused by the store has no other way to learn of a new leader.
 func (e *Election) LearnLeader(r Record, fence int64, peer string) {
 	e.mu.Lock()
 	if fence <= e.fence {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -58,7 +58,7 @@
 	// plan.
 	planRestFloorPerVM = 15 * time.Microsecond
 	maxPlanRestFloor   = 20 * time.Millisecond
-	// planInterval is the longest time between two plans.
+	// planInterval is the interval between plans when nothing triggers one.
 	planInterval = 50 * time.Millisecond
 	// maxConcurrentOrders bounds the concurrent calls from this process. One takes about 5 ms,
 	// so 900 a second need five. A change of leader causes more, and their timeouts must not
@@ -105,7 +105,7 @@
 	ObserveDecision func(scheduler.Decision)
 	// ObserveDelay is called with each delay of this leader's work; may be nil.
 	ObserveDelay func(Delay, time.Duration)
-	// ObserveEnd is called once for each end of a run that a VM reports; may be nil.
+	// ObserveEnd is called when a VM reports an end for the first time; may be nil.
 	ObserveEnd func(scheduler.EndStatus)
 
 	mu   sync.Mutex
--- a/internal/leader/orders.go
+++ b/internal/leader/orders.go
@@ -15,7 +15,7 @@
 
 const (
 	// orderTimeout bounds one attempt to send an order; maxStartTries is the number of
-	// attempts for a start before its run is given up.
+	// attempts for a start before its run is abandoned.
 	orderTimeout  = 500 * time.Millisecond
 	maxStartTries = 3
 	// stopRetryDelay is the delay after the first attempt of a stop. It doubles up to
@@ -224,7 +224,7 @@
 	}
 }
 
-// adviceTimeout bounds one call to the adviser.
+// adviceTimeout bounds one call to the adviser, including any wait at the adviser.
 const adviceTimeout = 4 * time.Second
 
 func (t *term) advise(ctx context.Context, o scheduler.Order) {
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -260,7 +260,8 @@
 }
 
 // covers reports whether the item is a stale copy of a removed job rather than a job submitted
-// since. An announcement has no revision; a new job is also reported by the watch.
+// since. An announcement has no revision and counts as stale; the watch delivers a new job as
+// well.
 func (r removals) covers(id string, item *durable.Item) bool {
 	job, ok := r[id]
 	return ok && item.Created <= job.revision
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -54,6 +54,7 @@
 	}
 }
 
+// Guards against transactions that exceed the store's limit of entries.
 func TestCountFitting(t *testing.T) {
 	var running, ended []scheduler.Record
 	for range 40 {
--- a/internal/leader/waves.go
+++ b/internal/leader/waves.go
@@ -49,17 +49,17 @@
 }
 
 func (t *term) followWaves(ctx context.Context, waves []batch.Wave, written map[int64]scheduler.WaveStatus) {
-	open := false
+	unfinished := false
 	for _, w := range waves {
 		if _, known := written[w.Number]; !known && !t.addWave(ctx, w, written) {
 			return
 		}
-		open = open || !written[w.Number].Completed
+		unfinished = unfinished || !written[w.Number].Completed
 	}
 	t.mu.Lock()
-	open = open || t.sched.HasUnsettledMaintenance()
+	unfinished = unfinished || t.sched.HasUnsettledMaintenance()
 	t.mu.Unlock()
-	if !open {
+	if !unfinished {
 		return
 	}
 	askedAt := steady.Now()
@@ -77,7 +77,7 @@
 	t.requestPlan()
 	for _, st := range statuses {
 		slices.Sort(st.Begun)
-		if old := written[st.Number]; old.Completed != st.Completed || !slices.Equal(old.Begun, st.Begun) || old.Number == 0 {
+		if previous := written[st.Number]; previous.Completed != st.Completed || !slices.Equal(previous.Begun, st.Begun) || previous.Number == 0 {
 			if t.writeWave(ctx, st) {
 				written[st.Number] = st
 			}
--- a/internal/leader/window.go
+++ b/internal/leader/window.go
@@ -31,9 +31,9 @@
 	// slowStartThreshold is the response time from which a start counts as slow. Most take 5
 	// to 40 ms; after 500 ms the attempt times out.
 	slowStartThreshold = 200 * time.Millisecond
-	// maxPlaceDuration bounds how long a start occupies a slot: one that gets no response for
+	// maxSlotDuration bounds how long a start occupies a slot: one that gets no response for
 	// 1.5 s must not delay those to other VMs.
-	maxPlaceDuration = 250 * time.Millisecond
+	maxSlotDuration = 250 * time.Millisecond
 	// windowAdaptInterval is how often the window is adapted: an outcome reflects what was
 	// sent one round trip earlier.
 	windowAdaptInterval = 250 * time.Millisecond
@@ -58,18 +58,18 @@
 		w.mu.Unlock()
 		return w.releaseFunc(), nil
 	}
-	turn := make(chan struct{})
-	w.waiters = append(w.waiters, turn)
+	granted := make(chan struct{})
+	w.waiters = append(w.waiters, granted)
 	w.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return w.releaseFunc(), nil
 	case <-ctx.Done():
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i, other := range w.waiters {
-		if other == turn {
+	for i, waiter := range w.waiters {
+		if waiter == granted {
 			w.waiters = append(w.waiters[:i], w.waiters[i+1:]...)
 			return nil, ctx.Err()
 		}
@@ -80,7 +80,7 @@
 	return nil, ctx.Err()
 }
 
-// releaseFunc returns a function that frees a slot. The slot is freed after maxPlaceDuration
+// releaseFunc returns a function that frees a slot. The slot is freed after maxSlotDuration
 // in any case.
 func (w *startWindow) releaseFunc() func() {
 	var once sync.Once
@@ -92,7 +92,7 @@
 			w.admitWaiters()
 		})
 	}
-	timer := time.AfterFunc(maxPlaceDuration, release)
+	timer := time.AfterFunc(maxSlotDuration, release)
 	return func() {
 		timer.Stop()
 		release()
--- a/internal/leader/window_test.go
+++ b/internal/leader/window_test.go
@@ -124,7 +124,9 @@
 	})
 }
 
-func TestCancelledWaiterLeavesNoPlaceInUse(t *testing.T) {
+// Guards against slots lost to a waiting caller that is cancelled: the freed slot must pass to
+// the next waiter, and a repeated release must free it only once.
+func TestCancelledWaiterLeavesNoSlotInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &startWindow{size: 1, maxSize: 1}
 		release, err := w.acquire(t.Context())
