--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -152,7 +152,7 @@
 	e.election = leader.NewElection(p.Store, leader.Record{Node: s.Node, Address: s.Peers}, s.Processor, log, e.leader.Lead)
 	local := &peerServer{node: s.Node, leader: e.leader, election: e.election, store: p.Store, relays: e.relays, config: e.config, known: e.known, lookUp: e.lookUpConfig}
 	e.offers = &offers{
-		offer:  relay.Offer{Node: s.Node, Address: s.Peers, Zone: s.Zone, VMs: relay.Room(s.Processor, s.LinkMbps)},
+		offer:  relay.Offer{Node: s.Node, Address: s.Peers, Zone: s.Zone, VMs: relay.Capacity(s.Processor, s.LinkMbps)},
 		leader: e.election.Leader, known: e.known, client: p.PeerClient, log: log, wake: make(chan struct{}, 1),
 	}
 	e.configPeers = &configPeers{
--- a/internal/edge/offers.go
+++ b/internal/edge/offers.go
@@ -50,7 +50,7 @@
 
 // Serve implements suture.Service.
 func (o *offers) Serve(ctx context.Context) error {
-	small := float64(max(0, relay.MostRoom-o.offer.VMs)) / relay.MostRoom
+	small := float64(max(0, relay.MaxCapacity-o.offer.VMs)) / relay.MaxCapacity
 	delay := rand.N(offerSpread) + time.Duration(small*float64(smallOffer))
 	next := time.NewTimer(delay)
 	defer next.Stop()
@@ -64,7 +64,7 @@
 		case <-next.C:
 		}
 		if o.make(ctx) {
-			next.Reset(relay.OfferEvery - offerSpread + 2*rand.N(offerSpread))
+			next.Reset(relay.OfferInterval - offerSpread + 2*rand.N(offerSpread))
 		} else {
 			next.Reset(offerAgain + rand.N(offerAgain))
 		}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -112,7 +112,7 @@
 
 // Offer implements scheduling.Scheduling.
 func (p *peerServer) Offer(_ context.Context, r *scheduling.OfferRequest) (*scheduling.OfferResponse, error) {
-	if !p.relays.Offered(relay.Offer{Node: r.GetNode(), Address: r.GetAddress(), Zone: r.GetZone(), VMs: max(int(r.GetVms()), 1)}) {
+	if !p.relays.AddOffer(relay.Offer{Node: r.GetNode(), Address: r.GetAddress(), Zone: r.GetZone(), VMs: max(int(r.GetVms()), 1)}) {
 		return nil, errNotLeading
 	}
 	p.known.add(r.GetAddress())
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -31,20 +31,20 @@
 			rep.Running[i].Usage = float64((n * (i + 3)) % 40)
 			rep.Running[i].Progress = n % 100
 		}
-		_, ok := got.restore(sent.shorten(1, &rep))
+		_, ok := got.apply(sent.diff(1, &rep))
 		require.True(b, ok)
 	}
 }
 
 func BenchmarkOrders(b *testing.B) {
-	relayed := &vms{}
-	r := newProcess(b, "ra", "a", relayed)
-	p := &Pool{Direct: &vms{}, Node: "leader", DirectVMs: DirectVMs, Processor: 1, Log: quiet()}
+	relayed := &fakeAgents{}
+	r := newTestRelay(b, "ra", "a", relayed)
+	p := &Pool{Direct: &fakeAgents{}, Node: "leader", DirectVMs: DirectVMs, Processor: 1, Log: discardLog()}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.Lead(ctx, 7)
-	p.Offered(r.offer)
-	p.SetFleet(fleetOf(65))
+	p.AddOffer(r.offer)
+	p.SetFleet(testFleet(65))
 	p.AwaitReady(ctx, time.Second)
 	var done sync.WaitGroup
 	places := make(chan struct{}, 200)
@@ -53,7 +53,7 @@
 		done.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			_, _ = p.Start(callCtx, vmOf(n%65), batch.StartOrder{Task: batch.TaskID{Job: fmt.Sprintf("%016x", n/100), Index: n % 100}, Run: int64(n), Payload: "text", Fence: 7, LeaseUntil: time.Hour})
+			_, _ = p.Start(callCtx, testVM(n%65), batch.StartOrder{Task: batch.TaskID{Job: fmt.Sprintf("%016x", n/100), Index: n % 100}, Run: int64(n), Payload: "text", Fence: 7, LeaseUntil: time.Hour})
 			<-places
 		})
 	}
@@ -75,7 +75,7 @@
 					Progress: 40 + round, Usage: float64(12 + i + round), HasUsage: true,
 				}
 			}
-			m.Results = append(m.Results, result{Call: uint64(vm), Clock: time.Hour, Report: last.shorten(vm, &rep)})
+			m.Results = append(m.Results, result{Call: uint64(vm), Clock: time.Hour, Report: last.diff(vm, &rep)})
 		}
 	}
 	var buf bytes.Buffer
--- a/internal/relay/coding.go
+++ b/internal/relay/coding.go
@@ -15,56 +15,56 @@
 // stream; where the link is wide the processor is what is short.
 
 const (
-	// narrowMbps is up to which bandwidth of its link, in megabits a second, a leader has
+	// maxNarrowLinkMbps is up to which bandwidth of its link, in megabits a second, a leader has
 	// its streams compressed.
-	narrowMbps = 5
-	// packLevel is the least at which short messages are matched with those before them.
-	packLevel = 2
-	// packing names the compression in the HTTP upgrade, in Accept-Encoding and in
+	maxNarrowLinkMbps = 5
+	// compressionLevel is the least at which short messages are matched with those before them.
+	compressionLevel = 2
+	// contentCoding names the compression in the HTTP upgrade, in Accept-Encoding and in
 	// Content-Encoding. A relay that does not know it does not confirm it, and the stream
 	// goes on without.
-	packing = "deflate"
+	contentCoding = "deflate"
 )
 
-// narrow reports whether streams are to be compressed on a link; 0 is an unknown width.
-func narrow(linkMbps float64) bool { return linkMbps > 0 && linkMbps <= narrowMbps }
+// isNarrowLink reports whether streams are to be compressed on a link; 0 is an unknown width.
+func isNarrowLink(linkMbps float64) bool { return linkMbps > 0 && linkMbps <= maxNarrowLinkMbps }
 
-// coder writes the messages of one side of a stream.
-type coder struct {
+// messageWriter writes the messages of one side of a stream.
+type messageWriter struct {
 	buffered *bufio.Writer
-	// packed is nil where messages are not compressed.
-	packed  *flate.Writer
-	encoder *gob.Encoder
+	// compressor is nil where messages are not compressed.
+	compressor *flate.Writer
+	encoder    *gob.Encoder
 }
 
-func newCoder(to io.Writer, pack bool) (*coder, error) {
-	c := &coder{buffered: bufio.NewWriterSize(to, bufferBytes)}
+func newMessageWriter(to io.Writer, pack bool) (*messageWriter, error) {
+	c := &messageWriter{buffered: bufio.NewWriterSize(to, bufferBytes)}
 	if !pack {
 		c.encoder = gob.NewEncoder(c.buffered)
 		return c, nil
 	}
 	var err error
-	if c.packed, err = flate.NewWriter(c.buffered, packLevel); err != nil {
+	if c.compressor, err = flate.NewWriter(c.buffered, compressionLevel); err != nil {
 		return nil, errors.Wrap(err, "compression of a stream")
 	}
-	c.encoder = gob.NewEncoder(c.packed)
+	c.encoder = gob.NewEncoder(c.compressor)
 	return c, nil
 }
 
 // write writes a message whole.
-func (c *coder) write(message any) error {
+func (c *messageWriter) write(message any) error {
 	if err := c.encoder.Encode(message); err != nil {
 		return err
 	}
-	if c.packed != nil {
-		if err := c.packed.Flush(); err != nil {
+	if c.compressor != nil {
+		if err := c.compressor.Flush(); err != nil {
 			return err
 		}
 	}
 	return c.buffered.Flush()
 }
 
-func newDecoder(from io.Reader, packed bool) *gob.Decoder {
+func newMessageDecoder(from io.Reader, packed bool) *gob.Decoder {
 	if packed {
 		from = flate.NewReader(from)
 	}
--- a/internal/relay/coding_test.go
+++ b/internal/relay/coding_test.go
@@ -14,8 +14,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// messages are those of a stream on which so many starts are ordered and answered.
-func messages(n int) (list []orders) {
+// startMessages are those of a stream on which so many starts are ordered and answered.
+func startMessages(n int) (list []orders) {
 	for i := range n {
 		m := orders{SentAt: time.Duration(i) * time.Millisecond}
 		for k := range 4 {
@@ -33,14 +33,14 @@
 }
 
 // Compressed messages come one by one as they were, in less than half of the bytes.
-func TestCompressedMessagesComeOneByOne(t *testing.T) {
+func TestCompressedMessagesAreFlushed(t *testing.T) {
 	sizes := map[bool]int{}
 	for _, pack := range []bool{false, true} {
 		var wire bytes.Buffer
-		c, err := newCoder(&wire, pack)
+		c, err := newMessageWriter(&wire, pack)
 		require.NoError(t, err)
-		decoder := newDecoder(&wire, pack)
-		for _, m := range messages(200) {
+		decoder := newMessageDecoder(&wire, pack)
+		for _, m := range startMessages(200) {
 			require.NoError(t, c.write(&m))
 			sizes[pack] += wire.Len()
 			var got orders
@@ -54,29 +54,29 @@
 
 // An earlier version of the process does not confirm compression: the stream goes on without,
 // and payloads are sent in full.
-func TestRelayThatDoesNotCompress(t *testing.T) {
-	agent := &vms{}
-	r := newProcess(t, "old", "a", agent)
+func TestRelayWithoutCompression(t *testing.T) {
+	agent := &fakeAgents{}
+	r := newTestRelay(t, "old", "a", agent)
 	earlier := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		req.Header.Del("Accept-Encoding")
 		r.server.ServeHTTP(w, req)
 	}))
 	defer earlier.Close()
 	r.offer.Address = strings.TrimPrefix(earlier.URL, "http://")
-	holder := newProcess(t, "holder", "a", &vms{})
-	p := narrowPool(t, r, holder)
+	holder := newTestRelay(t, "holder", "a", &fakeAgents{})
+	p := newNarrowLinkPool(t, r, holder)
 	for n := range int64(3) {
-		require.Empty(t, startAll(t, p, fmt.Sprint("job", n), "text", n+1))
+		require.Empty(t, startOnAllVMs(t, p, fmt.Sprint("job", n), "text", n+1))
 	}
-	require.NotEmpty(t, agent.payloads())
-	require.Zero(t, holder.asked.Load())
-	for _, had := range agent.payloads() {
+	require.NotEmpty(t, agent.startPayloads())
+	require.Zero(t, holder.payloadRequests.Load())
+	for _, had := range agent.startPayloads() {
 		require.Equal(t, "text", had)
 	}
 }
 
-func TestNarrowLinks(t *testing.T) {
-	require.True(t, narrow(2))
-	require.False(t, narrow(20))
-	require.False(t, narrow(0), "not told")
+func TestIsNarrowLink(t *testing.T) {
+	require.True(t, isNarrowLink(2))
+	require.False(t, isNarrowLink(20))
+	require.False(t, isNarrowLink(0), "not told")
 }
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -17,14 +17,14 @@
 // lastListing is the list told last, by ID.
 type lastListing map[string]batch.Instance
 
-// shorten returns a list as the difference from the last one, and keeps it.
-func (l lastListing) shorten(list []batch.Instance) *listing {
+// diff returns a list as the difference from the last one, and keeps it.
+func (l lastListing) diff(list []batch.Instance) *listing {
 	short := &listing{}
 	now := make(map[string]bool, len(list))
 	for i := range list {
 		id := list[i].ID
 		now[id] = true
-		if before, known := l[id]; !known || !same(&before, &list[i]) {
+		if before, known := l[id]; !known || !equalInstances(&before, &list[i]) {
 			short.Changed = append(short.Changed, list[i])
 			l[id] = list[i]
 		}
@@ -38,13 +38,13 @@
 	return short
 }
 
-func same(a, b *batch.Instance) bool {
+func equalInstances(a, b *batch.Instance) bool {
 	return a.Born == b.Born && a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Draining == b.Draining &&
 		a.Remaining == b.Remaining && a.Stale == b.Stale && a.Capacity == b.Capacity && slices.Equal(a.Labels, b.Labels)
 }
 
-// restore returns the whole list, in the order of the IDs, and keeps it.
-func (l lastListing) restore(short *listing) []batch.Instance {
+// apply returns the whole list, in the order of the IDs, and keeps it.
+func (l lastListing) apply(short *listing) []batch.Instance {
 	for i := range short.Changed {
 		l[short.Changed[i].ID] = short.Changed[i]
 	}
--- a/internal/relay/pacer.go
+++ b/internal/relay/pacer.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// pacer spaces the messages of one side of a stream: what comes within a pause is one
+// messagePacer spaces the messages of one side of a stream: what comes within a pause is one
 // message. A message costs either side some 25 us of processor time, whatever is in it.
-type pacer struct {
-	every time.Duration
-	beat  *time.Ticker
-	last  time.Time
+type messagePacer struct {
+	interval   time.Duration
+	heartbeat  *time.Ticker
+	lastSentAt time.Time
 }
 
-func newPacer(every time.Duration) *pacer {
-	return &pacer{every: every, beat: time.NewTicker(beatEvery)}
+func newMessagePacer(every time.Duration) *messagePacer {
+	return &messagePacer{interval: every, heartbeat: time.NewTicker(heartbeatInterval)}
 }
 
-func (p *pacer) stop() { p.beat.Stop() }
+func (p *messagePacer) stop() { p.heartbeat.Stop() }
 
 // wait returns true when a message is due: something is to be said and the pause since
 // the last message is over, or nothing was said for long. It returns false when ctx ends.
-func (p *pacer) wait(ctx context.Context, kick <-chan struct{}) bool {
+func (p *messagePacer) wait(ctx context.Context, kick <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-p.beat.C:
+	case <-p.heartbeat.C:
 	case <-kick:
 	}
-	if rest := p.every - time.Since(p.last); rest > 0 {
+	if rest := p.interval - time.Since(p.lastSentAt); rest > 0 {
 		timer := time.NewTimer(rest)
 		defer timer.Stop()
 		select {
@@ -37,6 +37,6 @@
 		case <-timer.C:
 		}
 	}
-	p.last = time.Now()
+	p.lastSentAt = time.Now()
 	return true
 }
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -8,70 +8,70 @@
 	"sync"
 )
 
-// packer compresses payloads, each once for all relays.
-type packer struct {
+// payloadCache compresses payloads, each once for all relays.
+type payloadCache struct {
 	// mu is taken before that of a stream.
-	mu     sync.Mutex
-	packed map[string][]byte
+	mu         sync.Mutex
+	compressed map[string][]byte
 	// holders are the relays from which others fetch a job's payload.
 	holders map[string]*stream
 }
 
-// mostPacked bounds the payloads that are kept compressed: those of the jobs of ten
+// maxCachedPayloads bounds the payloads that are kept compressed: those of the jobs of ten
 // seconds or so. They are compressed anew when all were dropped.
-const mostPacked = 512
+const maxCachedPayloads = 512
 
-// pack returns a job's payload, compressed.
-func (p *packer) pack(job, text string) ([]byte, error) {
+// compress returns a job's payload, compressed.
+func (p *payloadCache) compress(job, text string) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if packed, ok := p.packed[job]; ok {
+	if packed, ok := p.compressed[job]; ok {
 		return packed, nil
 	}
-	packed, err := pack(text)
+	packed, err := compressPayload(text)
 	if err != nil {
 		return nil, err
 	}
-	if p.packed == nil || len(p.packed) >= mostPacked {
-		p.packed = map[string][]byte{}
+	if p.compressed == nil || len(p.compressed) >= maxCachedPayloads {
+		p.compressed = map[string][]byte{}
 	}
-	p.packed[job] = packed
+	p.compressed[job] = packed
 	return packed, nil
 }
 
-// holder returns the address of the relay from which s is to fetch the job's payload, or ""
+// holderFor returns the address of the relay from which s is to fetch the job's payload, or ""
 // where the leader sends it: s is the first that needs it, or the one before can't give it.
-func (p *packer) holder(job string, s *stream) string {
+func (p *payloadCache) holderFor(job string, s *stream) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := p.holders[job]
 	switch {
 	case held == s:
 		return ""
-	case held != nil && held.gives():
+	case held != nil && held.canServePayloads():
 		return held.offer.Address
-	case !s.gives():
+	case !s.canServePayloads():
 		return ""
 	}
-	if p.holders == nil || len(p.holders) >= mostPacked {
+	if p.holders == nil || len(p.holders) >= maxCachedPayloads {
 		p.holders = map[string]*stream{}
 	}
 	p.holders[job] = s
 	return ""
 }
 
-// withheld notes that a relay could not fetch a payload from its holder: for a while that
+// fetchFailed notes that a relay could not fetch a payload from its holder: for a while that
 // one holds none.
-func (p *packer) withheld(job string, from string) {
+func (p *payloadCache) fetchFailed(job string, from string) {
 	p.mu.Lock()
 	held := p.holders[job]
 	p.mu.Unlock()
 	if held != nil && held.offer.Address == from {
-		held.distrust()
+		held.stopServingPayloads()
 	}
 }
 
-func pack(text string) ([]byte, error) {
+func compressPayload(text string) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.HuffmanOnly)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns the text of a payload.
-func unpack(packed []byte) (string, error) {
+// decompressPayload returns the text of a payload.
+func decompressPayload(packed []byte) (string, error) {
 	var text strings.Builder
 	r := flate.NewReader(bytes.NewReader(packed))
 	if _, err := io.Copy(&text, r); err != nil {
--- a/internal/relay/payloads.go
+++ b/internal/relay/payloads.go
@@ -22,36 +22,36 @@
 	PayloadPath = "/relay/payload"
 	// jobParameter names the job whose payload is asked for.
 	jobParameter = "job"
-	// fetchWithin bounds the wait for a payload from another relay: a start is given up after
-	// half a second. The holder waits for it to come from the leader for holderWaits.
-	fetchWithin = 400 * time.Millisecond
-	holderWaits = 300 * time.Millisecond
-	// mostPayloadBytes bounds a packed payload that is read.
-	mostPayloadBytes = 4 << 20
+	// fetchTimeout bounds the wait for a payload from another relay: a start is given up after
+	// half a second. The holder waits for it to come from the leader for holderTimeout.
+	fetchTimeout  = 400 * time.Millisecond
+	holderTimeout = 300 * time.Millisecond
+	// maxPayloadBytes bounds a packed payload that is read.
+	maxPayloadBytes = 4 << 20
 )
 
-// keptPayloads are the payloads that a relay has, for this leader and the next.
-type keptPayloads struct {
+// payloadStore are the payloads that a relay has, for this leader and the next.
+type payloadStore struct {
 	mu    sync.Mutex
 	texts map[string]string
-	// awaited are closed once the fetch of a payload from another relay is over.
-	awaited map[string]chan struct{}
+	// fetches are closed once the fetch of a payload from another relay is over.
+	fetches map[string]chan struct{}
 	// changed is closed when a payload has come.
 	changed chan struct{}
 }
 
-// greeting names what is kept.
-func (k *keptPayloads) greeting() []kept {
+// hashes names what is kept.
+func (k *payloadStore) hashes() []kept {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := make([]kept, 0, len(k.texts))
 	for job, text := range k.texts {
-		list = append(list, kept{Job: job, Hash: hashOf(text)})
+		list = append(list, kept{Job: job, Hash: hashPayload(text)})
 	}
 	return list
 }
 
-func (k *keptPayloads) put(job, text string) {
+func (k *payloadStore) put(job, text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.texts == nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (k *keptPayloads) drop(jobs []string) {
+func (k *payloadStore) drop(jobs []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, job := range jobs {
@@ -74,15 +74,15 @@
 
 // get returns a job's payload, or, while it is fetched from another relay, what is closed
 // when that is over.
-func (k *keptPayloads) get(job string) (text string, known bool, awaited <-chan struct{}) {
+func (k *payloadStore) get(job string) (text string, known bool, awaited <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	text, known = k.texts[job]
-	return text, known, k.awaited[job]
+	return text, known, k.fetches[job]
 }
 
 // await returns a job's payload once it has come; ok is false if it does not before ctx ends.
-func (k *keptPayloads) await(ctx context.Context, job string) (text string, ok bool) {
+func (k *payloadStore) await(ctx context.Context, job string) (text string, ok bool) {
 	for {
 		k.mu.Lock()
 		text, ok = k.texts[job]
@@ -102,39 +102,39 @@
 	}
 }
 
-// expect notes that a payload is being fetched; over is to be called when that has ended.
-func (k *keptPayloads) expect(job string) (over func()) {
+// beginFetch notes that a payload is being fetched; over is to be called when that has ended.
+func (k *payloadStore) beginFetch(job string) (over func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.awaited == nil {
-		k.awaited = map[string]chan struct{}{}
+	if k.fetches == nil {
+		k.fetches = map[string]chan struct{}{}
 	}
 	// One that is here is of another job that had the ID once.
 	delete(k.texts, job)
 	done := make(chan struct{})
-	k.awaited[job] = done
+	k.fetches[job] = done
 	return func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		if k.awaited[job] == done {
-			delete(k.awaited, job)
+		if k.fetches[job] == done {
+			delete(k.fetches, job)
 		}
 		close(done)
 	}
 }
 
-// keep notes the payloads that a message tells, and fetches those that another relay holds.
-func (s *Server) keep(ctx context.Context, list []payload) {
+// storePayloads notes the payloads that a message tells, and fetches those that another relay holds.
+func (s *Server) storePayloads(ctx context.Context, list []payload) {
 	for _, p := range list {
 		if p.From != "" {
-			over := s.payloads.expect(p.Job)
+			over := s.payloads.beginFetch(p.Job)
 			go func() {
 				defer over()
-				s.fetch(ctx, p)
+				s.fetchPayload(ctx, p)
 			}()
 			continue
 		}
-		text, err := unpack(p.Packed)
+		text, err := decompressPayload(p.Packed)
 		if err != nil {
 			// Starts of the job are refused: its payload is not known.
 			s.Log.Warn("payload_unreadable", err, eventlog.Fields{"job": p.Job})
@@ -144,16 +144,16 @@
 	}
 }
 
-// errOtherPayload: the holder has a payload of that ID, and it is not the job's.
-var errOtherPayload = errors.New("the holder has another payload under that ID")
+// errPayloadMismatch: the holder has a payload of that ID, and it is not the job's.
+var errPayloadMismatch = errors.New("the holder has another payload under that ID")
 
-// fetch fetches a payload from its holder.
-func (s *Server) fetch(ctx context.Context, p payload) {
-	ctx, cancel := context.WithTimeout(ctx, fetchWithin)
+// fetchPayload fetches a payload from its holder.
+func (s *Server) fetchPayload(ctx context.Context, p payload) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	text, err := s.ask(ctx, p)
-	if err == nil && hashOf(text) != p.Hash {
-		err = errOtherPayload
+	text, err := s.requestPayload(ctx, p)
+	if err == nil && hashPayload(text) != p.Hash {
+		err = errPayloadMismatch
 	}
 	if err != nil {
 		s.Log.Warn("payload_not_had", err, eventlog.Fields{"job": p.Job, "from": p.From})
@@ -162,7 +162,7 @@
 	s.payloads.put(p.Job, text)
 }
 
-func (s *Server) ask(ctx context.Context, p payload) (string, error) {
+func (s *Server) requestPayload(ctx context.Context, p payload) (string, error) {
 	query := url.Values{jobParameter: {p.Job}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.From+PayloadPath+"?"+query.Encode(), http.NoBody)
 	if err != nil {
@@ -173,19 +173,19 @@
 		return "", err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	packed, err := io.ReadAll(io.LimitReader(resp.Body, mostPayloadBytes))
+	packed, err := io.ReadAll(io.LimitReader(resp.Body, maxPayloadBytes))
 	if err != nil {
 		return "", err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return "", errors.Newf("the holder answers %s", resp.Status)
 	}
-	return unpack(packed)
+	return decompressPayload(packed)
 }
 
 // ServePayload serves a payload that this process keeps, or is about to get, packed.
 func (s *Server) ServePayload(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), holderWaits)
+	ctx, cancel := context.WithTimeout(r.Context(), holderTimeout)
 	defer cancel()
 	job := r.URL.Query().Get(jobParameter)
 	text, ok := s.payloads.await(ctx, job)
@@ -193,7 +193,7 @@
 		http.Error(w, "no such payload", http.StatusNotFound)
 		return
 	}
-	packed, err := pack(text)
+	packed, err := compressPayload(text)
 	if err != nil {
 		s.Log.Warn("payload_not_served", err, eventlog.Fields{"job": job})
 		http.Error(w, "the payload can't be packed", http.StatusInternalServerError)
--- a/internal/relay/payloads_test.go
+++ b/internal/relay/payloads_test.go
@@ -13,28 +13,28 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// narrowPool is the pool of a leader on a narrow link with relays in one zone, each of
+// newNarrowLinkPool is the pool of a leader on a narrow link with relays in one zone, each of
 // which serves some VMs.
-func narrowPool(t *testing.T, relays ...*process) *Pool {
-	p := &Pool{Direct: &vms{}, Node: "leader", DirectVMs: 1, Processor: 1, LinkMbps: 2, Log: quiet()}
+func newNarrowLinkPool(t *testing.T, relays ...*testRelay) *Pool {
+	p := &Pool{Direct: &fakeAgents{}, Node: "leader", DirectVMs: 1, Processor: 1, LinkMbps: 2, Log: discardLog()}
 	p.Lead(t.Context(), 7)
 	for _, r := range relays {
 		r.offer.VMs = 20
-		require.True(t, p.Offered(r.offer))
+		require.True(t, p.AddOffer(r.offer))
 	}
-	p.SetFleet(fleetOf(40))
+	p.SetFleet(testFleet(40))
 	p.AwaitReady(t.Context(), 5*time.Second)
 	require.Eventually(t, func() bool { return len(p.Serving()) == len(relays) }, 5*time.Second, time.Millisecond)
 	return p
 }
 
-// startAll starts a task of a job on each VM and returns the errors.
-func startAll(t *testing.T, p *Pool, job, text string, run int64) (failed []error) {
+// startOnAllVMs starts a task of a job on each VM and returns the errors.
+func startOnAllVMs(t *testing.T, p *Pool, job, text string, run int64) (failed []error) {
 	var mu sync.Mutex
 	var starts sync.WaitGroup
 	for i := range 40 {
 		starts.Go(func() {
-			_, err := p.Start(soon(t), vmOf(i), batch.StartOrder{Task: batch.TaskID{Job: job, Index: i}, Run: run, Payload: text, Fence: 7, LeaseUntil: time.Hour})
+			_, err := p.Start(shortContext(t), testVM(i), batch.StartOrder{Task: batch.TaskID{Job: job, Index: i}, Run: run, Payload: text, Fence: 7, LeaseUntil: time.Hour})
 			if err != nil {
 				mu.Lock()
 				failed = append(failed, err)
@@ -47,48 +47,48 @@
 }
 
 // A leader on a narrow link writes a payload once; each VM is started with the whole of it.
-func TestPayloadsAreHadFromOtherRelays(t *testing.T) {
-	agents := [3]*vms{{}, {}, {}}
-	var relays []*process
+func TestPayloadsAreFetchedFromOtherRelays(t *testing.T) {
+	agents := [3]*fakeAgents{{}, {}, {}}
+	var relays []*testRelay
 	for i, a := range agents {
-		relays = append(relays, newProcess(t, fmt.Sprint("r", i), "a", a))
+		relays = append(relays, newTestRelay(t, fmt.Sprint("r", i), "a", a))
 	}
-	p := narrowPool(t, relays...)
+	p := newNarrowLinkPool(t, relays...)
 	text := strings.Repeat("payload ", 300)
-	require.Empty(t, startAll(t, p, "job", text, 1))
+	require.Empty(t, startOnAllVMs(t, p, "job", text, 1))
 	asked := int64(0)
 	for i, r := range relays {
-		asked += r.asked.Load()
-		require.NotEmpty(t, agents[i].payloads(), "each relay serves some VMs")
-		for _, had := range agents[i].payloads() {
+		asked += r.payloadRequests.Load()
+		require.NotEmpty(t, agents[i].startPayloads(), "each relay serves some VMs")
+		for _, had := range agents[i].startPayloads() {
 			require.Equal(t, text, had)
 		}
 	}
 	require.EqualValues(t, 2, asked, "once by each relay but the holder")
-	require.Empty(t, startAll(t, p, "job", text, 2))
-	require.EqualValues(t, 2, relays[0].asked.Load()+relays[1].asked.Load()+relays[2].asked.Load())
+	require.Empty(t, startOnAllVMs(t, p, "job", text, 2))
+	require.EqualValues(t, 2, relays[0].payloadRequests.Load()+relays[1].payloadRequests.Load()+relays[2].payloadRequests.Load())
 }
 
 // A relay that can't have a payload from its holder refuses the starts for certain, and gets
 // the payload from the leader with the next.
-func TestPayloadThatItsHolderDoesNotGiveComesFromTheLeader(t *testing.T) {
-	agents := [3]*vms{{}, {}, {}}
-	var relays []*process
+func TestLeaderSendsPayloadAfterFailedFetch(t *testing.T) {
+	agents := [3]*fakeAgents{{}, {}, {}}
+	var relays []*testRelay
 	for i, a := range agents {
-		relays = append(relays, newProcess(t, fmt.Sprint("r", i), "a", a))
-		relays[i].keepsToItself.Store(true)
+		relays = append(relays, newTestRelay(t, fmt.Sprint("r", i), "a", a))
+		relays[i].rejectsPayloadRequests.Store(true)
 	}
-	p := narrowPool(t, relays...)
-	failed := startAll(t, p, "job", "text", 1)
+	p := newNarrowLinkPool(t, relays...)
+	failed := startOnAllVMs(t, p, "job", "text", 1)
 	require.NotEmpty(t, failed)
 	for _, err := range failed {
 		var refusal *batch.RefusalError
 		require.True(t, errors.As(err, &refusal), "%v", err)
 		require.Equal(t, batch.RefusedUnreached, refusal.Reason)
 	}
-	require.Empty(t, startAll(t, p, "job", "text", 2))
+	require.Empty(t, startOnAllVMs(t, p, "job", "text", 2))
 	for _, a := range agents {
-		for _, had := range a.payloads() {
+		for _, had := range a.startPayloads() {
 			require.Equal(t, "text", had)
 		}
 	}
@@ -96,16 +96,16 @@
 
 // A relay that the leader reaches and others don't costs a refused start once, not with each
 // job.
-func TestRelayThatDoesNotGiveHoldsNoFurtherPayloads(t *testing.T) {
-	var relays []*process
+func TestRelayWithFailedFetchIsNoLongerHolder(t *testing.T) {
+	var relays []*testRelay
 	for i := range 3 {
-		relays = append(relays, newProcess(t, fmt.Sprint("r", i), "a", &vms{}))
-		relays[i].keepsToItself.Store(true)
+		relays = append(relays, newTestRelay(t, fmt.Sprint("r", i), "a", &fakeAgents{}))
+		relays[i].rejectsPayloadRequests.Store(true)
 	}
-	p := narrowPool(t, relays...)
+	p := newNarrowLinkPool(t, relays...)
 	refused := 0
 	for n := range 8 {
-		if len(startAll(t, p, fmt.Sprint("job", n), "text", 1)) > 0 {
+		if len(startOnAllVMs(t, p, fmt.Sprint("job", n), "text", 1)) > 0 {
 			refused++
 		}
 	}
@@ -114,13 +114,13 @@
 }
 
 // An ID may have been another job's once: its payload is not taken for the job's.
-func TestPayloadOfAnotherJobOfThatIDIsNotTaken(t *testing.T) {
-	holder := newProcess(t, "holder", "a", &vms{})
+func TestPayloadOfReusedJobIDIsRejected(t *testing.T) {
+	holder := newTestRelay(t, "holder", "a", &fakeAgents{})
 	holder.server.payloads.put("job", "another text")
-	agent := &vms{}
-	asker := newProcess(t, "asker", "a", agent)
+	agent := &fakeAgents{}
+	asker := newTestRelay(t, "asker", "a", agent)
 	asker.server.payloads.put("job", "another text")
-	asker.server.keep(t.Context(), []payload{{Job: "job", From: holder.offer.Address, Hash: hashOf("text")}})
+	asker.server.storePayloads(t.Context(), []payload{{Job: "job", From: holder.offer.Address, Hash: hashPayload("text")}})
 	_, known, awaited := asker.server.payloads.get("job")
 	require.False(t, known)
 	if awaited != nil {
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -26,21 +26,21 @@
 // size takes some 7 % of a core of it.
 const DirectVMs = 64
 
-// OfferEvery is how often a process repeats its offer.
-const OfferEvery = 8 * time.Second
+// OfferInterval is how often a process repeats its offer.
+const OfferInterval = 8 * time.Second
 
-// readyPoll is how often a new leader looks whether enough relays are there.
-const readyPoll = 10 * time.Millisecond
+// readyPollInterval is how often a new leader looks whether enough relays are there.
+const readyPollInterval = 10 * time.Millisecond
 
-// MostRoom bounds the VMs of one relay.
-const MostRoom = 64
+// MaxCapacity bounds the VMs of one relay.
+const MaxCapacity = 64
 
-// Room returns how many VMs a process can serve with half of its processor, a share of
+// Capacity returns how many VMs a process can serve with half of its processor, a share of
 // a core, and 0.7 of its link: a VM takes some 1 ms of a core a second (2.5 starts and
 // a hold), and up to 20 KB/s (5 starts with payloads of 2.4 KB, holds, and what the leader
 // is told). More relays than that cost the leader: it sends each a message every few
 // milliseconds.
-func Room(processor, linkMbps float64) int {
+func Capacity(processor, linkMbps float64) int {
 	const (
 		perVM     = 0.001
 		bitsPerVM = 8 * 20000
@@ -53,7 +53,7 @@
 	if linkMbps > 0 {
 		room = min(room, linkShare*linkMbps*megabit/bitsPerVM)
 	}
-	return int(min(max(room, least), MostRoom))
+	return int(min(max(room, least), MaxCapacity))
 }
 
 // Pool gives a leader's orders to instances, through relays where the fleet is large.
@@ -78,11 +78,11 @@
 	ObserveDelay func(time.Duration)
 
 	mu sync.Mutex
-	// leading is the context of the tenure, nil while this process does not lead.
-	leading context.Context
-	fence   int64
-	offers  map[string]*offered
-	streams map[string]*stream
+	// tenureCtx is the context of the tenure, nil while this process does not lead.
+	tenureCtx context.Context
+	fence     int64
+	offers    map[string]*receivedOffer
+	streams   map[string]*stream
 	// dialing are the processes to which a stream is being opened.
 	dialing map[string]int
 	// fleet are the VMs that are held, by ID; routes says by which relay.
@@ -91,16 +91,16 @@
 	// misses counts the holds in a row that a VM left without an answer.
 	misses map[string]int
 	loads  map[*stream]int
-	// lister is the relay that read the list of VMs last.
-	lister *stream
+	// listReader is the relay that read the list of VMs last.
+	listReader *stream
 
-	payloads packer
+	payloadCache payloadCache
 }
 
-// offered is an offer and when it was made.
-type offered struct {
+// receivedOffer is an offer and when it was made.
+type receivedOffer struct {
 	Offer
-	at time.Duration
+	receivedAt time.Duration
 	// notBefore is when it may be taken up, after a failure.
 	notBefore time.Duration
 }
@@ -109,36 +109,36 @@
 func (p *Pool) Lead(ctx context.Context, fence int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leading, p.fence = ctx, fence
-	p.offers, p.streams, p.dialing = map[string]*offered{}, map[string]*stream{}, map[string]int{}
+	p.tenureCtx, p.fence = ctx, fence
+	p.offers, p.streams, p.dialing = map[string]*receivedOffer{}, map[string]*stream{}, map[string]int{}
 	p.fleet, p.routes, p.loads = map[string]string{}, map[string]*stream{}, map[*stream]int{}
-	p.misses, p.lister = map[string]int{}, nil
+	p.misses, p.listReader = map[string]int{}, nil
 }
 
-// Offered notes an offer. leading is false when this process does not lead.
-func (p *Pool) Offered(o Offer) (leading bool) {
+// AddOffer notes an offer. leading is false when this process does not lead.
+func (p *Pool) AddOffer(o Offer) (leading bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.leads() {
+	if !p.isLeading() {
 		return false
 	}
 	known := p.offers[o.Node]
 	if known == nil {
-		known = &offered{}
+		known = &receivedOffer{}
 		p.offers[o.Node] = known
 	}
-	known.Offer, known.at = o, steady.Now()
-	p.recruit()
+	known.Offer, known.receivedAt = o, steady.Now()
+	p.openStreams()
 	return true
 }
 
-func (p *Pool) leads() bool { return p.leading != nil && p.leading.Err() == nil }
+func (p *Pool) isLeading() bool { return p.tenureCtx != nil && p.tenureCtx.Err() == nil }
 
 // SetFleet tells which VMs are held, by ID with their availability zone.
 func (p *Pool) SetFleet(fleet map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.leads() {
+	if !p.isLeading() {
 		return
 	}
 	p.fleet = fleet
@@ -152,7 +152,7 @@
 			delete(p.misses, id)
 		}
 	}
-	p.recruit()
+	p.openStreams()
 	p.rebalance()
 }
 
@@ -160,15 +160,15 @@
 // held from here first and from there a moment later.
 func (p *Pool) AwaitReady(ctx context.Context, d time.Duration) {
 	limit := time.Now().Add(d)
-	for ctx.Err() == nil && time.Now().Before(limit) && !p.ready() {
-		pause.For(ctx, readyPoll)
+	for ctx.Err() == nil && time.Now().Before(limit) && !p.isReady() {
+		pause.For(ctx, readyPollInterval)
 	}
 }
 
-func (p *Pool) ready() bool {
+func (p *Pool) isReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.leads() || len(p.fleet) <= p.DirectVMs {
+	if !p.isLeading() || len(p.fleet) <= p.DirectVMs {
 		return true
 	}
 	room := 0
--- a/internal/relay/recruit.go
+++ b/internal/relay/recruit.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// spareRoom is how much more room the relays have than there are VMs: one of
+	// capacityFactor is how much more room the relays have than there are VMs: one of
 	// them may be lost, and what it served finds a place at once.
-	spareRoom = 1.3
-	// redialAfter is the pause before a relay that was lost is tried again.
-	redialAfter = 2 * time.Second
-	// offerLasts is how long an offer is believed.
-	offerLasts = 3 * OfferEvery
-	// messageCost is the leader's processor time for a message to, and one from, a
+	capacityFactor = 1.3
+	// redialDelay is the pause before a relay that was lost is tried again.
+	redialDelay = 2 * time.Second
+	// offerLifetime is how long an offer is believed.
+	offerLifetime = 3 * OfferInterval
+	// messageCPUCost is the leader's processor time for a message to, and one from, a
 	// relay, besides what is in them.
-	messageCost = 50 * time.Microsecond
-	// messageShare is the share of the leader's processor that messages may take: it
+	messageCPUCost = 50 * time.Microsecond
+	// messageCPUShare is the share of the leader's processor that messages may take: it
 	// gives the pause between two messages of a stream. At 0.8 of a core and 22 relays
 	// that is 17 ms.
-	messageShare = 0.08
-	// leastPause bounds that pause from below: batches of a few orders each. mostPause
+	messageCPUShare = 0.08
+	// minMessageInterval bounds that pause from below: batches of a few orders each. maxMessageInterval
 	// bounds what it adds to a start: short tasks are to begin within 0.3 s.
-	leastPause = 4 * time.Millisecond
-	mostPause  = 50 * time.Millisecond
+	minMessageInterval = 4 * time.Millisecond
+	maxMessageInterval = 50 * time.Millisecond
 )
 
-// wanted is how much room the relays have to have together.
-func (p *Pool) wanted() int {
+// wantedCapacity is how much room the relays have to have together.
+func (p *Pool) wantedCapacity() int {
 	if len(p.fleet) <= p.DirectVMs {
 		return 0
 	}
-	return int(spareRoom * float64(len(p.fleet)))
+	return int(capacityFactor * float64(len(p.fleet)))
 }
 
-// recruit opens streams until the relays have the room that is wanted. p.mu is held.
-func (p *Pool) recruit() {
+// openStreams opens streams until the relays have the room that is wanted. p.mu is held.
+func (p *Pool) openStreams() {
 	room := 0
 	zoneRoom := map[string]int{}
 	for _, s := range p.streams {
@@ -52,7 +52,7 @@
 		room += vms
 		zoneRoom[p.offers[node].Zone] += vms
 	}
-	wanted := p.wanted()
+	wanted := p.wantedCapacity()
 	for room < wanted {
 		o := p.bestOffer(zoneRoom)
 		if o == nil {
@@ -61,23 +61,23 @@
 		room += o.VMs
 		zoneRoom[o.Zone] += o.VMs
 		p.dialing[o.Node] = o.VMs
-		go p.open(p.leading, o.Offer, p.fence)
+		go p.serveStream(p.tenureCtx, o.Offer, p.fence)
 	}
 }
 
 // bestOffer is that of the process with the most room, in the availability zone whose
 // VMs have the least of it; nil for none.
-func (p *Pool) bestOffer(zoneRoom map[string]int) *offered {
+func (p *Pool) bestOffer(zoneRoom map[string]int) *receivedOffer {
 	now := steady.Now()
 	perZone := map[string]int{}
 	for _, zone := range p.fleet {
 		perZone[zone]++
 	}
-	var best *offered
+	var best *receivedOffer
 	bestRoom := 0
 	for _, node := range sortedKeys(p.offers) {
 		o := p.offers[node]
-		if _, dialing := p.dialing[node]; dialing || p.streams[node] != nil || node == p.Node || now < o.notBefore || now-o.at > offerLasts {
+		if _, dialing := p.dialing[node]; dialing || p.streams[node] != nil || node == p.Node || now < o.notBefore || now-o.receivedAt > offerLifetime {
 			continue
 		}
 		room := o.VMs
@@ -100,20 +100,20 @@
 	return keys
 }
 
-// pauseOf is the pause between two messages of one stream of so many.
-func (p *Pool) pauseOf(streams int) time.Duration {
-	every := time.Duration(float64(streams) * float64(messageCost) / (messageShare * max(p.Processor, 0.01)))
-	return min(max(every, leastPause), mostPause)
+// messageInterval is the pause between two messages of one stream of so many.
+func (p *Pool) messageInterval(streams int) time.Duration {
+	every := time.Duration(float64(streams) * float64(messageCPUCost) / (messageCPUShare * max(p.Processor, 0.01)))
+	return min(max(every, minMessageInterval), maxMessageInterval)
 }
 
-// open opens a stream and serves it until it breaks.
-func (p *Pool) open(ctx context.Context, o Offer, fence int64) {
+// serveStream opens a stream and serves it until it breaks.
+func (p *Pool) serveStream(ctx context.Context, o Offer, fence int64) {
 	p.mu.Lock()
-	every := p.pauseOf(len(p.streams) + len(p.dialing))
+	every := p.messageInterval(len(p.streams) + len(p.dialing))
 	p.mu.Unlock()
-	s, err := dial(ctx, o, hello{Node: p.Node, Fence: fence, Every: every}, narrow(p.LinkMbps), &p.payloads)
+	s, err := dial(ctx, o, hello{Node: p.Node, Fence: fence, Every: every}, isNarrowLink(p.LinkMbps), &p.payloadCache)
 	p.mu.Lock()
-	if p.leading != ctx {
+	if p.tenureCtx != ctx {
 		// Another tenure has begun.
 		p.mu.Unlock()
 		if s != nil {
@@ -123,7 +123,7 @@
 	}
 	delete(p.dialing, o.Node)
 	if err != nil {
-		p.failed(o.Node)
+		p.delayRedial(o.Node)
 		p.mu.Unlock()
 		if ctx.Err() == nil {
 			p.Log.Warn("relay_not_reached", err, eventlog.Fields{"node": o.Node, "address": o.Address})
@@ -133,23 +133,23 @@
 	s.observeDelay = p.ObserveDelay
 	p.streams[o.Node] = s
 	p.mu.Unlock()
-	p.Log.Event("relay_joined", eventlog.Fields{"node": o.Node, "zone": o.Zone, "vms": o.VMs, "every_ms": every.Milliseconds(), "packed": s.coder.packed != nil})
+	p.Log.Event("relay_joined", eventlog.Fields{"node": o.Node, "zone": o.Zone, "vms": o.VMs, "every_ms": every.Milliseconds(), "packed": s.writer.compressor != nil})
 	err = s.serve(ctx)
-	p.lost(ctx, s, err)
+	p.removeStream(ctx, s, err)
 }
 
-// failed notes that a process could not be used. p.mu is held.
-func (p *Pool) failed(node string) {
+// delayRedial notes that a process could not be used. p.mu is held.
+func (p *Pool) delayRedial(node string) {
 	if o := p.offers[node]; o != nil {
-		o.notBefore = steady.Now() + redialAfter
+		o.notBefore = steady.Now() + redialDelay
 	}
 }
 
-// lost gives what a broken stream has served to others.
-func (p *Pool) lost(ctx context.Context, s *stream, cause error) {
+// removeStream gives what a broken stream has served to others.
+func (p *Pool) removeStream(ctx context.Context, s *stream, cause error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leading != ctx || ctx.Err() != nil {
+	if p.tenureCtx != ctx || ctx.Err() != nil {
 		return
 	}
 	vms := p.loads[s]
@@ -160,7 +160,7 @@
 	}
 	delete(p.loads, s)
 	delete(p.streams, s.offer.Node)
-	p.failed(s.offer.Node)
+	p.delayRedial(s.offer.Node)
 	p.Log.Event("relay_lost", eventlog.Fields{"node": s.offer.Node, "vms": vms, "leaving": s.leaving, "error": cause.Error()})
-	p.recruit()
+	p.openStreams()
 }
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -30,8 +30,8 @@
 // lastReports are the rows told last of each VM, by its number.
 type lastReports map[int][]batch.RunStatus
 
-// shorten returns a report as the difference from the last one, and keeps it.
-func (l lastReports) shorten(vm int, rep *batch.Report) *report {
+// diff returns a report as the difference from the last one, and keeps it.
+func (l lastReports) diff(vm int, rep *batch.Report) *report {
 	before := make(map[int64]int, len(l[vm]))
 	for i := range l[vm] {
 		before[l[vm][i].Run] = i + 1
@@ -58,9 +58,9 @@
 	return short
 }
 
-// restore returns the whole report, and keeps it. ok is false when it goes back to a
+// apply returns the whole report, and keeps it. ok is false when it goes back to a
 // row that this side does not have.
-func (l lastReports) restore(short *report) (rep batch.Report, ok bool) {
+func (l lastReports) apply(short *report) (rep batch.Report, ok bool) {
 	before := l[short.VM]
 	rep = batch.Report{Born: short.Born, Ended: short.Ended, MoreEnded: short.More, Running: make([]batch.RunStatus, len(short.Running))}
 	for i := range short.Running {
--- a/internal/relay/routes.go
+++ b/internal/relay/routes.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// crowdedRelay is the use of a relay's room from which a VM is not given to it.
-	crowdedRelay = 2.0
-	// foreignZone is what a relay in another availability zone counts as fuller: bytes
+	// maxRelayUse is the use of a relay's room from which a VM is not given to it.
+	maxRelayUse = 2.0
+	// otherZonePenalty is what a relay in another availability zone counts as fuller: bytes
 	// between zones cost more, and a zone that is cut off keeps its own relays.
-	foreignZone = 0.4
+	otherZonePenalty = 0.4
 )
 
 // unroute takes a VM off its relay. p.mu is held.
@@ -40,7 +40,7 @@
 	if _, held := p.fleet[vm.ID]; !held {
 		return nil
 	}
-	best := p.roomiest(vm.Zone, nil)
+	best := p.leastUsed(vm.Zone, nil)
 	p.assign(vm.ID, best)
 	return best
 }
@@ -53,13 +53,13 @@
 	}
 }
 
-// mostDetours bounds the relays that are tried in turn for a VM that does not answer:
+// maxReroutes bounds the relays that are tried in turn for a VM that does not answer:
 // each makes connections of its own, and mostly it is the VM that is gone.
-const mostDetours = 3
+const maxReroutes = 3
 
-// heldVia notes how a hold went that a relay carried. A VM that leaves it without an
+// recordHold notes how a hold went that a relay carried. A VM that leaves it without an
 // answer may have lost the path to this relay only, and gets another one.
-func (p *Pool) heldVia(vm *batch.Instance, s *stream, err error) {
+func (p *Pool) recordHold(vm *batch.Instance, s *stream, err error) {
 	var refusal *batch.RefusalError
 	answered := err == nil || (errors.As(err, &refusal) && refusal.Reason != batch.RefusedUnreached)
 	p.mu.Lock()
@@ -69,20 +69,20 @@
 		return
 	}
 	p.misses[vm.ID]++
-	if p.misses[vm.ID] > mostDetours || p.routes[vm.ID] != s {
+	if p.misses[vm.ID] > maxReroutes || p.routes[vm.ID] != s {
 		return
 	}
-	if other := p.roomiest(vm.Zone, s); other != nil {
+	if other := p.leastUsed(vm.Zone, s); other != nil {
 		p.unroute(vm.ID)
 		p.assign(vm.ID, other)
 	}
 }
 
-// roomiest is the relay with the most room for a VM of a zone, other than the one given.
+// leastUsed is the relay with the most room for a VM of a zone, other than the one given.
 // p.mu is held.
-func (p *Pool) roomiest(zone string, but *stream) *stream {
+func (p *Pool) leastUsed(zone string, but *stream) *stream {
 	var best *stream
-	least := crowdedRelay
+	least := maxRelayUse
 	for _, node := range sortedKeys(p.streams) {
 		s := p.streams[node]
 		if s == but || !s.usable() {
@@ -90,7 +90,7 @@
 		}
 		use := p.use(s)
 		if s.offer.Zone != zone {
-			use += foreignZone
+			use += otherZonePenalty
 		}
 		if use < least {
 			best, least = s, use
@@ -103,10 +103,10 @@
 func (p *Pool) use(s *stream) float64 { return float64(p.loads[s]) / float64(s.offer.VMs) }
 
 const (
-	// unevenUse is the difference in use between two relays from which VMs move.
-	unevenUse = 0.5
-	// movedAtOnce bounds the VMs that move at a time: each has new connections made.
-	movedAtOnce = 16
+	// rebalanceThreshold is the difference in use between two relays from which VMs move.
+	rebalanceThreshold = 0.5
+	// maxMovedVMs bounds the VMs that move at a time: each has new connections made.
+	maxMovedVMs = 16
 )
 
 // rebalance moves some VMs from the fullest relay to the emptiest: one that was lost and
@@ -123,12 +123,12 @@
 	}
 	byUse := func(a, b *stream) int { return cmp.Compare(p.use(a), p.use(b)) }
 	emptiest, fullest := slices.MinFunc(open, byUse), slices.MaxFunc(open, byUse)
-	if p.use(fullest)-p.use(emptiest) < unevenUse {
+	if p.use(fullest)-p.use(emptiest) < rebalanceThreshold {
 		return
 	}
 	moved := 0
 	for _, id := range sortedKeys(p.routes) {
-		if moved >= movedAtOnce || p.use(fullest)-p.use(emptiest) < unevenUse/2 {
+		if moved >= maxMovedVMs || p.use(fullest)-p.use(emptiest) < rebalanceThreshold/2 {
 			return
 		}
 		if p.routes[id] == fullest {
@@ -139,12 +139,12 @@
 	}
 }
 
-// pathTries bounds the relays that are tried for one order that was not written.
-const pathTries = 3
+// maxRelayAttempts bounds the relays that are tried for one order that was not written.
+const maxRelayAttempts = 3
 
 // do gives an order through the VM's relay, or from here where it has none.
 func (p *Pool) do(vm *batch.Instance, order func(batch.Agents) error) error {
-	for range pathTries {
+	for range maxRelayAttempts {
 		s := p.route(vm)
 		if s == nil {
 			break
@@ -180,7 +180,7 @@
 	err = p.do(vm, func(a batch.Agents) (err error) {
 		rep, err = a.Hold(ctx, vm, o)
 		if s, relayed := a.(*stream); relayed && !errors.Is(err, errNotWritten) {
-			p.heldVia(vm, s, err)
+			p.recordHold(vm, s, err)
 		}
 		return err
 	})
@@ -190,40 +190,40 @@
 // Instances returns the list of VMs. A relay reads it, if there is one, and tells what has
 // changed: the whole takes 1.2 MB/s of the link where there are 3,000 VMs.
 func (p *Pool) Instances(ctx context.Context) ([]batch.Instance, error) {
-	if s := p.reader(); s != nil {
-		askCtx, cancel := context.WithTimeout(ctx, listWithin)
+	if s := p.selectListReader(); s != nil {
+		askCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
 		list, err := s.Instances(askCtx)
 		if err == nil {
 			return list, nil
 		}
-		p.unread(s)
+		p.replaceListReader(s)
 	}
 	return p.List(ctx)
 }
 
-// listWithin is how long a relay has to read the list before this process reads it.
-const listWithin = 800 * time.Millisecond
+// listTimeout is how long a relay has to read the list before this process reads it.
+const listTimeout = 800 * time.Millisecond
 
-// reader is the relay that reads the list, or nil. It stays the same one while it can:
+// selectListReader is the relay that reads the list, or nil. It stays the same one while it can:
 // another has to read and tell the whole list first.
-func (p *Pool) reader() *stream {
+func (p *Pool) selectListReader() *stream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.leads() {
+	if !p.isLeading() {
 		return nil
 	}
-	if p.lister == nil || !p.lister.usable() {
-		p.lister = p.roomiest("", nil)
+	if p.listReader == nil || !p.listReader.usable() {
+		p.listReader = p.leastUsed("", nil)
 	}
-	return p.lister
+	return p.listReader
 }
 
-// unread has another relay read the list.
-func (p *Pool) unread(s *stream) {
+// replaceListReader has another relay read the list.
+func (p *Pool) replaceListReader(s *stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lister == s {
-		p.lister = p.roomiest("", s)
+	if p.listReader == s {
+		p.listReader = p.leastUsed("", s)
 	}
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -28,22 +28,22 @@
 	// fence is the highest fencing token of a leader that opened a stream.
 	fence int64
 	// current is the stream that is served; a later one ends it.
-	current *served
+	current *servedStream
 	leaving bool
 	closed  bool
 	// payloads are those of jobs of which tasks were started.
-	payloads keptPayloads
+	payloads payloadStore
 }
 
 const (
-	// staleAfter is how much longer than the quickest message of its stream one may
+	// maxTransitDelay is how much longer than the quickest message of its stream one may
 	// have been under way for its starts and paces to be carried out. The leader has
 	// given them up by then, and a relay that wakes from a suspension has a queue of
 	// them: a pace of then would undo one that was ordered by another way since.
-	staleAfter = 600 * time.Millisecond
-	// leaveWithin bounds the wait for calls under way at a planned stop: a hold
+	maxTransitDelay = 600 * time.Millisecond
+	// leaveTimeout bounds the wait for calls under way at a planned stop: a hold
 	// takes a second at most.
-	leaveWithin = 1500 * time.Millisecond
+	leaveTimeout = 1500 * time.Millisecond
 )
 
 // ServeHTTP implements http.Handler: it takes the connection over for a stream.
@@ -63,11 +63,11 @@
 		StatusCode: http.StatusSwitchingProtocols, ProtoMajor: 1, ProtoMinor: 1,
 		Header: http.Header{"Upgrade": {protocol}, "Connection": {"Upgrade"}},
 	}
-	packed := r.Header.Get("Accept-Encoding") == packing
+	packed := r.Header.Get("Accept-Encoding") == contentCoding
 	if packed {
-		switching.Header.Set("Content-Encoding", packing)
+		switching.Header.Set("Content-Encoding", contentCoding)
 	}
-	_ = conn.SetDeadline(time.Now().Add(silentAfter))
+	_ = conn.SetDeadline(time.Now().Add(idleTimeout))
 	if err := switching.Write(conn); err != nil {
 		s.Log.Warn("relay_not_taken_over", err, nil)
 		return
@@ -83,23 +83,23 @@
 
 // serve carries out what comes on one stream until it ends.
 func (s *Server) serve(conn net.Conn, in *bufio.Reader, packed bool) {
-	decoder := newDecoder(in, packed)
+	decoder := newMessageDecoder(in, packed)
 	var h hello
-	_ = conn.SetReadDeadline(time.Now().Add(silentAfter))
+	_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	if err := decoder.Decode(&h); err != nil {
 		s.Log.Warn("relay_not_opened", err, nil)
 		return
 	}
-	coder, err := newCoder(conn, packed)
+	coder, err := newMessageWriter(conn, packed)
 	if err != nil {
 		s.Log.Warn("relay_not_opened", err, nil)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	st := &served{
-		server: s, conn: conn, coder: coder, every: h.Every, kick: make(chan struct{}, 1), cancel: cancel, fence: h.Fence,
-		instances: map[int]*batch.Instance{}, last: lastReports{}, listed: lastListing{},
+	st := &servedStream{
+		server: s, conn: conn, writer: coder, messageInterval: h.Every, wakeup: make(chan struct{}, 1), cancel: cancel, fence: h.Fence,
+		instances: map[int]*batch.Instance{}, lastReports: lastReports{}, lastListing: lastListing{},
 	}
 	if err := s.admit(st); err != nil {
 		s.Log.Warn("relay_not_opened", err, eventlog.Fields{"leader": h.Node, "fence": h.Fence})
@@ -113,7 +113,7 @@
 }
 
 // admit takes a stream on and ends the one before.
-func (s *Server) admit(st *served) error {
+func (s *Server) admit(st *servedStream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -128,13 +128,13 @@
 	}
 	s.current = st
 	st.leaving = s.leaving
-	st.greeting = s.payloads.greeting()
+	st.greeting = s.payloads.hashes()
 	st.wake()
 	return nil
 }
 
 // drop forgets payloads, if the stream that says so is the one that is served.
-func (s *Server) drop(st *served, jobs []string) {
+func (s *Server) drop(st *servedStream, jobs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != st {
@@ -143,7 +143,7 @@
 	s.payloads.drop(jobs)
 }
 
-func (s *Server) remove(st *served) {
+func (s *Server) remove(st *servedStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current == st {
@@ -172,91 +172,91 @@
 		return
 	}
 	st.leave()
-	limit := time.Now().Add(leaveWithin)
-	for st.busy() && time.Now().Before(limit) {
-		time.Sleep(beatEvery / 10)
+	limit := time.Now().Add(leaveTimeout)
+	for st.isBusy() && time.Now().Before(limit) {
+		time.Sleep(heartbeatInterval / 10)
 	}
 }
 
-// served is the relay's side of a stream.
-type served struct {
-	server *Server
-	conn   net.Conn
-	coder  *coder
-	fence  int64
-	every  time.Duration
-	kick   chan struct{}
-	cancel context.CancelFunc
+// servedStream is the relay's side of a stream.
+type servedStream struct {
+	server          *Server
+	conn            net.Conn
+	writer          *messageWriter
+	fence           int64
+	messageInterval time.Duration
+	wakeup          chan struct{}
+	cancel          context.CancelFunc
 
 	// What the reader alone uses.
 	instances map[int]*batch.Instance
-	// quickest is the least difference between the arrival of a message and its
+	// minTransit is the least difference between the arrival of a message and its
 	// SentAt: the two clocks differ by it, and by the quickest way.
-	quickest time.Duration
-	seen     bool
-
-	mu       sync.Mutex
-	greeting []kept
-	last     lastReports
-	listed   lastListing
-	queue    []result
-	open     int
-	leaving  bool
+	minTransit    time.Duration
+	hasMinTransit bool
+
+	mu          sync.Mutex
+	greeting    []kept
+	lastReports lastReports
+	lastListing lastListing
+	queue       []result
+	openCalls   int
+	leaving     bool
 }
 
-func (st *served) busy() bool {
+func (st *servedStream) isBusy() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.open > 0 || len(st.queue) > 0
+	return st.openCalls > 0 || len(st.queue) > 0
 }
 
-func (st *served) leave() {
+func (st *servedStream) leave() {
 	st.mu.Lock()
 	st.leaving = true
 	st.mu.Unlock()
 	st.wake()
 }
 
-func (st *served) wake() {
+func (st *servedStream) wake() {
 	select {
-	case st.kick <- struct{}{}:
+	case st.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // read takes messages until the stream breaks.
-func (st *served) read(ctx context.Context, decoder *gob.Decoder) error {
+func (st *servedStream) read(ctx context.Context, decoder *gob.Decoder) error {
 	defer st.cancel()
 	for {
-		_ = st.conn.SetReadDeadline(time.Now().Add(silentAfter))
+		_ = st.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		var m orders
 		if err := decoder.Decode(&m); err != nil {
 			return err
 		}
-		st.take(ctx, &m)
+		st.handleOrders(ctx, &m)
 	}
 }
 
-// stale reports whether a message was under way for so long that the leader has given
+// isStale reports whether a message was under way for so long that the leader has given
 // its calls up.
-func (st *served) stale(sentAt time.Duration) bool {
+func (st *servedStream) isStale(sentAt time.Duration) bool {
 	took := steady.Now() - sentAt
-	if !st.seen || took < st.quickest {
-		st.seen, st.quickest = true, took
+	if !st.hasMinTransit || took < st.minTransit {
+		st.hasMinTransit, st.minTransit = true, took
 	}
-	return took-st.quickest > staleAfter
+	return took-st.minTransit > maxTransitDelay
 }
 
-// take begins the calls of a message: what ends work first, what renews leases next,
+// handleOrders begins the calls of a message: what ends work first, what renews leases next,
 // and new starts last.
-func (st *served) take(ctx context.Context, m *orders) {
-	stale := st.stale(m.SentAt)
+func (st *servedStream) handleOrders(ctx context.Context, m *orders) {
+	stale := st.isStale(m.SentAt)
 	for _, n := range m.Named {
 		st.instances[n.Number] = &batch.Instance{ID: n.ID, Address: n.Address}
 	}
-	st.server.keep(ctx, m.Payloads)
+	st.server.storePayloads(ctx, m.Payloads)
 	for _, c := range m.Stops {
-		st.begin(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
+		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
 			return st.server.Agents.Stop(ctx, vm, c.Task, c.Run, c.Fence)
 		})
 	}
@@ -265,18 +265,18 @@
 			// The VM may have started again since, and count its ends anew.
 			c.Order.Acked = 0
 		}
-		st.begin(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) error {
+		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) error {
 			rep, err := st.server.Agents.Hold(ctx, vm, c.Order)
 			if err == nil {
 				r.Clock = rep.Clock
-				st.told(r, c.Head.VM, &rep)
+				st.setReport(r, c.Head.VM, &rep)
 			}
 			return err
 		})
 	}
 	for _, head := range m.Lists {
-		st.beginAny(ctx, head, func(ctx context.Context, r *result) (err error) {
-			r.list, err = st.server.Instances(ctx)
+		st.runCall(ctx, head, func(ctx context.Context, r *result) (err error) {
+			r.fullList, err = st.server.Instances(ctx)
 			return err
 		})
 	}
@@ -285,7 +285,7 @@
 			st.refuse(c.Head.Call, "it was too long under way to this relay")
 			continue
 		}
-		st.begin(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
+		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
 			return st.server.Agents.Pace(ctx, vm, c.Task, c.Run, c.Percent, c.Fence)
 		})
 	}
@@ -294,23 +294,23 @@
 			st.refuse(c.Head.Call, "it was too long under way to this relay")
 			continue
 		}
-		st.start(ctx, c)
+		st.startTask(ctx, c)
 	}
 	st.server.drop(st, m.Dropped)
 }
 
-// start begins a start, once its payload is there.
-func (st *served) start(ctx context.Context, c startCall) {
+// startTask begins a start, once its payload is there.
+func (st *servedStream) startTask(ctx context.Context, c startCall) {
 	job := c.Order.Task.Job
 	text, known, awaited := st.server.payloads.get(job)
 	if !known && awaited == nil {
 		// A task must not be started with less than its job says.
 		r := result{Call: c.Head.Call}
-		r.fail(errNoPayload)
-		st.answer(r)
+		r.setError(errNoPayload)
+		st.queueResult(r)
 		return
 	}
-	st.begin(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) (err error) {
+	st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) (err error) {
 		if !known {
 			select {
 			case <-awaited:
@@ -330,48 +330,48 @@
 var errNoPayload = &batch.RefusalError{Reason: batch.RefusedUnreached, Cause: errors.New("the relay does not have the job's payload")}
 
 // refuse answers a call that was certainly not made.
-func (st *served) refuse(call uint64, why string) {
-	st.answer(result{Call: call, Refusal: batch.RefusedUnreached, Error: why})
+func (st *servedStream) refuse(call uint64, why string) {
+	st.queueResult(result{Call: call, Refusal: batch.RefusedUnreached, Error: why})
 }
 
-// told puts a report into a result. The differences follow each other in the order in
+// setReport puts a report into a result. The differences follow each other in the order in
 // which the results are queued.
-func (st *served) told(r *result, vm int, rep *batch.Report) {
+func (st *servedStream) setReport(r *result, vm int, rep *batch.Report) {
 	r.Report = &report{VM: vm, More: rep.MoreEnded, Ended: rep.Ended}
-	r.whole = rep
+	r.fullReport = rep
 }
 
-// begin makes one call to a VM.
-func (st *served) begin(ctx context.Context, head callHead, do func(context.Context, *batch.Instance, *result) error) {
+// runVMCall makes one call to a VM.
+func (st *servedStream) runVMCall(ctx context.Context, head callHead, do func(context.Context, *batch.Instance, *result) error) {
 	vm := st.instances[head.VM]
 	if vm == nil {
 		st.refuse(head.Call, "the stream has not named the VM")
 		return
 	}
-	st.beginAny(ctx, head, func(ctx context.Context, r *result) error { return do(ctx, vm, r) })
+	st.runCall(ctx, head, func(ctx context.Context, r *result) error { return do(ctx, vm, r) })
 }
 
-// beginAny makes one call beside the others and queues its outcome.
-func (st *served) beginAny(ctx context.Context, head callHead, do func(context.Context, *result) error) {
+// runCall makes one call beside the others and queues its outcome.
+func (st *servedStream) runCall(ctx context.Context, head callHead, do func(context.Context, *result) error) {
 	st.mu.Lock()
-	st.open++
+	st.openCalls++
 	st.mu.Unlock()
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, head.Within)
 		defer cancel()
 		r := result{Call: head.Call}
 		if err := do(callCtx, &r); err != nil {
-			r.fail(err)
+			r.setError(err)
 		}
 		st.mu.Lock()
-		st.open--
+		st.openCalls--
 		st.mu.Unlock()
-		st.answer(r)
+		st.queueResult(r)
 	}()
 }
 
-// fail notes an error of a call.
-func (r *result) fail(err error) {
+// setError notes an error of a call.
+func (r *result) setError(err error) {
 	var refusal *batch.RefusalError
 	if !errors.As(err, &refusal) {
 		r.Error = err.Error()
@@ -384,13 +384,13 @@
 	}
 }
 
-func (st *served) answer(r result) {
+func (st *servedStream) queueResult(r result) {
 	st.mu.Lock()
-	if r.whole != nil {
-		r.Report = st.last.shorten(r.Report.VM, r.whole)
+	if r.fullReport != nil {
+		r.Report = st.lastReports.diff(r.Report.VM, r.fullReport)
 	}
-	if r.list != nil {
-		r.Listing = st.listed.shorten(r.list)
+	if r.fullList != nil {
+		r.Listing = st.lastListing.diff(r.fullList)
 	}
 	st.queue = append(st.queue, r)
 	st.mu.Unlock()
@@ -398,16 +398,16 @@
 }
 
 // write sends the outcomes, a batch at a time.
-func (st *served) write(ctx context.Context) {
-	pace := newPacer(st.every)
+func (st *servedStream) write(ctx context.Context) {
+	pace := newMessagePacer(st.messageInterval)
 	defer pace.stop()
-	for pace.wait(ctx, st.kick) {
+	for pace.wait(ctx, st.wakeup) {
 		st.mu.Lock()
 		m := results{Kept: st.greeting, Results: st.queue, Leaving: st.leaving}
 		st.greeting, st.queue = nil, nil
 		st.mu.Unlock()
 		_ = st.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if st.coder.write(&m) != nil {
+		if st.writer.write(&m) != nil {
 			// The reader tells why the stream ended.
 			_ = st.conn.Close()
 			return
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -28,12 +28,12 @@
 const protocol = "rattanwall-relay/1"
 
 const (
-	// beatEvery is how often either side of an idle stream sends an empty message.
-	beatEvery = 250 * time.Millisecond
-	// silentAfter is how long a stream may be without a message before it counts as
+	// heartbeatInterval is how often either side of an idle stream sends an empty message.
+	heartbeatInterval = 250 * time.Millisecond
+	// idleTimeout is how long a stream may be without a message before it counts as
 	// broken: a lost packet is sent again within 0.3 s, and VMs that are unheard for
 	// 1.5 s get no new work.
-	silentAfter = 900 * time.Millisecond
+	idleTimeout = 900 * time.Millisecond
 	// writeTimeout bounds one write to a peer that does not read.
 	writeTimeout = 900 * time.Millisecond
 	// bufferBytes joins what one batch has to say into few writes.
@@ -66,9 +66,9 @@
 	Lists    []callHead
 }
 
-// keep has the relay keep a job's payload. One that the same message was to drop is
+// addPayload has the relay keep a job's payload. One that the same message was to drop is
 // there still.
-func (o *orders) keep(p payload) {
+func (o *orders) addPayload(p payload) {
 	for i, other := range o.Dropped {
 		if other == p.Job {
 			o.Dropped = slices.Delete(o.Dropped, i, i+1)
@@ -78,8 +78,8 @@
 	o.Payloads = append(o.Payloads, p)
 }
 
-// drop has the relay forget a job's payload, once it has taken this message's starts.
-func (o *orders) drop(job string) { o.Dropped = append(o.Dropped, job) }
+// dropPayload has the relay forget a job's payload, once it has taken this message's starts.
+func (o *orders) dropPayload(job string) { o.Dropped = append(o.Dropped, job) }
 
 type named struct {
 	Number      int
@@ -139,8 +139,8 @@
 	Hash uint64
 }
 
-// hashOf is the hash of a payload.
-func hashOf(text string) uint64 { return xxhash.Sum64String(text) }
+// hashPayload is the hash of a payload.
+func hashPayload(text string) uint64 { return xxhash.Sum64String(text) }
 
 // results is a message of a relay.
 type results struct {
@@ -165,10 +165,10 @@
 	Report  *report
 	Listing *listing
 
-	// whole and list are what Report and Listing are the differences of, until the
+	// fullReport and list are what Report and Listing are the differences of, until the
 	// result is queued.
-	whole *batch.Report
-	list  []batch.Instance
+	fullReport *batch.Report
+	fullList   []batch.Instance
 }
 
 // err is the error of a call as the leader takes it.
