--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -8,26 +8,26 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// retryDelay is the wait before a task that failed is started again; it grows
-// with each failure, so that a task that always fails leaves room to others.
+// retryDelay is the delay before a failed task is started again. It grows with each
+// failure, so that a task that always fails leaves capacity to others.
 const retryDelay = 50 * time.Millisecond
 
-// processEnd takes the end of a run over. Ends are told again until they are
-// acknowledged, to this leader and to the next: all of it is idempotent.
+// processEnd applies the end of a run. It is idempotent, since a VM repeats an end to
+// this leader and its successors until it is acknowledged.
 func (s *Scheduler) processEnd(now Time, v *vm, e *batch.RunEnd) {
 	r := v.runs[e.Task]
 	if r != nil && r.number != e.Run {
 		r = nil
 	}
-	var lasted time.Duration
+	var age time.Duration
 	if r != nil {
-		lasted = now - r.orderedAt
+		age = now - r.orderedAt
 	}
-	s.logf(Decision{Event: EventRunEnded, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: string(e.Kind), Age: lasted})
+	s.logf(Decision{Event: EventRunEnded, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: string(e.Kind), Age: age})
 	s.openReported(now, e.Task)
 	t := s.task(e.Task)
 	if t != nil && e.Checkpoint != "" && !t.done && e.Run >= t.latestStarted() {
-		// An older run's is behind that of the one that was started after it.
+		// The checkpoint of an older run is behind that of a later one.
 		t.checkpoint = e.Checkpoint
 	}
 	if r != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// clearCrashesOnEnd clears a task of what its VM has told of a run: the VM has not ended under
-// it. One that ended by itself has done its work, or failed, without ending its VM.
+// clearCrashesOnEnd removes the crash of a run whose end its VM reported, since the VM
+// survived it. A run that completed or failed by itself clears all crashes of the task.
 func (s *Scheduler) clearCrashesOnEnd(now Time, t *task, e *batch.RunEnd) {
 	if e.Kind == batch.EndDone || e.Kind == batch.EndFailed {
 		s.clearCrashes(now, t)
@@ -72,8 +72,8 @@
 	s.clearCrash(t, e.Run)
 }
 
-// logUncountedEnd logs an end that does not count: without the line nobody could tell
-// afterwards that a task had ended well twice, and which run was taken.
+// logUncountedEnd logs an end that has no effect. The log line shows that a task was
+// completed twice and which run counts.
 func (s *Scheduler) logUncountedEnd(v *vm, e *batch.RunEnd, t *task) {
 	switch {
 	case t == nil:
@@ -83,7 +83,7 @@
 	}
 }
 
-// untrackedReason says why a task is not kept.
+// untrackedReason returns why there is no open task with the ID.
 func (s *Scheduler) untrackedReason(id batch.TaskID) string {
 	j := s.jobs[id.Job]
 	switch {
@@ -104,7 +104,7 @@
 		return
 	}
 	if t.step.spec.Gang {
-		// One end stands for the whole gang.
+		// The end of one member completes the whole gang.
 		for k := range t.step.tasks {
 			s.markDone(now, &t.step.tasks[k], number)
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-// taskFailed counts a failed run once, however often its end is told.
+// taskFailed counts a failed run once, however often its end is reported.
 func (s *Scheduler) taskFailed(now Time, t *task, v *vm, number int64) {
 	if t.done || slices.Contains(t.failedRuns, number) {
 		return
@@ -156,8 +156,8 @@
 	}
 }
 
-// failedGangRuns counts the runs of a gang that failed: its members share a run's number,
-// and several may fail before the others are ended.
+// failedGangRuns counts the failed runs of a gang. Its members share a run number, and
+// several of them may fail before the others are ended.
 func (st *step) failedGangRuns() int {
 	failed := map[int64]bool{}
 	for k := range st.tasks {
@@ -168,7 +168,7 @@
 	return len(failed)
 }
 
-// attachRun counts a run on its VM and task.
+// attachRun adds a run to its VM and task.
 func (s *Scheduler) attachRun(r *run) {
 	v, spec := r.vm, r.task.step.spec
 	v.runs[r.task.id()] = r
@@ -192,13 +192,14 @@
 	st.addPerVM(v)
 }
 
-// releaseRun takes a run that has ended off its VM and its task.
+// releaseRun removes an ended run from its VM and its task.
 func (s *Scheduler) releaseRun(now Time, r *run) {
 	r.task.latestRun = max(r.task.latestRun, r.number)
 	s.detachRun(now, r)
 }
 
-// detachRun takes a run off its VM and its task that has never been started.
+// detachRun removes a run from its VM and its task. Called directly, it is for runs that
+// were never started.
 func (s *Scheduler) detachRun(now Time, r *run) {
 	if r.released {
 		return
@@ -251,11 +252,10 @@
 	s.orders = append(s.orders, Order{Kind: OrderStop, Instance: v.inst, Task: id, Run: number})
 }
 
-// PrepareStart reports whether a start that was ordered a while ago is still to be given.
-// Orders wait for their turn where there are many of them; meanwhile a copy may
-// have ended, or the job been cancelled, and a start that is carried out after
-// that runs what is done already. A run that is not begun has certainly never
-// started.
+// PrepareStart reports whether an ordered start is still to be sent and records that it
+// is. Orders may wait in a backlog; meanwhile a copy may have ended or the job been
+// cancelled, and the start would then repeat finished work. A run whose start is dropped
+// here has certainly never begun.
 func (s *Scheduler) PrepareStart(now Time, o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
@@ -269,7 +269,7 @@
 	case r.state == stopping:
 		s.dropStart(now, r, "stopped")
 	case s.mayExceedCapacity(now, v):
-		// It had room when the start was decided.
+		// The capacity was sufficient when the start was decided.
 		s.dropStart(now, r, "no room")
 	case !v.entryMatchesIncarnation():
 		s.dropStart(now, r, reasonRestarted)
@@ -280,19 +280,19 @@
 	return false
 }
 
-// Started takes the outcome of a start order over. err is nil when the VM has
-// the run, a refusal when it certainly has not and never will, and anything else
-// when that is not known: then the run is stopped, since only a confirmed stop
-// keeps a late start from happening.
-// clockValue is the VM's clock, 0 where it was not told.
+// Started processes the outcome of a start order that was sent at sentAt. A refusal
+// means that the VM does not have the run and never will. If unknown is set, the VM may
+// or may not have it, and the run is stopped, since only a confirmed stop prevents a
+// late start. Otherwise the VM has the run. clockValue is the VM's clock, 0 if not
+// reported.
 func (s *Scheduler) Started(now, sentAt Time, o Order, clockValue time.Duration, refusal batch.Refusal, unknown bool) {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
 		return
 	}
-	clockWentBack := clockValue > 0 && v.clock.gotAt <= sentAt && clockValue < v.clock.value
-	if clockWentBack || (refusal == batch.RefusedRestarted && v.lastReportAt <= sentAt) {
-		// Another start has answered: nothing more is given to it before it has reported.
+	clockRegressed := clockValue > 0 && v.clock.gotAt <= sentAt && clockValue < v.clock.value
+	if clockRegressed || (refusal == batch.RefusedRestarted && v.lastReportAt <= sentAt) {
+		// Another incarnation responded; it gets nothing more until it has reported.
 		v.otherIncarnation = true
 	}
 	r := v.runs[o.Task]
@@ -321,8 +321,8 @@
 	}
 }
 
-// confirmStart notes that the VM has the run. Only then has its job begun: an order may
-// wait for its turn.
+// confirmStart records that the VM has the run. Only now does its job count as started,
+// since an order may wait in a backlog before it is sent.
 func (r *run) confirmStart(now Time) {
 	r.state, r.startSent = running, true
 	r.confirmedAt = now
@@ -332,7 +332,7 @@
 	r.task.step.occ.job.started = true
 }
 
-// Stopped notes that a VM confirmed a stop: the run has ended or never starts.
+// Stopped records that a VM confirmed a stop: the run has ended or will never start.
 func (s *Scheduler) Stopped(now Time, o Order) {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
--- a/internal/scheduler/forget.go
+++ b/internal/scheduler/forget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// RemovableJobs returns jobs whose end the store has for longer than keep, at most so many.
-// They stay known until they are dropped.
-func (s *Scheduler) RemovableJobs(now Time, keep time.Duration, most int) []string {
+// RemovableJobs returns up to limit jobs that ended longer than keep ago and whose end is
+// durable. They stay known until DropJobs.
+func (s *Scheduler) RemovableJobs(now Time, keep time.Duration, limit int) []string {
 	var ended []string
 	for id, j := range s.jobs {
 		if j.state.Final() && j.durableState == j.state && now-j.endedAt > keep {
@@ -15,7 +15,7 @@
 		}
 	}
 	slices.Sort(ended)
-	return ended[:min(len(ended), most)]
+	return ended[:min(len(ended), limit)]
 }
 
 // DropJobs forgets jobs that are no longer in the store.
--- a/internal/scheduler/lifetimes.go
+++ b/internal/scheduler/lifetimes.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// recentRunDuration is how long after its start was confirmed a run counts as new: what ends its VM
-// as it begins has done so by then.
+// recentRunDuration is how long a run counts as recent after its start was confirmed. A
+// task that ends its VM as it begins has done so by then.
 const recentRunDuration = time.Second
 
-// minLifetime is how long the run is known to have run.
+// minLifetime returns how long the run is known to have run.
 func (r *run) minLifetime() time.Duration {
 	if r.confirmedAt == 0 {
 		return 0
@@ -14,7 +14,7 @@
 	return max(0, r.listedAt-r.confirmedAt)
 }
 
-// maxLifetime is the longest that the run can have run, if its VM has ended.
+// maxLifetime returns the longest that the run can have run if its VM has ended.
 func (r *run) maxLifetime(now Time) time.Duration {
 	until := now
 	if r.vm.firstUnansweredAt > 0 {
@@ -23,7 +23,7 @@
 	return max(0, until-r.orderedAt)
 }
 
-// isRecent reports whether the run is not known to have lived for recentRunDuration.
+// isRecent reports whether the run is not known to have run for recentRunDuration.
 func (r *run) isRecent() bool { return r.minLifetime() < recentRunDuration }
 
 func (v *vm) recentRuns() int {
@@ -36,8 +36,8 @@
 	return n
 }
 
-// recordAlive notes that a VM has the run still. One that has lived for recentRunDuration has not ended
-// its VM.
+// recordAlive records that a VM still lists the run. A run that is no longer recent did
+// not end its VM, which clears the task's crashes.
 func (s *Scheduler) recordAlive(now Time, r *run) {
 	r.listedAt = now
 	s.clearCrash(r.task, r.number)
--- a/internal/scheduler/model.go
+++ b/internal/scheduler/model.go
@@ -1,24 +1,25 @@
 package scheduler
 
-// InterferenceModel is what a leader has learned of interference, for its successor: without
-// it every change of leader would begin with some ten seconds of fillers placed
-// beside tasks that mind them.
+// InterferenceModel is the learned effect of fillers on serving tasks, passed from a
+// leader to its successor. Without it, each new leader would place fillers beside
+// sensitive tasks for about ten seconds.
 type InterferenceModel struct {
-	// Images are the filler images, in the order of the vectors below, where the
-	// constant term comes before them.
+	// Images are the filler images in the order of the terms in Pairs, which are
+	// preceded there by the constant term.
 	Images []string `json:"images"`
-	// Pairs holds the evidence on each serving image.
+	// Pairs holds the regression of each serving image.
 	Pairs map[string]NormalEquations `json:"pairs"`
 }
 
-// NormalEquations is the normal equations of one serving image's regression. Single
-// precision is enough: the figures are rough and a quarter as long.
+// NormalEquations are the normal equations of one serving image's regression. Single
+// precision suffices, since the measurements are rough, and encodes in a quarter of the
+// space.
 type NormalEquations struct {
 	A [][]float32 `json:"a"`
 	B []float32   `json:"b"`
 }
 
-// InterferenceModel returns what was learned so far.
+// InterferenceModel returns a copy of the current model.
 func (s *Scheduler) InterferenceModel() InterferenceModel {
 	n := s.images.usedTerms()
 	m := InterferenceModel{Images: make([]string, n-1), Pairs: map[string]NormalEquations{}}
@@ -39,7 +40,7 @@
 	return m
 }
 
-// SetInterferenceModel takes over what an earlier leader learned.
+// SetInterferenceModel replaces the current model by that of an earlier leader.
 func (s *Scheduler) SetInterferenceModel(m InterferenceModel) {
 	n := min(len(m.Images)+1, maxTerms)
 	s.images = newEffectModel()
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -7,19 +7,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Progress is the durable part of a job's progress: what an earlier leader may
-// have told a VM or a caller that it knows. Starts are not part of it: the VMs'
-// own lists tell them.
+// Progress is the durable part of a job's progress: everything that a leader may have
+// acknowledged to a VM or reported to a caller. Starts are not part of it, since VMs
+// report their runs.
 type Progress struct {
-	// State is final or empty.
+	// State is set only if it is final.
 	State batch.State `json:"state,omitempty"`
-	// DoneLow: all occurrences below it are done.
+	// DoneLow is the lowest occurrence that is not done.
 	DoneLow int `json:"done_low,omitempty"`
-	// Done lists finished occurrences from DoneLow on.
+	// Done lists the finished occurrences above DoneLow.
 	Done []int `json:"done,omitempty"`
-	// Open holds the occurrences with some progress.
+	// Open holds the progress of the open occurrences.
 	Open []OccurrenceProgress `json:"open,omitempty"`
-	// Ended holds the occurrences that ended of late, with the runs that count only.
+	// Ended holds recently ended occurrences with only the runs that completed their tasks.
 	Ended []OccurrenceProgress `json:"ended,omitempty"`
 }
 
@@ -33,30 +33,30 @@
 type StepProgress struct {
 	// Done is a bitmap of the tasks that are done.
 	Done []byte `json:"d,omitempty"`
-	// Runs are the numbers of the runs that ended as done, one for each task that is
-	// done: another run's end may be told later, and must not count beside it.
+	// Runs are the packed numbers of the runs that completed the tasks in Done. The end
+	// of another run may be reported later and must not count as well.
 	Runs []byte `json:"r,omitempty"`
-	// Failures lists failed runs, as pairs of task index and run number: an end
-	// that is told again must not count twice.
+	// Failures lists failed runs as pairs of task index and run number, so that a
+	// repeated end does not count twice.
 	Failures [][2]int64 `json:"f,omitempty"`
-	// Crashes lists runs whose VM ended, or may have, while they were new.
+	// Crashes lists recent runs whose VM ended or may have ended.
 	Crashes []CrashProgress `json:"c,omitempty"`
 }
 
-// CrashProgress is what is known of the end of a VM under a new run.
+// CrashProgress records that a VM ended, or may have ended, with a recent run.
 type CrashProgress struct {
 	Task int   `json:"t"`
 	Run  int64 `json:"r"`
 	// Kind is a crashKind.
 	Kind int64 `json:"k,omitempty"`
-	// VM is the instance, "" for a run that was yet to be placed, Born which start of it.
+	// VM is the instance, "" for a run that was not placed yet; Born identifies its incarnation.
 	VM   string `json:"v,omitempty"`
 	Born int64  `json:"b,omitempty"`
-	// Lived is set where the run had lived for some tenths of a second when its VM was last heard.
+	// Lived is set if the run was some tenths of a second old at its VM's last report.
 	Lived bool `json:"l,omitempty"`
 }
 
-// progress builds the record of a job.
+// progress returns the job's record to be stored.
 func (j *job) progress() *Progress {
 	p := &Progress{DoneLow: j.doneLow, Ended: j.recentOccurrences}
 	if j.state.Final() {
@@ -71,8 +71,8 @@
 	return p
 }
 
-// unopenedProgress is what the record told of occurrences that are not open yet: a
-// record that leaves it out forgets ends that were acknowledged.
+// unopenedProgress returns the restored progress of occurrences that are not open yet.
+// A record without it would lose acknowledged ends.
 func (j *job) unopenedProgress() []OccurrenceProgress {
 	if j.restoredProgress == nil {
 		return nil
@@ -114,7 +114,7 @@
 	return p
 }
 
-// restore takes over what an earlier leader recorded.
+// restore applies the record of an earlier leader.
 func (j *job) restore(p *Progress) {
 	j.doneLow = p.DoneLow
 	for _, n := range p.Done {
@@ -132,7 +132,7 @@
 	j.recentOccurrences = p.Ended
 }
 
-// apply marks what the record says of an occurrence.
+// apply copies the recorded progress of an occurrence to it.
 func (p *Progress) apply(o *occurrence) {
 	for i := range p.Open {
 		if p.Open[i].Number != o.number || len(p.Open[i].Steps) != len(o.steps) {
@@ -171,26 +171,26 @@
 	}
 }
 
-// Record is a job's progress to be written.
+// Record is a job's progress to be written to the store.
 type Record struct {
 	Job      string
 	Progress *Progress
-	// Revision is that of the record in the store, 0 when there is none.
+	// Revision is the revision of the record in the store; 0 for none.
 	Revision int64
-	// Spec is the job, Queue and Pool those that it was submitted to.
+	// Spec is the job; Queue and Pool are those that it was submitted to.
 	Spec        *batch.Job
 	Queue, Pool string
 	version     int64
 }
 
-// Flush is a set of records, and the ends that are durable once all of them are
-// written.
+// Flush is a set of records to write, with the ends that become durable once all of
+// them are written.
 type Flush struct {
 	Records []Record
 	ends    map[*vm]int64
 }
 
-// PendingWrites returns what has to be written, or nil when there is nothing.
+// PendingWrites returns what has to be written, or nil if there is nothing.
 func (s *Scheduler) PendingWrites() *Flush {
 	f := &Flush{ends: map[*vm]int64{}}
 	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
@@ -198,8 +198,8 @@
 		f.Records = append(f.Records, Record{Job: id, Progress: j.progress(), Revision: j.recordRevision, Spec: j.spec, Queue: j.queue, Pool: j.pool, version: j.version})
 	}
 	for _, v := range s.vms {
-		if mark := v.accountedSeq(); mark > v.durableSeq {
-			f.ends[v] = mark
+		if seq := v.accountedSeq(); seq > v.durableSeq {
+			f.ends[v] = seq
 		}
 	}
 	if len(f.Records) == 0 && len(f.ends) == 0 {
@@ -208,7 +208,7 @@
 	return f
 }
 
-// RecordWritten notes that a record is in the store at a revision.
+// RecordWritten marks a record as written at the given revision.
 func (s *Scheduler) RecordWritten(r Record, revision int64) {
 	j := s.jobs[r.Job]
 	if j == nil {
@@ -224,15 +224,15 @@
 	}
 }
 
-// RecordFound notes the revision that a record has in the store after a conflict.
+// RecordFound sets the revision found in the store after a write conflict.
 func (s *Scheduler) RecordFound(id string, revision int64) {
 	if j := s.jobs[id]; j != nil {
 		j.recordRevision = revision
 	}
 }
 
-// Flushed notes that all records of f are written, so that the ends that they
-// hold may be acknowledged.
+// Flushed marks all records of f as written, so that the ends they include may be
+// acknowledged.
 func (s *Scheduler) Flushed(f *Flush) {
 	for v, seq := range f.ends {
 		v.durableSeq = max(v.durableSeq, seq)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -6,13 +6,14 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// holdResponseTimeout is how much longer than it waits a hold may take until its answer is read. The
-// call is given up earlier, by a process that runs.
+// holdResponseTimeout is how long after the end of its wait the response to a hold is
+// still accepted. The call itself times out earlier unless the process was suspended.
 const holdResponseTimeout = time.Second
 
-// HandleReport takes an instance's report over; the hold was sent at sentAt. It returns false for one
-// that a process reads which was suspended meanwhile: the VM may have ended, and started again,
-// since it was made, so that the hold counts as not answered.
+// HandleReport processes an instance's report; its hold was sent at sentAt. It returns
+// false for an unknown instance and for a report that is read too late because this
+// process was suspended: the VM may have ended and restarted since, so the hold counts
+// as failed.
 func (s *Scheduler) HandleReport(now, sentAt Time, id string, rep batch.Report) bool {
 	v := s.vms[id]
 	if v == nil {
@@ -33,8 +34,8 @@
 	v.otherIncarnation = false
 	if !v.hasReported {
 		v.hasReported, v.firstReportAt = true, now
-		// An earlier leader may have renewed the leases there until now, or have given orders
-		// that were meant for the start before.
+		// An earlier leader may have renewed the leases there until now, or have sent orders
+		// meant for the previous incarnation.
 		v.leaseExpiry = max(v.leaseExpiry, now+leaseExpiryDelay(s.settings.maxInitialLease(rep.Clock)))
 		s.applyExpiredLease(v)
 		s.endedUnreported = s.endedUnreported || (rep.Born != 0 && s.isAwaited(id) && s.settings.recentlyStarted(rep.Clock))
@@ -80,8 +81,8 @@
 	return true
 }
 
-// minReturnGap is how long an instance has to have been unheard for its return to be
-// worth a plan of its own.
+// minReturnGap is the gap between two reports of an instance after which its return
+// triggers a plan.
 const minReturnGap = 3500 * time.Millisecond
 
 func (v *vm) setClock(sentAt, gotAt Time, value time.Duration) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// processRunStatus takes a listed run over and returns it, or nil when it is not to run.
+// processRunStatus updates a listed run and returns it, or nil if it should not run.
 func (s *Scheduler) processRunStatus(now Time, v *vm, st *batch.RunStatus) *run {
 	r := v.runs[st.Task]
 	if r != nil && r.number == st.Run {
@@ -114,7 +115,7 @@
 	return r
 }
 
-// adopt takes on a run that this leader did not start, or stops it.
+// adopt attaches a run that this leader did not start, or stops it.
 func (s *Scheduler) adopt(now Time, v *vm, st *batch.RunStatus) *run {
 	if s.jobUnresolved(st.Task.Job) {
 		v.recordUnknownRun(st)
@@ -134,7 +135,7 @@
 	return r
 }
 
-// task finds a task of an open occurrence.
+// task returns a task of an open occurrence, or nil.
 func (s *Scheduler) task(id batch.TaskID) *task {
 	j := s.jobs[id.Job]
 	if j == nil {
@@ -147,9 +148,8 @@
 	return &o.steps[id.Step].tasks[id.Index]
 }
 
-// handleUnlistedRun handles a run that its VM does not list, neither under way nor ended: the
-// report was asked for after the VM had confirmed the run, or had confirmed that it
-// will not run.
+// handleUnlistedRun declares a run lost that its VM lists neither as running nor as
+// ended, if the report was requested after the VM had confirmed the run or its stop.
 func (s *Scheduler) handleUnlistedRun(now, sentAt Time, r *run) {
 	confirmed := r.state != starting && r.confirmedAt > 0 && r.confirmedAt < sentAt
 	stopped := r.stopConfirmedAt > 0 && r.stopConfirmedAt < sentAt
@@ -158,14 +158,14 @@
 	}
 	s.logf(Decision{Event: EventRunLost, Task: r.task.id(), VM: r.vm.inst.ID, Run: r.number, Reason: "not listed", Age: now - r.orderedAt, Born: r.vm.born, Acked: r.vm.ackableSeq()})
 	if r.previousEnd != nil {
-		// The VM's start before had it, if any.
+		// If any incarnation had the run, it was the previous one.
 		s.removeUnconfirmed(r.vm.incarnation(), r.task)
 		s.recordEarlierCrash(now, r, r.previousEnd)
 	}
 	s.releaseLostRun(now, r)
 }
 
-// releaseLostRun takes a run off whose end nobody has told.
+// releaseLostRun releases a run whose end was not reported.
 func (s *Scheduler) releaseLostRun(now Time, r *run) {
 	r.task.lostAt = now
 	s.releaseRun(now, r)
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -1,6 +1,6 @@
-// Package scheduler decides what runs where: it takes what is known of jobs and
-// VMs, and the time, and returns orders. It is pure: no clocks, sockets or
-// store. One leader at a time feeds it and carries its orders out.
+// Package scheduler decides where tasks run: from the known state of jobs and VMs
+// and the current time it computes orders. It does no I/O and reads no clock. One
+// leader at a time feeds it and carries out its orders.
 package scheduler
 
 import (
@@ -9,42 +9,42 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Time is the leader's steady clock, since the start of the process.
+// Time is the leader's monotonic clock, measured from the start of the process.
 type Time = time.Duration
 
-// Settings are the deployment's bounds.
+// Settings are the limits set by the deployment.
 type Settings struct {
-	// MaxLease is the longest lease that a VM grants.
+	// MaxLease is the longest lease that a VM accepts.
 	MaxLease time.Duration
-	// StopTimeout is how long a stop may take at a VM.
+	// StopTimeout is how long a VM may take to stop a run.
 	StopTimeout time.Duration
 	// UnavailableDuration is how long a lasting task counts as unavailable after a
-	// notice; it limits how fast lasting tasks may be moved.
+	// stop notice. It limits the rate at which lasting tasks are moved.
 	UnavailableDuration time.Duration
-	// Policy is how the scheduler decides; nil is DefaultPolicy.
+	// Policy tunes the scheduling decisions; nil means DefaultPolicy.
 	Policy *Policy
 }
 
-// maxLeaseDuration is the lease taken where the VMs grant a longer one. It outlives a
-// network partition of some six seconds; and when a VM dies, what lasts there is
-// at work elsewhere within nine.
+// maxLeaseDuration limits the leases requested from VMs that accept longer ones. Eight
+// seconds survive a network partition of about six seconds, and lasting tasks of a VM
+// that dies run elsewhere within nine.
 const maxLeaseDuration = 8 * time.Second
 
-// Lease is how long a lease is taken for.
+// Lease returns the duration of the leases that the leader requests.
 func (s Settings) Lease() time.Duration { return min(s.MaxLease, maxLeaseDuration) }
 
-// runState is where a run is in its life, as the leader knows it.
+// runState is the phase of a run as known to the leader.
 type runState int
 
 const (
-	// starting: the order was given; it is not known to have been carried out.
+	// starting: the start was ordered and its outcome is not known yet.
 	starting runState = iota
 	running
-	// stopping: a stop was ordered; the run counts until its end is listed.
+	// stopping: a stop was ordered; the run occupies its VM until its end is reported.
 	stopping
 )
 
-// run is one start of a task on a VM.
+// run is one attempt of a task on a VM.
 type run struct {
 	task   *task
 	vm     *vm
@@ -52,39 +52,40 @@
 	state  runState
 	// orderedAt is when the start was ordered.
 	orderedAt Time
-	// confirmedAt is when the VM was known to have the run, listReadAt when it last told
-	// that it still has it; 0 before.
+	// confirmedAt is when the VM first confirmed the run, listedAt when a report last
+	// listed it; 0 if not yet.
 	confirmedAt, listedAt Time
-	// stopConfirmedAt is when the VM confirmed the stop; 0 before.
+	// stopConfirmedAt is when the VM confirmed the stop; 0 if not yet.
 	stopConfirmedAt Time
 	checkpoint      string
-	// progress is the share of its work that is done, in percent; for a lasting
-	// run, of its startup.
+	// progress is the completed share of the work in percent; for a lasting run, of
+	// its startup.
 	progress int
 	usage    float64
 	hasUsage bool
-	// fullPaceUsage is what a filler was seen to use at full pace, 0 before.
+	// fullPaceUsage is the usage of a filler observed at full pace; 0 if not yet observed.
 	fullPaceUsage float64
-	// orderedPace is the pace last ordered, in percent, at paceOrderedAt.
+	// orderedPace is the last ordered pace in percent, paceOrderedAt when it was ordered.
 	orderedPace   int
 	paceOrderedAt Time
-	// progressAt is when progress last changed; firstProgress is what it was at
-	// firstProgressAt, when it was first told.
+	// progressAt is when progress last changed; firstProgress is the progress first
+	// reported, at firstProgressAt.
 	progressAt, firstProgressAt Time
 	firstProgress               int
-	// startSent is set once the start is given, the last time at startSentAt: before, the run has
-	// certainly not begun.
+	// startSent is set once the start is sent, most recently at startSentAt. Until then
+	// the run has certainly not begun.
 	startSent   bool
 	startSentAt Time
-	// isTrial is set where nothing else was new on the VM when the run was started.
+	// isTrial is set if the VM had no other recent run when this run was started.
 	isTrial bool
-	// exclusive is set where nothing else is started on the VM while the run is new.
+	// exclusive is set if nothing else is started on the VM while this run is recent.
 	exclusive bool
-	// previousEnd is the end of its VM's start before, which may have had the run; nil for none.
+	// previousEnd is the end of the VM's previous incarnation, which may have had the
+	// run; nil for none.
 	previousEnd *vmEndRecord
-	// inStartLog is set once the run is in the log of starts.
+	// inStartLog is set once the run is in the start log.
 	inStartLog bool
-	// released is set when the run no longer counts on its VM.
+	// released is set once the run no longer occupies its VM.
 	released bool
 }
 
@@ -93,34 +94,34 @@
 	step  *step
 	index int
 	done  bool
-	// doneRun is the number of the run that ended as done, 0 when it is not known.
+	// doneRun is the number of the run that completed the task; 0 if unknown.
 	doneRun int64
-	// latestRun is the highest number of a run that may have been started and has ended.
+	// latestRun is the highest number of an ended run that may have been started.
 	latestRun int64
-	// failedRuns are the numbers of the runs that failed.
+	// failedRuns holds the numbers of the failed runs.
 	failedRuns []int64
-	// crashes are runs whose VM ended while they were new; crashVersion is the version
-	// of the job that has them, suspectSince when the task began to wait for a trial.
-	// intended is the number of the run that the next trial is to have, which is recorded
-	// as doubted before it is started; 0 for none.
+	// crashes are recent runs whose VM ended; crashVersion is the job version that
+	// includes them, suspectSince when the task began to wait for a trial. intendedRun
+	// is the run number of the next trial, recorded as an unconfirmed crash before the
+	// trial is started; 0 for none.
 	crashes      []crash
 	crashVersion int64
 	suspectSince Time
 	intendedRun  int64
-	// reservedVM is the VM that is kept for its trial.
+	// reservedVM is the VM reserved for the task's trial.
 	reservedVM *vm
-	// runs are the runs that have not ended; more than one only of a speculative step.
+	// runs are the runs that have not ended. Only tasks of speculative steps have more than one.
 	runs       []*run
 	checkpoint string
 	// notBefore delays the next start after a failure.
 	notBefore Time
-	// movedAt is when a run was last stopped to be started elsewhere.
+	// movedAt is when a run was last stopped in order to start it elsewhere.
 	movedAt Time
-	// lostAt is when a run was last given up whose end nobody has told.
+	// lostAt is when a run was last declared lost without a reported end.
 	lostAt Time
 	// lastRunEnd is when a run last ended.
 	lastRunEnd Time
-	// lastFailedOn is the VM where a run last failed; it is avoided.
+	// lastFailedOn is the VM where a run last failed; placement avoids it.
 	lastFailedOn string
 }
 
@@ -134,29 +135,29 @@
 	index int
 	spec  *batch.Step
 	tasks []task
-	// tasksLeft counts the tasks that are not done.
+	// tasksLeft counts the unfinished tasks.
 	tasksLeft int
-	// waiting counts the tasks that are neither done nor have a run.
+	// waiting counts the unfinished tasks without a run.
 	waiting int
-	// blockers counts the steps before it that are not done.
+	// blockers counts the unfinished steps that this step depends on.
 	blockers int
-	// queued is set while the step is in the scheduler's ready list.
+	// queued is set while the step is in Scheduler.readySteps.
 	queued bool
-	// runnableAt is when the steps before it were done.
+	// runnableAt is when the last step that this step depends on was done.
 	runnableAt Time
-	// advice is set where the queue has an adviser and was asked.
+	// advice is set if the queue has an adviser and it was asked.
 	advice *advice
-	// doneRateSum sums the progress rates, in percent a second, of the doneRuns
-	// runs that are done.
+	// doneRateSum is the sum of the progress rates, in percent per second, of the
+	// doneRuns completed runs.
 	doneRateSum float64
 	doneRuns    int
-	// rank is the step's place in the queue at the last plan.
+	// rank is the step's position in the queue at the last plan.
 	rank rank
-	// baseline is what the step's load alone does to its tails, where it serves.
+	// baseline estimates the tail latency of a serving step due to its own load.
 	baseline baseline
-	// tailSamples are the tails that its tasks have told of late, where it serves.
+	// tailSamples are the tails recently reported by the tasks of a serving step.
 	tailSamples tailSamples
-	// runsPerVM counts the runs on each VM, where the step bounds them.
+	// runsPerVM counts the runs on each VM if the step limits them.
 	runsPerVM map[*vm]int
 }
 
@@ -166,7 +167,7 @@
 	number    int
 	steps     []step
 	stepsLeft int
-	// dueAt is when the occurrence was due, on the leader's clock.
+	// dueAt is when the occurrence was due on the leader's clock.
 	dueAt Time
 }
 
@@ -175,9 +176,9 @@
 	spec  *batch.Job
 	queue string
 	pool  string
-	// submittedAt is when the caller first asked, as far as it is known.
+	// submittedAt is when the caller first submitted the job, as far as known.
 	submittedAt Time
-	// objective is the time from submittedAt in which the job should be done.
+	// objective is the target duration from submittedAt to completion.
 	objective    time.Duration
 	criticalPath time.Duration
 	work         float64
@@ -185,138 +186,139 @@
 	priority     int
 	advice       *batch.Advice
 	state        batch.State
-	// durableState is the state that the store has; callers are told final
-	// states only from it.
+	// durableState is the state in the store. Final states are reported to callers
+	// only once they are durable.
 	durableState batch.State
 	started      bool
 	// running counts the job's runs.
 	running int
-	// predatesLeader is set when the job was there before this leader took over: its
-	// tasks may run where this leader has not heard yet.
+	// predatesLeader is set if the job existed before this leader took over: its tasks
+	// may run on VMs that have not reported to this leader yet.
 	predatesLeader bool
 	occs           map[int]*occurrence
 	// nextOcc is the first occurrence that has not been created.
 	nextOcc int
-	// doneOccs counts finished occurrences; all below doneLow are finished.
+	// doneOccs are the finished occurrences from doneLow on; all below doneLow are finished.
 	doneOccs map[int]bool
 	doneLow  int
-	// version counts changes of the durable part; a write covers the version that it was made from.
+	// version counts changes of the durable state; a write covers the version that it
+	// was made from.
 	version int64
-	// writtenVersion is the version that the store has.
+	// writtenVersion is the version in the store.
 	writtenVersion int64
-	// recordRevision is the store revision of the job's progress record, 0 for none.
+	// recordRevision is the store revision of the job's progress record; 0 for none.
 	recordRevision int64
 	endedAt        Time
-	// restoredProgress is the record that occurrences opened later start from.
+	// restoredProgress is the stored record from which occurrences opened later start.
 	restoredProgress *Progress
-	// recentOccurrences are the occurrences that ended of late, with the runs that count.
+	// recentOccurrences are recently ended occurrences with the runs that completed their tasks.
 	recentOccurrences []OccurrenceProgress
-	// held is set when the record of the job's progress can't be read: what is done
-	// is not known, so that nothing of it may be started.
+	// held is set if the progress record of the job can't be read. It is then unknown
+	// which tasks are done, so none may be started.
 	held bool
 }
 
-// vm is one start of a VM that the leader knows; see restarts.go.
+// vm is one incarnation of a VM known to the leader; see restarts.go.
 type vm struct {
-	// inst is the entry on the list. It may be that of another start: born is the birth of
-	// the one that reports, 0 before it is told, and firstReportAt when it was first heard.
+	// inst is the entry on the list, possibly that of another incarnation. born identifies
+	// the incarnation that reports (0 if unknown), firstReportAt is the time of its first report.
 	inst          batch.Instance
 	born          int64
 	firstReportAt Time
-	// listed is set while the store's list has the instance.
+	// listed is set while the instance is on the store's list.
 	listed bool
-	// token is the fencing token of what is sent to this start: higher than that of what this
-	// leader sent to the one before, unless needsToken is set. lastHoldToken is that of the last
-	// hold. guarded is set where there was none before, or once the start has answered a hold
-	// with token: from then on it refuses what was sent to the one before.
+	// token is the fencing token of messages to this incarnation: higher than that of
+	// messages to the previous one, unless needsToken is set. lastHoldToken is that of the
+	// last hold. fenced is set if there was no previous incarnation, or once this one has
+	// responded to a hold with token: it then refuses messages sent to the previous one.
 	token, lastHoldToken int64
 	needsToken, fenced   bool
-	// initiallyStale is set where its entry had not been written for long when it was first seen.
+	// initiallyStale is set if the entry had not been updated for long when first seen.
 	initiallyStale bool
-	// unlistedAt is when it left the list.
+	// unlistedAt is when the instance left the list.
 	unlistedAt Time
 	// hasReported is set once the instance has seen this leader's fencing token and
-	// told what it runs.
+	// reported its runs.
 	hasReported  bool
 	lastReportAt Time
 	clock        clock
 	runs         map[batch.TaskID]*run
-	// runList holds runs in the order in which they were taken on: what is decided for
-	// one after the other must not follow the order of a map, or equal inputs would give
-	// other plans. It is replaced, not changed, when a run goes, so that loops may end runs.
+	// runList holds the runs in the order in which they were attached. Iterating over the
+	// map instead would make plans for equal inputs differ. It is replaced, not modified,
+	// when a run is detached, so that loops over it may end runs.
 	runList []*run
 	used    batch.Resources
-	// fillerCPU is what the fillers here would like to use, in thousandths of a processor.
+	// fillerCPU is the CPU demand of the fillers here, in thousandths of a processor.
 	fillerCPU int64
-	// servingRuns counts the serving runs, servingCPU what they declared, in
+	// servingRuns counts the serving runs, servingCPU is their declared need in
 	// thousandths of a processor.
 	servingRuns int
 	servingCPU  int64
-	// shortCPU is what tasks that hold processors for a while only declared.
+	// shortCPU is the declared need of short tasks, in thousandths of a processor.
 	shortCPU int64
-	// processedSeq is the highest end sequence that was processed, durable the highest
-	// whose effects are written, to be acknowledged.
+	// processedSeq is the highest sequence number of a processed end, durableSeq the
+	// highest whose effects are in the store, so that it may be acknowledged.
 	processedSeq int64
 	durableSeq   int64
-	// deferredEnds are ends of jobs that are not known, by their number; strangers the
-	// runs of such jobs.
+	// deferredEnds are ends of unknown jobs by sequence number, unknownRuns the runs of
+	// such jobs.
 	deferredEnds map[int64]batch.RunEnd
 	unknownRuns  map[batch.TaskID]int64
-	// expirySeq is the highest end that says that a lease lapsed. Every run here up to
-	// the number maxExpiredRun began before a moment at which all leases here were over.
+	// expirySeq is the highest end that reports an expired lease. Every run here with a
+	// number up to maxExpiredRun began before a moment at which all leases here had expired.
 	expirySeq, maxExpiredRun int64
-	// expiredLeaseEnd is the leaseExpiry that maxExpiredRun was taken at.
+	// expiredLeaseEnd is the leaseExpiry for which maxExpiredRun was determined.
 	expiredLeaseEnd Time
-	// missingSince is when the machine service's list was asked for that first lacked the
-	// instance; 0 when the last one had it.
+	// missingSince is when the first machine service list without the instance was
+	// requested; 0 if the last list had it.
 	missingSince Time
-	// ackLimit, where set, is the first end that is never acknowledged; see withhold.
+	// ackLimit, if set, is the first end that is never acknowledged; see withhold.
 	ackLimit int64
-	// unwantedRuns are runs that do not count and were ordered to stop.
+	// unwantedRuns are runs on the VM that belong to no open task and were ordered to stop.
 	unwantedRuns []unwantedRun
-	// health rates failures of late; see health.go.
+	// health tracks recent failures; see health.go.
 	health health
-	// otherIncarnation is set when an order was answered by another start than the one that reported,
-	// until the next report.
+	// otherIncarnation is set when a different incarnation than the one that reported
+	// responds to an order; cleared by the next report.
 	otherIncarnation bool
 	// leaseUntil is the end of the lease on the instance's clock.
 	leaseUntil time.Duration
-	// holdWait is how long the last hold waits for an end.
+	// holdWait is how long the VM waits for an end before it responds to the last hold.
 	holdWait time.Duration
-	// closed VMs are being emptied for maintenance and take no new tasks.
+	// closed is set while the VM is emptied for maintenance and accepts no new tasks.
 	closed bool
-	// holdUnanswered is set while a hold has no answer, firstUnansweredAt when the first hold
-	// failed since it was last heard, 0 for none; unansweredHolds counts them.
+	// holdUnanswered is set while the last hold has failed. firstUnansweredAt is when the
+	// first hold since the last report failed (0 for none), unansweredHolds counts them.
 	holdUnanswered    bool
 	firstUnansweredAt Time
 	unansweredHolds   int
-	// connectionClosed is set where the first of them found its connection closed.
+	// connectionClosed is set if the first of them failed because its connection was closed.
 	connectionClosed bool
-	// trialRun is a suspect's run, beside which nothing is started while it is new; reservedTask is the suspect
-	// that the VM is kept for until reservedUntil.
+	// trialRun is the run of a suspect; nothing is started beside it while it is recent.
+	// reservedTask is the suspect for which the VM is reserved until reservedUntil.
 	trialRun      *run
 	reservedTask  *task
 	reservedUntil Time
-	// leaseExpiry is when everything there has certainly ended, unless the lease is renewed.
+	// leaseExpiry is when all runs on the VM have certainly ended unless the lease is renewed.
 	leaseExpiry Time
-	// paceOrderedAt is when the pace of a filler here was last changed; overTargetSince when
-	// a serving task was first seen over its target, 0 when none is.
+	// paceChangedAt is when the pace of a filler here was last changed; overTargetSince is
+	// since when a serving task has been over its target, 0 if none is.
 	paceChangedAt   Time
 	overTargetSince Time
-	// fillerPaceCap bounds the pace of all fillers, in percent, after a tail was over
-	// its target for long with nobody to blame; changed at fillerPaceCapAt.
+	// fillerPaceCap limits the pace of all fillers, in percent, after a tail was over its
+	// target for long without an identified cause; it was last changed at fillerPaceCapAt.
 	fillerPaceCap   int
 	fillerPaceCapAt Time
-	// lastSample is the report that the next one is compared with.
+	// lastSample is the sample that the next report is compared with.
 	lastSample reportSample
-	// recentFillers are the fillers that ended so recently that the figures show them.
+	// recentFillers are ended fillers whose usage still affects the reported metrics.
 	recentFillers []endedFiller
-	// tailExcess is how much longer the tails here are than predicted, as a logarithm.
+	// tailExcess is the logarithm of the ratio of reported to predicted tails.
 	tailExcess float64
-	// tails is worked out from runs; see predictedTails.
+	// tails is computed from runs; see predictedTails.
 	tails []tail
-	// fillerCapacity is what fillers may use, fillerFullUse what those that run use at full pace,
-	// in thousandths of a processor; worked out with the tails.
+	// fillerCapacity is the CPU that fillers may use, fillerFullUse what the running ones
+	// use at full pace, in thousandths of a processor; computed together with tails.
 	fillerCapacity, fillerFullUse float64
 	tailsAt                       Time
 	tailsStale                    bool
@@ -325,81 +327,81 @@
 // clock relates an instance's clock to the leader's.
 type clock struct {
 	known bool
-	// at and value are a reading: the instance's clock was value at some moment
-	// between sentAt and gotAt.
+	// The instance's clock read value at some moment between sentAt and gotAt.
 	sentAt, gotAt Time
 	value         time.Duration
 }
 
-// minClockRate is the least rate of an instance's clock: it may be 2 % slow.
+// minClockRate is the minimum rate of an instance's clock, which may be 2 % slow.
 const minClockRate = 0.98
 
-// Scheduler is the leader's state.
+// Scheduler holds a leader's view of jobs and VMs. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	policy   Policy
 	fence    int64
 	// maxToken is the highest fencing token that this leader may use; see restarts.go.
 	maxToken int64
-	// nextRun numbers runs. The fencing token is in the upper bits, so that run
-	// numbers rise over all leaders without being stored.
+	// nextRun is the next run number. Its upper bits are the fencing token, so that run
+	// numbers increase across leaders without being stored.
 	nextRun    int64
 	config     *batch.Config
 	vms        map[string]*vm
 	vmList     []*vm
 	jobs       map[string]*job
 	readySteps []*step
-	// timedJobs are the jobs with occurrences still to come.
+	// timedJobs are the jobs with future occurrences.
 	timedJobs map[string]*job
 	dirtyJobs map[string]*job
 	waves     map[int64]*wave
-	// hasUnguardedPools is set where a pool has VMs that do not guard their capacity.
+	// hasUnguardedPools is set if the VMs of some pool do not enforce their capacity.
 	hasUnguardedPools bool
-	// listReadAt is when the list of VMs was last read.
+	// listReadAt is when the VM list was last read.
 	listReadAt Time
-	// recentVMEnds are the VMs that ended of late, doubts the runs that may have ended a VM.
-	// classifiedVMEnds are the ends of VMs that are being judged, or were of late.
+	// recentVMEnds are the incarnations that ended recently, unconfirmedCrashes the runs
+	// that may have ended an incarnation. classifiedVMEnds are the VM ends that are being
+	// classified or were recently.
 	recentVMEnds       map[vmIncarnation]vmEnd
 	unconfirmedCrashes map[vmIncarnation]map[*task]int64
 	classifiedVMEnds   []*vmEndRecord
 	startLog           startLog
-	// endedUnreported is set once a VM that an earlier leader may have used has ended, or was
-	// waited out, before it was heard.
+	// endedUnreported is set once a VM that an earlier leader may have used ended before
+	// its first report to this leader, or the wait for that report timed out.
 	endedUnreported bool
-	// trialCursor is where the next look for a VM for a trial begins.
+	// trialCursor is the position in vmList where the next search for a trial VM begins.
 	trialCursor int
-	// machines is the machine service's list; nil before it was read.
+	// machines is the machine service's list; nil until it is read.
 	machines map[string]batch.Machine
-	// awaitedVMs are instances that an earlier leader may have given work to and
-	// that have not been heard, with the moment when they need not be waited for.
+	// awaitedVMs are instances that may run tasks of an earlier leader and have not
+	// reported yet, with the time when the wait for each ends.
 	awaitedVMs map[string]Time
-	// expiredLeases is what was known of the leases of VMs that were forgotten and may come back.
+	// expiredLeases holds the lease state of forgotten VMs, which may return.
 	expiredLeases map[string]ExpiredLease
-	// unknownJobsSince are the jobs that VMs tell of and that are not known, with the moment
-	// when they were first told of; absent those that the store does not have.
+	// unknownJobsSince are the unknown jobs that VMs report, with the time of the first
+	// such report; absentJobs those that are not in the store.
 	unknownJobsSince map[string]Time
 	absentJobs       map[string]Time
-	// leadConfirmedAt is the last moment before which no other leader can have been elected.
+	// leadConfirmedAt is the latest moment before which no other leader can have been elected.
 	leadConfirmedAt Time
-	// newJobsRevision is the store's revision after which jobs were created that no earlier
-	// leader has taken up; 0 before it is known.
+	// newJobsRevision is the store revision after which created jobs cannot have been
+	// accepted by an earlier leader; 0 until it is known.
 	newJobsRevision int64
 	orders          []Order
-	// planNeeded is set when a plan may find something new to do.
+	// planNeeded is set when a new plan may differ from the last one.
 	planNeeded bool
-	// startBudget is how many more starts may be decided; see Throttle.
+	// startBudget limits the starts that may still be decided; see SetStartBudget.
 	startBudget StartBudget
-	// startLimitHitAt is when it last left some out, 0 for never.
+	// startLimitHitAt is when the budget last prevented starts; 0 for never.
 	startLimitHitAt Time
-	// meanWork is the mean work of each queue's jobs of late, in processor seconds.
+	// meanWork is the mean work of each queue's recent jobs, in processor seconds.
 	meanWork map[string]float64
 	images   effectModel
 	reserve  reserve
-	// candidates is the list in use for the step that is being placed.
+	// candidates is the candidate list of the step that is being placed.
 	candidates candidates
 	// crowded is set while lasting and short tasks declare most of all processors.
 	crowded bool
-	// reportedVMs counts the VMs that are heard, nonServingVMs those of them that serve nothing.
+	// reportedVMs counts the reachable VMs, nonServingVMs those of them without serving runs.
 	reportedVMs, nonServingVMs int
 	logf                       func(Decision)
 	plannedAt                  Time
@@ -409,11 +411,11 @@
 	loadLoggedAt Time
 }
 
-// runNumberBits is how many runs one leader may number: 2^24.
+// runNumberBits allows one leader to number 2^24 runs.
 const runNumberBits = 24
 
-// New returns a scheduler for the leader with the given fencing token. log
-// receives a line for each decision.
+// New returns a scheduler for the leader with the given fencing token. log is
+// called for each decision; it may be nil.
 func New(settings Settings, fence int64, log func(Decision)) *Scheduler {
 	if log == nil {
 		log = func(Decision) {}
@@ -429,38 +431,38 @@
 	}
 }
 
-// Decision is a line for the log: an event of the closed list in docs/OPERATIONS.md
-// with what it is about and what decided it.
+// Decision is a log line: an event of the closed list in docs/OPERATIONS.md, its
+// subject and its reason.
 type Decision struct {
 	Event string
 	Job   string
 	Task  batch.TaskID
 	VM    string
 	Run   int64
-	// Reason names the input that decided.
+	// Reason names the input that led to the decision.
 	Reason string
-	// Age is the age of that input, or how long the subject waited.
+	// Age is the age of that input, or how long the subject has waited.
 	Age time.Duration
-	// Group is that of the queue which a start's step stood in.
+	// Group is the queue group of the step whose task is started.
 	Group string
-	// Value is a figure that goes with the reason.
+	// Value is a number that belongs to the reason.
 	Value float64
-	// MinLifetime is how long a run that was lost is known to have run, MaxLifetime the longest
-	// that it can have: until its VM first left a hold without an answer. A run that ends
-	// its VM as it begins has lived for some milliseconds each time.
+	// MinLifetime is how long a lost run is known to have run, MaxLifetime the longest that
+	// it can have run, which is until a hold to its VM first went unanswered. Runs that end
+	// their VM as they begin live for a few milliseconds each time.
 	MinLifetime, MaxLifetime time.Duration
-	// RecentRuns counts the runs on a VM that is gone that had just begun there.
+	// RecentRuns counts the runs that had just begun on a VM that is gone.
 	RecentRuns int
-	// SinceReport is how long the VM has not been heard, LeaseLeft how long a lease that
-	// this leader took may still last there; negative when it is over. Both are told
-	// where the end of a VM, or of what it runs, is concluded.
+	// SinceReport is the time since the VM's last report, LeaseLeft how long a lease of
+	// this leader may still be valid there (negative if expired). Both are set where the
+	// end of a VM or of its runs is inferred.
 	SinceReport, LeaseLeft time.Duration
-	// Born is which start of the VM it is about, Acked the highest end that was
-	// acknowledged to it. Told where a VM is heard or started again, or a run is not listed.
+	// Born identifies the VM's incarnation, Acked the highest end acknowledged to it. They
+	// are set where a VM first reports or restarts, or a run is not listed.
 	Born, Acked int64
 }
 
-// OrderKind is what an order asks of an instance.
+// OrderKind is the type of an order.
 type OrderKind int
 
 // The kinds of order.
@@ -468,16 +470,16 @@
 	OrderStart OrderKind = iota
 	OrderStop
 	OrderPace
-	// OrderAdvise asks the adviser which of Candidates may run the task's step;
-	// the outcome is reported with Advised.
+	// OrderAdvise asks the adviser which of Candidates may run the task's step; the
+	// leader passes the outcome to Advised.
 	OrderAdvise
-	// OrderMaintain begins the maintenance of Machine; the outcome is reported
-	// with Maintained.
+	// OrderMaintain begins the maintenance of Machine; the leader passes the outcome to
+	// HandleMaintenanceResult.
 	OrderMaintain
 )
 
-// Order is for an instance. The leader carries it out and reports the outcome
-// with Started or Stopped.
+// Order is an instruction for an instance. The leader carries it out and passes the
+// outcome to Started or Stopped.
 type Order struct {
 	Kind     OrderKind
 	Instance batch.Instance
@@ -485,7 +487,7 @@
 	Task     batch.TaskID
 	Run      int64
 	Percent  int
-	// Candidates are instance IDs.
+	// Candidates are the IDs of the instances that OrderAdvise names.
 	Candidates []string
 	// Machine and Wave name a maintenance.
 	Machine string
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -1,7 +1,8 @@
 package scheduler
 
-// ShouldResendStart reports whether the run of a start that was ordered is to be: it counts, and
-// was not ordered to stop, and its VM has not started again. The start is then given again, now.
+// ShouldResendStart reports whether an ordered start is to be sent again: its run still
+// counts, was not ordered to stop, and its VM has not restarted. If so, it records now as
+// the time of the start.
 func (s *Scheduler) ShouldResendStart(now Time, o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
@@ -15,8 +16,8 @@
 	return true
 }
 
-// StopUnconfirmed reports whether the run of a stop that was ordered still counts, and its
-// VM has not confirmed the stop.
+// StopUnconfirmed reports whether the run of an ordered stop still occupies its VM and
+// the VM has not confirmed the stop.
 func (s *Scheduler) StopUnconfirmed(o Order) bool {
 	v := s.vms[o.Instance.ID]
 	if v == nil {
