--- a/internal/scheduler/accounts.go
+++ b/internal/scheduler/accounts.go
@@ -8,12 +8,12 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// An end may be acknowledged once it is accounted for: its effect is in a durable
-// record, or it has none for certain. What is acknowledged is forgotten at its VM:
-// the end of a job that this leader has yet to learn would be lost, and the task
-// started again; and an end of a run that does not count would make two of one task.
+// An end may be acknowledged once it is accounted for: its effect is durable, or it
+// certainly has none. The VM forgets acknowledged ends. Acknowledged too early, the end
+// of a job that is not known here yet would be lost and its task started again, and the
+// end of a superseded run would count its task as executed twice.
 
-// processEnds takes those ends over that are new.
+// processEnds processes the ends that were not processed before.
 func (s *Scheduler) processEnds(now Time, v *vm, ends []batch.RunEnd) {
 	known := v.processedSeq
 	for i := range ends {
@@ -35,7 +35,7 @@
 	}
 }
 
-// processKnownEnd takes one end of a known job over.
+// processKnownEnd processes one end whose job is known, or known not to exist.
 func (s *Scheduler) processKnownEnd(now Time, v *vm, e *batch.RunEnd) {
 	s.openReported(now, e.Task)
 	if e.Kind == batch.EndDone && !v.expiredAfter(e) && s.isSuperseded(e) {
@@ -45,15 +45,15 @@
 	s.processEnd(now, v, e)
 }
 
-// expiredAfter reports whether every lease on the VM was over at some moment after
-// the end: then the run was given up rightly, and its end binds nobody. The VM tells of
-// a lapse only where something was running still.
+// expiredAfter reports whether every lease on the VM had expired at some moment after the
+// end. The run was then correctly declared lost, and its end need not count. VMs report
+// an expiry only if it ended a run, hence the check of maxExpiredRun.
 func (v *vm) expiredAfter(e *batch.RunEnd) bool {
 	return e.Seq < v.expirySeq || e.Run <= v.maxExpiredRun
 }
 
-// isSuperseded reports whether a later run of the task was started although this end
-// says that it was done. Run numbers rise with each start.
+// isSuperseded reports whether a later run of the task, which has a higher number, was
+// started although this end reports the task as done.
 func (s *Scheduler) isSuperseded(e *batch.RunEnd) bool {
 	j := s.jobs[e.Task.Job]
 	if j == nil || e.Task.Step >= len(j.spec.Steps) {
@@ -68,7 +68,7 @@
 	return j.countedRun(e.Task) > e.Run
 }
 
-// latestStarted is the highest number of a run of the task that may have been started.
+// latestStarted returns the highest number of a run of the task that may have been started.
 func (t *task) latestStarted() int64 {
 	latest := max(t.latestRun, t.doneRun)
 	for _, r := range t.runs {
@@ -77,10 +77,10 @@
 	return latest
 }
 
-// withhold leaves an end unacknowledged for good: the task was started again, though
-// no lease ran out in between. The later run counts; to take note of the first one's
-// end now would make two of it. What comes after it can't be acknowledged either, so
-// that the VM gets nothing new.
+// withhold leaves an end unacknowledged permanently: the task was started again although
+// no lease expired in between. The later run counts; acknowledging the earlier end too
+// would count the task as executed twice. Later ends of the VM can't be acknowledged
+// either, so it gets no new work.
 func (s *Scheduler) withhold(v *vm, e *batch.RunEnd) {
 	if v.ackLimit == 0 {
 		v.ackLimit = e.Seq
@@ -88,25 +88,25 @@
 	s.logf(Decision{Event: EventEndWithheld, Task: e.Task, VM: v.inst.ID, Run: e.Run})
 }
 
-// accountedSeq is the highest end up to which all are accounted for, once what is
-// pending is written.
+// accountedSeq returns the highest sequence number up to which all ends are accounted
+// for once the pending records are written.
 func (v *vm) accountedSeq() int64 {
-	mark := v.processedSeq
+	last := v.processedSeq
 	if v.ackLimit > 0 {
-		mark = min(mark, v.ackLimit-1)
+		last = min(last, v.ackLimit-1)
 	}
 	for seq := range v.deferredEnds {
-		mark = min(mark, seq-1)
+		last = min(last, seq-1)
 	}
-	return mark
+	return last
 }
 
-// ackableSeq is the highest end that may be acknowledged.
+// ackableSeq returns the highest end that may be acknowledged.
 func (v *vm) ackableSeq() int64 { return v.durableSeq }
 
-// jobUnresolved reports whether a VM may know more of a job than this leader: its watch is
-// late or silent, and an earlier leader took the job on; or the job is held, since what
-// is known of it can't be read.
+// jobUnresolved reports whether reports about a job have to be deferred: either the job is
+// unknown, possibly because this leader's watch is late and an earlier leader accepted the
+// job, or the job is held because its record can't be read.
 func (s *Scheduler) jobUnresolved(job string) bool {
 	if j := s.jobs[job]; j != nil {
 		return j.held && !j.state.Final()
@@ -119,12 +119,12 @@
 	if s.jobs[job] != nil {
 		return
 	}
-	if _, noted := s.unknownJobsSince[job]; !noted {
+	if _, recorded := s.unknownJobsSince[job]; !recorded {
 		s.unknownJobsSince[job] = now
 	}
 }
 
-// deferEnd keeps an end until its job is known, or known not to exist.
+// deferEnd keeps an end until its job is known or known not to exist.
 func (s *Scheduler) deferEnd(now Time, v *vm, e *batch.RunEnd) {
 	if v.deferredEnds == nil {
 		v.deferredEnds = map[int64]batch.RunEnd{}
@@ -134,8 +134,8 @@
 	s.logf(Decision{Event: EventEndDeferred, Task: e.Task, VM: v.inst.ID, Run: e.Run, Reason: string(e.Kind)})
 }
 
-// recordUnknownRun notes a run of a job that is not known, or held: the VM gets nothing
-// new while nobody knows what the run needs.
+// recordUnknownRun records a run of an unknown or held job. While there is such a run, its
+// resource needs are unknown and the VM gets no new work.
 func (v *vm) recordUnknownRun(st *batch.RunStatus) {
 	if v.unknownRuns == nil {
 		v.unknownRuns = map[batch.TaskID]int64{}
@@ -143,12 +143,13 @@
 	v.unknownRuns[st.Task] = st.Run
 }
 
-// UnknownJobs returns the jobs that VMs have told of for so long and that this leader does
-// not know, by ID. The store has to be asked: each is then to be given to Submit or Absent.
+// UnknownJobs returns the sorted IDs of unknown jobs that were first reported at least
+// since ago. The caller reads them from the store and passes each to Submit, JobAbsent or
+// JobUnreadable.
 func (s *Scheduler) UnknownJobs(now Time, since time.Duration) []string {
 	var ids []string
-	for id, told := range s.unknownJobsSince {
-		if now-told >= since {
+	for id, at := range s.unknownJobsSince {
+		if now-at >= since {
 			ids = append(ids, id)
 		}
 	}
@@ -156,24 +157,24 @@
 	return ids
 }
 
-// unreadableRetryDelay is the pause before a job whose record can't be read is asked for
-// again: somebody has to mend it.
+// unreadableRetryDelay is the delay before an unreadable job is read again. It is long,
+// since the record has to be repaired by an operator.
 const unreadableRetryDelay = 5 * time.Second
 
-// JobUnreadable notes that the store has such a job, whose record can't be read: what VMs
-// tell of it is kept.
+// JobUnreadable records that the job is in the store but can't be read. Reports about it
+// stay deferred.
 func (s *Scheduler) JobUnreadable(now Time, id string) {
 	if s.jobs[id] == nil {
 		s.unknownJobsSince[id] = now + unreadableRetryDelay
 	}
 }
 
-// absentJobRetention is how long it is remembered that a job does not exist, in which its
-// VMs' next reports come in. After that the store is asked anew.
+// absentJobRetention is how long a job is remembered as nonexistent. The next reports of
+// its VMs arrive within that time; later ones make the leader read the store again.
 const absentJobRetention = time.Minute
 
-// JobAbsent notes that the store has no such job: its record was removed long after its
-// end. What VMs tell of it has no effect.
+// JobAbsent records that the job is not in the store, because its record was removed long
+// after its end. Reports about it have no effect.
 func (s *Scheduler) JobAbsent(now Time, id string) {
 	if s.jobs[id] != nil {
 		return
@@ -182,7 +183,7 @@
 	s.processDeferred(now, id)
 }
 
-// expireAbsentJobs drops what is old of the jobs that do not exist.
+// expireAbsentJobs removes old entries of nonexistent jobs.
 func (s *Scheduler) expireAbsentJobs(now Time) {
 	for id, at := range s.absentJobs {
 		if now-at > absentJobRetention {
@@ -191,10 +192,10 @@
 	}
 }
 
-// processDeferred takes over what VMs have told of a job before it was known, or while it was
-// held: ends first, in their order.
+// processDeferred processes the reports about a job from before it was known or while it
+// was held. Ends come first, in the order of their sequence numbers.
 func (s *Scheduler) processDeferred(now Time, id string) {
-	if _, told := s.unknownJobsSince[id]; !told && (s.jobs[id] == nil || !s.jobs[id].held) {
+	if _, reported := s.unknownJobsSince[id]; !reported && (s.jobs[id] == nil || !s.jobs[id].held) {
 		return
 	}
 	delete(s.unknownJobsSince, id)
@@ -209,7 +210,7 @@
 	s.planNeeded = true
 }
 
-// takeUnknownRuns removes the runs of a job that was not known and returns them.
+// takeUnknownRuns removes and returns the recorded runs of an unknown job.
 func (v *vm) takeUnknownRuns(job string) []batch.RunStatus {
 	var found []batch.RunStatus
 	for task, number := range v.unknownRuns {
@@ -222,7 +223,7 @@
 	return found
 }
 
-// takeDeferredEnds removes the deferred ends of a job and returns them by their number.
+// takeDeferredEnds removes and returns the deferred ends of a job in sequence order.
 func (v *vm) takeDeferredEnds(job string) []batch.RunEnd {
 	var ends []batch.RunEnd
 	for seq, e := range v.deferredEnds {
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -8,41 +8,41 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Some queues have a policy that allows only some VMs to run a step, and only an
-// adviser knows which. It answers one question at a time, and the longer the more
-// VMs are named; what it allows for a step does not change, but its tickets expire.
+// An external adviser decides which VMs may run the steps of some queues. It handles one
+// request at a time, and a request takes longer the more VMs it names. The VMs that are
+// allowed for a step do not change, but their tickets expire.
 
 const (
-	// maxAdviceVMs is how many VMs one question names: what a job's objective allows
-	// for, and enough to find several good ones where one in five is.
+	// maxAdviceVMs limits the VMs per request. A response for 30 VMs is fast enough for the
+	// jobs' objectives, and finds several allowed VMs if one in five is.
 	maxAdviceVMs = 30
-	// adviceRetryInterval is the wait after a question that was not answered.
+	// adviceRetryInterval is the delay after a failed request, or if there is no VM to ask about.
 	adviceRetryInterval = 150 * time.Millisecond
-	// ticketMargin is kept of a ticket's life for the start's way to the VM.
+	// ticketMargin is subtracted from a ticket's validity to allow for the delivery of the start.
 	ticketMargin = 300 * time.Millisecond
 )
 
-// ticket is the adviser's leave for one VM.
+// ticket is the adviser's permission to run a step on one VM.
 type ticket struct {
 	text    string
 	expires Time
-	// born is the start of the VM that it was asked for.
+	// born identifies the VM's incarnation for which it was requested.
 	born int64
 }
 
-// advice is what is known of a step's VMs, by instance ID.
+// advice holds the adviser's responses for a step. Its maps are keyed by instance ID.
 type advice struct {
-	// pending is set while a question is under way; nextAskAt is when the next may be.
+	// pending is set while a request is in progress; nextAskAt is the earliest time of the next.
 	pending   bool
 	nextAskAt Time
 	tickets   map[string]ticket
-	// refused are the VMs that the adviser did not allow, with their starts.
+	// refused are the VMs that the adviser did not allow, with their incarnations.
 	refused map[string]int64
-	// asked are the starts of the VMs that are asked about.
+	// asked are the incarnations of the VMs in the last request.
 	asked map[string]int64
 }
 
-// validTicket reports whether the VM may run the step now, and its ticket.
+// validTicket returns the VM's ticket for the step and whether it is valid now.
 func (st *step) validTicket(now Time, v *vm) (string, bool) {
 	if st.advice == nil {
 		return "", false
@@ -54,7 +54,7 @@
 // needsAdvice reports whether the step's queue has an adviser.
 func (s *Scheduler) needsAdvice(st *step) bool { return st.occ.job.advice != nil }
 
-// askAdvice asks for VMs for a step that found none with a ticket.
+// askAdvice requests advice for a step without a usable VM that has a ticket.
 func (s *Scheduler) askAdvice(now Time, st *step) {
 	a := st.advice
 	if a == nil {
@@ -79,13 +79,13 @@
 	})
 }
 
-// adviceCandidates chooses the VMs to name: those known to be good first, then those
-// with the most room that were not asked about.
+// adviceCandidates chooses the VMs for a request: first those that had a ticket before,
+// then those with the best score that the adviser has not refused.
 func (s *Scheduler) adviceCandidates(now Time, st *step) []string {
 	a := st.advice
 	type candidate struct {
 		id    string
-		good  bool
+		known bool
 		score float64
 	}
 	var list []candidate
@@ -95,14 +95,14 @@
 		if o := s.placementObstacle(now, v, t); (refused && v.matchesBirth(born)) || (o != obstacleNone && o != obstacleAdvice) {
 			continue
 		}
-		old, known := a.tickets[v.inst.ID]
-		good := known && v.matchesBirth(old.born)
+		old, ok := a.tickets[v.inst.ID]
+		known := ok && v.matchesBirth(old.born)
 		score, _ := s.score(now, v, st.spec)
-		list = append(list, candidate{v.inst.ID, good, score})
+		list = append(list, candidate{v.inst.ID, known, score})
 	}
 	slices.SortStableFunc(list, func(x, y candidate) int {
-		if x.good != y.good {
-			if x.good {
+		if x.known != y.known {
+			if x.known {
 				return -1
 			}
 			return 1
@@ -116,9 +116,9 @@
 	return ids
 }
 
-// Advised takes an answer over; ok is false when there was none. good maps the
-// allowed instances to their tickets, which live for validFor from askedAt on.
-func (s *Scheduler) Advised(now, askedAt Time, o Order, good map[string]string, validFor time.Duration, ok bool) {
+// Advised processes the outcome of an advice request; ok is false if it failed. granted
+// maps the allowed instances to their tickets, which are valid for validFor from askedAt.
+func (s *Scheduler) Advised(now, askedAt Time, o Order, granted map[string]string, validFor time.Duration, ok bool) {
 	j := s.jobs[o.Task.Job]
 	if j == nil || j.occs[o.Task.Occurrence] == nil || o.Task.Step >= len(j.occs[o.Task.Occurrence].steps) {
 		return
@@ -133,11 +133,11 @@
 		a.nextAskAt = now + adviceRetryInterval
 		return
 	}
-	if len(good) == 0 {
+	if len(granted) == 0 {
 		s.logf(Decision{Event: EventAdviceNone, Task: o.Task, Value: float64(len(o.Candidates)), Age: now - askedAt})
 	}
 	for _, id := range o.Candidates {
-		if text, allowed := good[id]; allowed {
+		if text, allowed := granted[id]; allowed {
 			a.tickets[id] = ticket{text: text, expires: askedAt + validFor - ticketMargin, born: a.asked[id]}
 		} else {
 			a.refused[id] = a.asked[id]
@@ -145,7 +145,7 @@
 	}
 }
 
-// dropTicket forgets a ticket that a VM did not take.
+// dropTicket removes a ticket that a VM refused.
 func (st *step) dropTicket(id string) {
 	if st.advice != nil {
 		delete(st.advice.tickets, id)
--- a/internal/scheduler/dump.go
+++ b/internal/scheduler/dump.go
@@ -6,23 +6,24 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Dump is the scheduler's state in figures.
+// Dump is a snapshot of the scheduler's state for operators.
 type Dump struct {
 	Fence int64 `json:"fence"`
-	// OpenJobs have no final state; WaitingTasks could run and have no place.
+	// OpenJobs counts the jobs without a final state, WaitingTasks the runnable tasks
+	// without a run.
 	OpenJobs     int      `json:"open_jobs"`
 	WaitingTasks int      `json:"waiting_tasks"`
 	Awaited      []string `json:"silent,omitempty"`
 	VMs          []VMDump `json:"vms"`
 	Interference string   `json:"interference"`
-	// ReserveShare is the part of each VM kept from lasting tasks.
+	// ReserveShare is the share of the VMs' capacity kept free of lasting tasks.
 	ReserveShare float64 `json:"reserve_share"`
 }
 
-// VMDump is one instance.
+// VMDump is the state of one VM. CPU amounts are in thousandths of a processor.
 type VMDump struct {
 	ID string `json:"id"`
-	// Born tells the starts of the VM apart; 0 where it is not told.
+	// Born identifies the VM's incarnation; 0 if unknown.
 	Born          int64           `json:"born,omitempty"`
 	Zone          string          `json:"zone"`
 	Listed        bool            `json:"listed"`
@@ -38,7 +39,7 @@
 	LeaseLeftMS   int64           `json:"lease_left_ms"`
 }
 
-// Dump returns the state in figures.
+// Dump returns a snapshot of the state.
 func (s *Scheduler) Dump(now Time) Dump {
 	d := Dump{Fence: s.fence, Awaited: s.AwaitedInstances(), Interference: s.images.describe(), ReserveShare: s.reserve.share(s.policy.ReserveMost)}
 	for _, j := range s.jobs {
@@ -62,7 +63,7 @@
 	return d
 }
 
-// Explanation says where a job stands and what its waiting tasks lack.
+// Explanation describes a job's state and the obstacles of its waiting tasks.
 type Explanation struct {
 	Job       string        `json:"job"`
 	Queue     string        `json:"queue"`
@@ -74,7 +75,7 @@
 	Waiting   []WaitDump    `json:"waiting"`
 }
 
-// RunDump is one run of the job.
+// RunDump is one run of the job. Progress and Pace are in percent.
 type RunDump struct {
 	Task     string `json:"task"`
 	VM       string `json:"vm"`
@@ -84,19 +85,19 @@
 	AgeMS    int64  `json:"age_ms"`
 }
 
-// WaitDump is a step with tasks that have no place.
+// WaitDump is a step with waiting tasks.
 type WaitDump struct {
 	Occurrence int `json:"occurrence"`
 	Step       int `json:"step"`
 	Tasks      int `json:"tasks"`
-	// StepsBefore counts the steps that have to be done first.
+	// StepsBefore counts the unfinished steps that the step depends on.
 	StepsBefore int `json:"steps_before"`
-	// Obstacles counts the VMs that each obstacle rules out now.
+	// Obstacles lists how many VMs each obstacle currently rules out.
 	Obstacles string  `json:"obstacles,omitempty"`
 	SlackS    float64 `json:"slack_s"`
 }
 
-// Explain says where a job stands; ok is false when it is not known.
+// Explain describes a job's state; ok is false if the job is unknown.
 func (s *Scheduler) Explain(now Time, id string) (x Explanation, ok bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -114,11 +115,11 @@
 }
 
 func (s *Scheduler) explainStep(now Time, st *step, x *Explanation) {
-	var waits *task
+	var unplaced *task
 	for k := range st.tasks {
 		t := &st.tasks[k]
 		if !t.done && len(t.runs) == 0 {
-			waits = t
+			unplaced = t
 		}
 		for _, r := range t.runs {
 			x.Runs = append(x.Runs, RunDump{
@@ -126,12 +127,12 @@
 			})
 		}
 	}
-	if waits == nil {
+	if unplaced == nil {
 		return
 	}
 	w := WaitDump{Occurrence: st.occ.number, Step: st.index, Tasks: st.waiting, StepsBefore: st.blockers, SlackS: s.rank(now, st).slack.Seconds()}
 	if st.blockers == 0 {
-		w.Obstacles = s.obstaclesOf(now, waits)
+		w.Obstacles = s.obstaclesOf(now, unplaced)
 	}
 	x.Waiting = append(x.Waiting, w)
 }
--- a/internal/scheduler/figures.go
+++ b/internal/scheduler/figures.go
@@ -6,37 +6,38 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// FenceOf is the fencing token of the leader that started a run: run numbers carry
-// it in their upper bits.
+// FenceOf returns the fencing token of the leader that started a run, which is in the
+// upper bits of the run number.
 func FenceOf(run int64) int64 { return run >> runNumberBits }
 
-// Stats are the state in counts that stay small however many VMs there are:
-// what tells two leaders that believe different things apart.
+// Stats summarizes the state in a fixed number of counts, independent of the number of
+// VMs. It shows where the views of two leaders differ.
 type Stats struct {
 	Fence int64
-	// VMs are those that are known; Unlisted are off the store's list.
+	// VMs counts the known VMs, Unlisted those that are not on the store's list.
 	VMs, Unlisted int
-	// Unreported VMs have told this leader nothing yet; Silent ones have been unheard
-	// for too long to be given work.
+	// Unreported counts the VMs that have not reported to this leader yet, Unresponsive
+	// those whose last report is too old for them to be given work.
 	Unreported, Unresponsive int
-	// LeasedUnresponsive are Silent, and a lease may live there: what this leader
-	// started may go on and end there without its hearing of it.
+	// LeasedUnresponsive counts the unresponsive VMs with a possibly valid lease: runs that
+	// this leader started may continue and end there without a report.
 	LeasedUnresponsive int
-	// Leased VMs are those where a lease may live, LongestLease is for how long.
+	// Leased counts the VMs with a possibly valid lease, LongestLease is the longest
+	// remaining time of such a lease.
 	Leased       int
 	LongestLease time.Duration
-	// Awaited counts the VMs of earlier leaders that old jobs' tasks wait for.
+	// Awaited counts the VMs of earlier leaders whose first report tasks of old jobs wait for.
 	Awaited int
-	// Withheld counts the VMs that get no work since an end of theirs is never
+	// Withheld counts the VMs that get no work because one of their ends is never
 	// acknowledged.
 	Withheld int
-	// Runs are those that count.
+	// Runs counts the runs that occupy VMs.
 	Runs int
-	// OldestWaiting is how long the oldest step that could run has had a task without a place.
+	// OldestWaiting is the longest time since a step with waiting tasks became runnable.
 	OldestWaiting time.Duration
 }
 
-// Stats returns the state in counts.
+// Stats returns the current summary.
 func (s *Scheduler) Stats(now Time) Stats {
 	f := Stats{Fence: s.fence, VMs: len(s.vms), Awaited: len(s.awaitedVMs)}
 	for _, st := range s.readySteps {
@@ -70,22 +71,22 @@
 	return f
 }
 
-// VMStatus is what a leader believes of a VM, with the ages of what it goes by.
+// VMStatus is a leader's view of a VM with the ages of the underlying information.
 type VMStatus struct {
 	Listed bool
-	// SinceUnlisted is since when it is off the list; 0 where it is listed.
+	// SinceUnlisted is the time since the VM left the list; 0 if it is listed.
 	SinceUnlisted time.Duration
-	// Reported is set once it has told this leader what it runs; SinceReport is since
-	// when it has told nothing, from when it became known on.
+	// Reported is set once the VM has reported its runs to this leader. SinceReport is the
+	// time since the last report or, if there was none, since the VM became known.
 	Reported    bool
 	SinceReport time.Duration
-	// LeaseLeft is how long a lease may live that this leader took, or an earlier one
-	// before the VM was first heard; 0 is over, or none.
+	// LeaseLeft is how long a lease of this leader, or of an earlier one before the VM's
+	// first report, may still be valid; 0 if expired or none.
 	LeaseLeft time.Duration
 	Runs      int
 }
 
-// VMStatus returns what is believed of a VM; ok is false where it is not known.
+// VMStatus returns the status of a VM; ok is false if the VM is unknown.
 func (s *Scheduler) VMStatus(now Time, id string) (x VMStatus, ok bool) {
 	v := s.vms[id]
 	if v == nil {
@@ -105,25 +106,25 @@
 	return x
 }
 
-// EndStatus is how an end that is told stands to what this leader knows.
+// EndStatus classifies a reported end by this leader's view of its task.
 type EndStatus string
 
-// The standings of an end.
+// The statuses of an end.
 const (
 	// EndOpen: its task is open.
 	EndOpen EndStatus = "open"
-	// EndDuplicate: this leader, or an earlier one, has taken it over before.
+	// EndDuplicate: this leader or an earlier one has already processed it.
 	EndDuplicate EndStatus = "again"
-	// EndAfterDone: its task was done, or its job ended, before.
+	// EndAfterDone: its task was already done or its job had ended.
 	EndAfterDone EndStatus = "task_done"
-	// EndUnknownJob: this leader doesn't know its job.
+	// EndUnknownJob: its job is unknown to this leader.
 	EndUnknownJob EndStatus = "unknown_job"
-	// EndNotOpen: its occurrence is not open yet, or its job has no such task.
+	// EndNotOpen: its occurrence is not open yet or its job has no such task.
 	EndNotOpen EndStatus = "not_open"
 )
 
-// EndStatus tells how an end stands that a start of a VM tells; ask before the report is
-// taken over.
+// EndStatus classifies an end reported by an incarnation of a VM. It must be called
+// before the report is passed to HandleReport.
 func (s *Scheduler) EndStatus(vm string, born int64, e *batch.RunEnd) EndStatus {
 	if v := s.vms[vm]; v != nil && v.matchesBirth(born) && e.Seq <= v.processedSeq {
 		return EndDuplicate
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// suspectThreshold is how many jobs in a row have to fail on a VM, with none done
-	// there in between, before the VM is suspected. Declared failure rates are
-	// up to 5 % a task: two in a row by chance come once in 400.
+	// suspectThreshold is how many consecutive jobs have to fail on a VM before it is
+	// suspected. Declared failure rates are up to 5 % per task, so two failures in a row
+	// occur by chance once in 400 cases.
 	suspectThreshold = 2
-	// initialQuarantine is how long a suspected VM gets nothing at first; it doubles
-	// with each failed probe up to maxQuarantine.
+	// initialQuarantine is how long a suspected VM gets no work at first. It doubles with
+	// each failed probe up to maxQuarantine.
 	initialQuarantine = 2 * time.Second
 	maxQuarantine     = 8 * time.Second
-	// busyDelay is the wait after a VM said that it is unhealthy.
+	// busyDelay is how long a VM gets no work after it refused a start as unhealthy.
 	busyDelay = 500 * time.Millisecond
-	// unansweredDelay is the wait after a VM left a start without an answer.
+	// unansweredDelay is how long a VM gets no work after it did not respond to a start.
 	unansweredDelay = time.Second
 )
 
-// health is what runs on a VM tell of the VM itself. Its own word is not used:
-// a VM that fails everything may call itself healthy.
+// health rates a VM by the outcome of its runs. The VM's own health report is not used,
+// since a VM that fails every run may report itself healthy.
 type health struct {
 	// failStreak counts the jobs that failed here in a row.
 	failStreak int
 	lastFailed *job
 	avoidUntil Time
-	// probing allows one run at a time, until one is done; probe is the last one.
+	// probing limits the VM to one run at a time until a run completes; probe is the
+	// latest such run.
 	probing    bool
 	probe      *run
 	quarantine time.Duration
 }
 
-// usable reports whether the VM may get a run of the step now. A lasting task is
-// no probe, since it never ends: it goes where it may as soon as the time is over.
+// usable reports whether the VM may get a run of the step now. Lasting tasks never end
+// and are thus no probes; they only wait for the end of the quarantine.
 func (h *health) usable(now Time, spec *batch.Step) bool {
 	return now >= h.avoidUntil && (!h.probing || spec.Lasting || h.probe == nil || h.probe.released)
 }
 
-// recordStart notes a run as the probe of a suspected VM.
+// recordStart makes a run the probe of a suspected VM.
 func (h *health) recordStart(r *run) {
 	if h.probing && !r.task.step.spec.Lasting {
 		h.probe = r
@@ -49,8 +50,9 @@
 
 func (h *health) reset() { *h = health{} }
 
-// recordFailure notes a failed run of j. A job that fails everywhere says nothing of
-// the VM: it counts once, and only while it has not failed elsewhere.
+// recordFailure records a failed run of j and reports whether the VM is now quarantined.
+// Since a job may fail on every VM, it counts only once here and only if it has not
+// failed elsewhere.
 func (h *health) recordFailure(now Time, j *job, elsewhere bool) bool {
 	if elsewhere || h.lastFailed == j {
 		return false
@@ -74,7 +76,7 @@
 
 func (h *health) recordUnanswered(now Time) { h.avoidUntil = max(h.avoidUntil, now+unansweredDelay) }
 
-// updateHealth takes what the end of a run tells of its VM.
+// updateHealth updates the health of a run's VM from the run's end.
 func (s *Scheduler) updateHealth(now Time, r *run, kind batch.EndKind) {
 	v := r.vm
 	switch kind {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -8,32 +8,32 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Submission is an accepted job as the store has it.
+// Submission is an accepted job as recorded in the store.
 type Submission struct {
 	Job *batch.Job
 	// Queue and Pool are those that the job was submitted to.
 	Queue string
 	Pool  string
-	// AcceptedQueue is the queue as it was when the job was accepted; it counts where the
-	// configuration does not have the queue, or is not known yet. May be nil.
+	// AcceptedQueue is the queue's configuration when the job was accepted. It applies if
+	// the current configuration is not known yet or lacks the queue. May be nil.
 	AcceptedQueue *batch.Queue
-	// Age is how long ago the caller asked.
+	// Age is how long ago the caller submitted the job.
 	Age time.Duration
-	// PredatesLeader is set when the submission is older than this leader.
+	// PredatesLeader is set if the submission is older than this leader.
 	PredatesLeader bool
-	// CreatedRevision is the store's revision of the submission, 0 when it is not known.
+	// CreatedRevision is the store revision of the submission; 0 if unknown.
 	CreatedRevision int64
-	// Cancelled is set when the job is cancelled already.
+	// Cancelled is set if the job is already cancelled.
 	Cancelled bool
-	// Progress is what an earlier leader recorded; nil for none.
+	// Progress is the record of an earlier leader; nil for none.
 	Progress *Progress
-	// Unreadable is set when there is such a record that can't be read.
+	// Unreadable is set if there is such a record but it can't be read.
 	Unreadable bool
 	// RecordRevision is the store revision of Progress.
 	RecordRevision int64
 }
 
-// Submit takes a job on. A job that is known is left as it is.
+// Submit accepts a job. For a known job it can only clear that it predates this leader.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	if j := s.jobs[sub.Job.ID]; j != nil {
 		j.predatesLeader = j.predatesLeader && (sub.PredatesLeader || s.mayPredateTenure(sub.CreatedRevision))
@@ -53,7 +53,7 @@
 	s.applyConfig(j)
 	if sub.Progress != nil {
 		j.restore(sub.Progress)
-		// When it ended is not recorded: it is kept from now on.
+		// The end time is not recorded, so retention is counted from now.
 		j.endedAt = now
 	}
 	s.logf(Decision{Event: EventJobTaken, Job: sub.Job.ID, Reason: sub.Queue, Age: sub.Age, Value: j.work})
@@ -63,7 +63,7 @@
 	switch {
 	case j.state.Final():
 	case sub.Unreadable:
-		// Started from nothing, all that was done would be done again.
+		// Without the record, finished tasks would be executed again.
 		j.held, j.started = true, true
 		s.logf(Decision{Event: EventJobHeld, Job: sub.Job.ID, Reason: "progress unreadable"})
 	default:
@@ -73,8 +73,8 @@
 	s.planNeeded = true
 }
 
-// applyConfig takes the queue's figures over. A queue that is gone leaves those
-// of the last configuration that had it, or of the job's acceptance.
+// applyConfig applies the queue's current configuration. If the queue was removed, the
+// job keeps the last configuration that had it, or that of its acceptance.
 func (s *Scheduler) applyConfig(j *job) {
 	if s.config == nil {
 		return
@@ -87,7 +87,7 @@
 	j.applyQueue(q)
 }
 
-// applyQueue takes a queue's figures over.
+// applyQueue applies the parameters of a queue.
 func (j *job) applyQueue(q *batch.Queue) {
 	j.maxAttempts = max(q.Attempts, 1)
 	j.priority = q.Priority
@@ -95,7 +95,7 @@
 	j.objective = time.Duration(q.Stretch*float64(j.criticalPath)) + q.Slack
 }
 
-// SetConfig installs a configuration; the caller makes sure that it is newer.
+// SetConfig installs a configuration, which must be newer than the current one.
 func (s *Scheduler) SetConfig(c *batch.Config) {
 	s.config = c
 	s.updateUnguarded()
@@ -105,7 +105,7 @@
 	s.planNeeded = true
 }
 
-// openJob creates the occurrences that are to be executed now.
+// openJob opens the job's single occurrence, or registers a timed job for OpenDue.
 func (s *Scheduler) openJob(now Time, j *job) {
 	if j.spec.Schedule != nil {
 		j.nextOcc = j.doneLow
@@ -115,7 +115,8 @@
 	s.openOccurrence(now, j, 0)
 }
 
-// OpenDue creates the occurrences of timed jobs that are due by the time of day.
+// OpenDue opens the occurrences of timed jobs that are due at wall clock time wallMS, in
+// Unix milliseconds.
 func (s *Scheduler) OpenDue(now Time, wallMS int64) {
 	var due []string
 	for id, j := range s.timedJobs {
@@ -138,10 +139,9 @@
 	}
 }
 
-// openReported opens the occurrence of a task that a VM tells of. An earlier leader
-// found it due; this one may not have looked at the time of day yet, or by a clock
-// that is behind. What is told of a task that is not open would be forgotten, and
-// the task started again.
+// openReported opens the occurrence of a task that a VM reports. An earlier leader found
+// it due; this one may not have checked the wall clock yet, or its clock is behind. The
+// report of a task that is not open would be lost and the task started again.
 func (s *Scheduler) openReported(now Time, id batch.TaskID) {
 	j := s.timedJobs[id.Job]
 	if j != nil && id.Occurrence < j.spec.Occurrences() && j.unopened(id.Occurrence) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// enqueue puts a step with tasks to start into the ready list.
+// enqueue adds a step with tasks to start to the ready list.
 func (s *Scheduler) enqueue(st *step) {
 	if st.queued || st.blockers > 0 || st.waiting == 0 || st.occ.job.state.Final() {
 		return
@@ -192,7 +192,7 @@
 	s.planNeeded = true
 }
 
-// stepDone releases the steps that waited for st.
+// stepDone unblocks the steps that depend on st.
 func (s *Scheduler) stepDone(now Time, st *step) {
 	o := st.occ
 	o.stepsLeft--
@@ -225,7 +225,7 @@
 	}
 }
 
-// finish gives a job its final state and stops what still runs of it.
+// finish sets a job's final state and stops its remaining runs.
 func (s *Scheduler) finish(now Time, j *job, state batch.State, reason string) {
 	if j.state.Final() {
 		return
@@ -248,7 +248,7 @@
 	}
 }
 
-// Cancel ends a job at its caller's wish.
+// Cancel ends a job at its caller's request.
 func (s *Scheduler) Cancel(now Time, id string) {
 	if j := s.jobs[id]; j != nil {
 		s.cancel(now, j)
@@ -257,9 +257,9 @@
 
 func (s *Scheduler) cancel(now Time, j *job) { s.finish(now, j, batch.Cancelled, "caller") }
 
-// State returns what callers may be told of a job, and whether it is known.
-// "Completed" and "failed" are told once the store has them, since another
-// leader must not contradict them.
+// State returns the state of a job to report to callers, and whether the job is known.
+// Completed and Failed are reported only once they are durable, so that a later leader
+// can't contradict them.
 func (s *Scheduler) State(id string) (batch.State, bool) {
 	j := s.jobs[id]
 	switch {
@@ -277,7 +277,7 @@
 	return batch.Queued, true
 }
 
-// WaitingJobs counts the jobs of a queue of which nothing has started.
+// WaitingJobs counts the jobs of a queue without a started run.
 func (s *Scheduler) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range s.jobs {
@@ -288,7 +288,7 @@
 	return n
 }
 
-// markDirty marks a job whose record has to be written.
+// markDirty marks a job's record as to be written.
 func (s *Scheduler) markDirty(j *job) {
 	j.version++
 	s.dirtyJobs[j.spec.ID] = j
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// minSampleInterval and maxSampleInterval bound the time between two reports that are
-	// compared: the figures cover half a second, and a task's own load must not
-	// have moved much.
+	// minSampleInterval and maxSampleInterval bound the time between two compared reports:
+	// the metrics cover half a second, and a task's own load must not change much
+	// in between.
 	minSampleInterval = 600 * time.Millisecond
 	maxSampleInterval = 1800 * time.Millisecond
-	// minUsageChange is the use, as a share of the VM, below which a figure tells
-	// nothing of fillers.
+	// minUsageChange is the change of filler usage, as a share of the VM, below which a
+	// change of tails says nothing about fillers.
 	minUsageChange = 0.01
-	// minTailRatio is taken for a tail that rounds to nothing.
+	// minTailRatio replaces a tail ratio that was rounded to zero.
 	minTailRatio = 0.04
 )
 
-// endedFiller is a filler that has just ended on a VM: the figures still show it.
+// endedFiller is a filler that ended recently, so that the reported tails still include
+// its effect.
 type endedFiller struct {
 	image int
 	use   float64
 	at    Time
 }
 
-// recordEndedFiller remembers what a filler used.
+// recordEndedFiller records the usage of a filler that ends.
 func (s *Scheduler) recordEndedFiller(now Time, r *run) {
 	v, spec := r.vm, r.task.step.spec
 	if v.servingRuns == 0 || !r.hasUsage || r.usage <= 0 {
@@ -35,10 +36,10 @@
 	v.recentFillers = append(v.recentFillers, endedFiller{image: s.images.imageIndex(spec.Image), use: r.usage / v.capacityMilliCPU(), at: now})
 }
 
-// capacityMilliCPU are the VM's processors, in thousandths; never 0.
+// capacityMilliCPU returns the VM's capacity in thousandths of a processor; never 0.
 func (v *vm) capacityMilliCPU() float64 { return float64(max(v.inst.Capacity.MilliCPU, 1)) }
 
-// fillerUses are the fillers' uses that the VM's figures of now show.
+// fillerUses returns the filler usage that is reflected in the VM's current tails.
 func (s *Scheduler) fillerUses(now Time, v *vm) fillerUses {
 	var x fillerUses
 	for _, r := range v.runList {
@@ -54,7 +55,7 @@
 	return x
 }
 
-// observeTails takes in what a VM's new report tells of loads and effects.
+// observeTails updates baselines and the interference model from a VM's new report.
 func (s *Scheduler) observeTails(now Time, v *vm) {
 	if v.servingRuns == 0 {
 		v.lastSample = reportSample{}
@@ -62,11 +63,11 @@
 		return
 	}
 	x := s.fillerUses(now, v)
-	full := v.usageShare(now, &x) > maxReliableUsage
-	if !full && s.policy.Learn {
+	saturated := v.usageShare(now, &x) > maxReliableUsage
+	if !saturated && s.policy.Learn {
 		s.learnFromSamples(now, v, &x)
 	}
-	excess, figures := 0.0, 0
+	excess, samples := 0.0, 0
 	for _, r := range v.runList {
 		st := r.task.step
 		if !st.spec.Serves() || !r.reportsTail() {
@@ -77,24 +78,24 @@
 		effect := pair.effects(&x)
 		if st.baseline.known {
 			excess += y - effect - st.baseline.forecast(now, maxSiblingAge/2)
-			figures++
+			samples++
 		}
-		if dy, dx, ok := st.tailSamples.compare(now, v, y, &x, st.baseline.trend); ok && !full && s.policy.Learn {
+		if dy, dx, ok := st.tailSamples.compare(now, v, y, &x, st.baseline.trend); ok && !saturated && s.policy.Learn {
 			s.images.learn(st.spec.Image, &dx, dy)
 		}
-		st.tailSamples.add(tailSample{at: now, vm: v, logRatio: y, uses: x, unreliable: full})
+		st.tailSamples.add(tailSample{at: now, vm: v, logRatio: y, uses: x, unreliable: saturated})
 		st.baseline.observe(now, st.tailSamples.loadLevel(pair))
 	}
-	if figures > 0 {
-		v.tailExcess += excessGain * (excess/float64(figures) - v.tailExcess)
+	if samples > 0 {
+		v.tailExcess += excessGain * (excess/float64(samples) - v.tailExcess)
 	}
 }
 
-// maxReliableUsage is the share of a VM's processors in use from which its tails tell of
-// the lack of processors rather than of who presses.
+// maxReliableUsage is the used share of a VM's processors above which its tails reflect
+// the lack of processors rather than the interference of particular fillers.
 const maxReliableUsage = 0.85
 
-// usageShare is the share of the VM's processors in use, as far as it is known.
+// usageShare returns the used share of the VM's processors, as far as known.
 func (v *vm) usageShare(now Time, x *fillerUses) float64 {
 	sum := float64(v.used.MilliCPU-v.servingCPU) + v.servingUse(now, 0)
 	for _, use := range x {
@@ -103,8 +104,8 @@
 	return sum / v.capacityMilliCPU()
 }
 
-// servingUse is what the serving tasks are taken to use after some time from now,
-// in thousandths of a processor.
+// servingUse estimates the CPU usage of the serving tasks at a time ahead of now, in
+// thousandths of a processor.
 func (v *vm) servingUse(now Time, ahead time.Duration) float64 {
 	sum := 0.0
 	for _, r := range v.runList {
@@ -115,11 +116,11 @@
 	return sum
 }
 
-// excessGain is the weight of a new report in a VM's excess: two to three reports
-// decide it.
+// excessGain is the weight of a new report in a VM's tail excess. At this weight, two to
+// three reports determine it.
 const excessGain = 0.4
 
-// reportSample is a VM's report as it is compared with the next.
+// reportSample is the part of a VM's report that is compared with a later one.
 type reportSample struct {
 	at    Time
 	use   fillerUses
@@ -128,8 +129,8 @@
 	runs []*run
 }
 
-// learnFromSamples learns of tasks without siblings by comparing a VM's new report
-// with an earlier one.
+// learnFromSamples learns the effect of fillers on tasks without siblings by comparing a
+// VM's new report with an earlier one.
 func (s *Scheduler) learnFromSamples(now Time, v *vm, x *fillerUses) {
 	if now-v.lastSample.at < minSampleInterval {
 		return
