--- a/internal/scheduler/absence_test.go
+++ b/internal/scheduler/absence_test.go
@@ -9,13 +9,9 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// What happened: a task that a VM runs for a leader that is cut off was started
-// again by the next leader up to a second before its lease was over.
-// Sequence: a hold waits a second for an end, and its answer brings the VM's clock
-// as it is then; the next hold is sent. The next leader waits for a lease's length
-// after the last moment at which the leader before it may have renewed one.
-// Cause: the lease was counted as if the clock had been read when the hold was
-// sent, so that it was longer by the hold's wait than any leader takes it for.
+// Guards against a lease that exceeds the requested duration by the wait of the hold: the
+// VM's clock was taken as read when the hold was sent, not when it was answered. The next
+// leader waits only one lease duration and started the task up to a second too early.
 func TestLeaseIsNoLongerThanTheNextLeaderWaits(t *testing.T) {
 	f := newFixture(t, 1)
 	sentAt := f.now
@@ -25,15 +21,12 @@
 	clock := f.now + time.Hour
 	f.s.HandleReport(f.now, sentAt, "vm00", batch.Report{Clock: clock})
 	order, _ := f.s.Hold(f.now, "vm00", time.Second)
-	require.LessOrEqual(t, order.LeaseUntil-clock, f.s.settings.Lease(), "how long the lease lasts on the VM's clock")
+	require.LessOrEqual(t, order.LeaseUntil-clock, f.s.settings.Lease(), "lease duration on the VM's clock")
 }
 
-// What happened: a task that was done ran again on another VM.
-// Sequence: the store is slow, so that ends pile up at a VM, more than one report
-// holds; a run ends there, and its end is not among those that are told; the
-// leader finds the run in neither list.
-// Cause: a run that is not listed counted as lost although the list of ends was cut
-// off.
+// Guards against declaring a run lost because a truncated report lists it neither as
+// running nor as ended. With a slow store more ends accumulate at a VM than fit into one
+// report, and a finished task was executed again on another VM.
 func TestRunBeyondTruncatedEndsIsNotLost(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -45,17 +38,15 @@
 	f.advance(time.Second)
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, a, batch.EndDone)}, MoreEnded: true})
 	f.plan()
-	require.Len(t, f.started["j.0.0.1"], 1, "started again before its end is told")
+	require.Len(t, f.started["j.0.0.1"], 1, "started again before its end is reported")
 	f.advance(time.Second)
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(2, b, batch.EndDone)}})
 	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
-// What happened: the tasks of a VM that lives were started again while they ran.
-// Sequence: the VM's entry lapses with the store, or its heartbeats are lost; an
-// entry of another writer holds the VM's address.
-// Cause: an entry with the same address was taken for the end of the VM's life. The
-// VM's own answer tells whether another instance is there, and comes at once.
+// Guards against declaring a VM ended because another entry has its address, after its
+// own entry expired or its heartbeats were lost. Its tasks were started again while they
+// ran. Only the VM's response shows whether another instance has the address.
 func TestEntryWithSameAddressDoesNotEndVM(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -79,13 +70,12 @@
 	}
 	f.s.Tick(f.now)
 	f.plan()
-	require.Len(t, f.started["j.0.0.0"], 1, "started again while the VM's lease runs")
+	require.Len(t, f.started["j.0.0.0"], 1, "started again while the VM's lease is valid")
 }
 
-// What happened: a job was shown as failed although none of its tasks had been
-// given up. Sequence: a task has failed as often as its queue allows but once; two copies of
-// it run; one is done, and the other fails before its stop arrives.
-// Cause: failures were counted for a task that was done.
+// Guards against a job that fails because of a copy of a finished task: the task is one
+// failure below its limit, one of its two copies completes, and the other fails before
+// its stop arrives.
 func TestFailureOfACopyAfterTheTaskIsDone(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -113,14 +103,12 @@
 	f.report(other, runningReport(second))
 	f.report(o.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(3, o, batch.EndDone)}})
 	f.report(other, batch.Report{Ended: []batch.RunEnd{endOfOrder(3, second, batch.EndFailed)}})
-	require.Equal(t, batch.Queued, f.s.jobs["j"].state, "its other task is under way")
+	require.Equal(t, batch.Queued, f.s.jobs["j"].state, "its other task is still open")
 }
 
-// What happened: a job was shown as failed after two runs of its gang had failed,
-// where its queue allows three.
-// Sequence: two members of a gang fail at the same moment, before either VM has
-// ended its member as broken; this happens twice.
-// Cause: the failures of members were added up, although a gang fails as one.
+// Guards against counting the failure of each gang member as an attempt: two members fail
+// before either VM has ended its member as broken, and the job failed after two failed
+// runs of the gang where its queue allows three.
 func TestGangRunThatFailsCountsOnce(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -141,12 +129,9 @@
 	require.False(t, f.s.jobs["g"].state.Final(), "failed after two of three attempts")
 }
 
-// What happened: a VM that came back after a cut got nothing new for as long as the
-// leader led.
-// Sequence: a lasting task ends `done` on a VM that is cut off; it is started again
-// elsewhere once the lease is over; the VM comes back and tells the end.
-// Cause: the end was withheld, as that of a task that must not run twice; a lasting
-// task is started again however it ends.
+// Guards against withholding the end of a lasting task, after which its VM got no new
+// work. The task ends as done on a partitioned VM and is started again elsewhere once the
+// lease has expired, as a lasting task is whatever its end; then the VM reports the end.
 func TestEndOfALastingTaskIsNotWithheld(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -181,11 +166,9 @@
 	require.EqualValues(t, 1, hold.Acked)
 }
 
-// What happened: work that was saved was done again.
-// Sequence: a run is counted as lost and started again with what it had saved; the
-// second run saves more; the first VM comes back and tells the first run's end
-// with its older checkpoint; the second run is stopped and started a third time.
-// Cause: a checkpoint counted whichever run it came from.
+// Guards against replacing a checkpoint by that of an older run. A run is declared lost
+// and its successor saves more; then the first VM reports the first run's end with its
+// older checkpoint, and the next start would repeat saved work.
 func TestCheckpointOfAnOlderRunDoesNotCount(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -212,11 +195,9 @@
 	require.Equal(t, "newer", f.last("j.0.0.0").Start.Checkpoint)
 }
 
-// What happened: a job that had just completed was not known any more, and the same
-// job handed in again was executed anew.
-// Sequence: a process that has been up for longer than ended jobs are kept becomes
-// the leader, and reads the job's record.
-// Cause: the moment at which the job had ended was taken to be the start of the process.
+// Guards against dropping a job that has just completed, so that it would be executed
+// again if resubmitted. The end time of a restored job was taken as the process start,
+// and the process had been up for longer than ended jobs are kept.
 func TestEndedJobIsKeptByTheNextLeader(t *testing.T) {
 	f := newFixture(t, 1)
 	keep := 10 * time.Minute
--- a/internal/scheduler/accounts_test.go
+++ b/internal/scheduler/accounts_test.go
@@ -11,12 +11,9 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// What happened: a task whose end was acknowledged was started again.
-// Sequence: a leader can't read the record of a job's progress and holds the job. A VM
-// tells that a run of the job has ended well; the end is acknowledged, though no record
-// has it. The next leader, of the version that wrote the record, can read it: the task
-// is not done there, and the VM has forgotten its end.
-// Cause: the end of a held job counted as one without effect.
+// Guards against acknowledging an end of a job whose record can't be read, as if it had
+// no effect. No record includes the end, and a later leader that can read the record
+// would start the finished task again.
 func TestEndOfAHeldJobIsNotAcknowledged(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	held := oldJob(nil)
@@ -24,9 +21,9 @@
 	f.s.Submit(f.now, held)
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
 	f.write()
-	require.Zero(t, f.acked("vm00"), "acknowledged, and no record has it")
+	require.Zero(t, f.acked("vm00"), "acknowledged although no record includes it")
 
-	// Once the job has ended its ends have no effect, and the VM is free.
+	// Once the job has ended, its ends have no effect and may be acknowledged.
 	f.s.Cancel(f.now, "old")
 	f.advance(time.Second)
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 3, batch.EndDone)}})
@@ -34,12 +31,9 @@
 	require.EqualValues(t, 1, f.acked("vm00"))
 }
 
-// What happened: an end was acknowledged of a run that does not count.
-// Sequence: the record names a task of a timed job's occurrence as done, by run 9 of
-// it. A new leader is told the end of run 5 before it has looked which occurrences are
-// due.
-// Cause: which run counts was looked up before the occurrence was opened that the VM
-// tells of.
+// Guards against acknowledging the end of a superseded run because the counted run was
+// looked up before the reported occurrence was opened: the record names run 9, and the
+// end of run 5 is reported before the new leader has opened the due occurrences.
 func TestOlderEndOfUnopenedOccurrenceIsNotAcknowledged(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "old", Occurrence: 1}
@@ -54,11 +48,10 @@
 	require.Zero(t, f.acked("vm00"), "run 9 counts")
 }
 
-// What happened: a leader wrote the record of all VMs twice a second for as long as it
-// led, and held everything else up for a tenth of a second each time.
-// Sequence: a fleet is cut off from its leader for longer than its leases, and is back.
-// Cause: from more VMs than are kept, those left out were drawn by chance among equals,
-// so that the record always differed; each was found by a look at all.
+// Guards against expired leases of a large fleet that differ with each call, after a
+// partition longer than the leases. A random choice among equals for the VMs beyond the
+// limit, each found by a full scan, made the leader rewrite the record of all VMs twice a
+// second and blocked it for a tenth of a second each time.
 func TestExpiredLeasesOfLargeFleetAreStable(t *testing.T) {
 	f := newFixture(t, 0)
 	for i := range 3000 {
@@ -75,16 +68,13 @@
 	first := f.s.ExpiredLeases()
 	took := time.Since(began)
 	t.Logf("took %v", took)
-	require.True(t, maps.Equal(first, f.s.ExpiredLeases()), "another choice with each call")
+	require.True(t, maps.Equal(first, f.s.ExpiredLeases()), "two calls return different VMs")
 	require.Less(t, took, 20*time.Millisecond)
 }
 
-// What happened: the record of all VMs was written twice a second while one VM was
-// down.
-// Sequence: a VM is unheard past its lease and still listed; the leader goes on
-// starting tasks on the others.
-// Cause: the highest run number by the end of the VM's leases was taken anew with each
-// look at it, though nothing can have begun there since.
+// Guards against rewriting the record of all VMs twice a second while a listed VM is
+// unresponsive past its lease: its highest expired run number was recomputed each time,
+// although no run can have begun there since.
 func TestExpiredLeaseOfUnreachableVMIsStable(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -99,31 +89,27 @@
 	require.Equal(t, first, f.s.ExpiredLeases())
 }
 
-// What happened: an end that was withheld was acknowledged.
-// Sequence: the end of a run that does not count is withheld; what is pending is on its
-// way to the store while the VM, off the list for long, is forgotten and listed again.
-// Cause: the flush named ends beyond the withheld one as written, and the VM that is
-// back knew nothing of a limit.
+// Guards against acknowledging a withheld end when its VM is forgotten and listed again
+// while a flush is in progress: the flush marked later ends as written, and the state of
+// the returned VM had no acknowledgement limit.
 func TestEndStaysWithheldAfterVMIsForgotten(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.relist()
 	f.report("cut", batch.Report{Running: []batch.RunStatus{{Task: oldTask, Run: 7}}})
 	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOf(1, oldTask, 5, batch.EndDone)}})
 	require.Zero(t, f.acked("vm00"))
-	onItsWay := f.s.PendingWrites()
+	flush := f.s.PendingWrites()
 	f.s.RemoveInstance(f.now, "vm00", "unlisted")
 	f.s.SetInstances(f.now, f.list)
-	if onItsWay != nil {
-		f.s.Flushed(onItsWay)
+	if flush != nil {
+		f.s.Flushed(flush)
 	}
 	require.Zero(t, f.acked("vm00"))
 }
 
-// What happened: a task was started again after its run had ended well.
-// Sequence: a VM holds more ends than one report has room for. A new leader hears the VM
-// for the first time, and takes it that it knows all that ran there; the end of the old
-// task comes with a later report, once the ones before it are acknowledged.
-// Cause: a report that is not whole counted as the VM's word on what it does not name.
+// Guards against ending the wait for a VM at a partial first report. The VM has more ends
+// than fit into one report; the end of the old task comes with a later one, and the task
+// was started again before.
 func TestPartialReportDoesNotEndTheWait(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.relist()
@@ -131,7 +117,7 @@
 	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(1, other, 3, batch.EndStopped)}, MoreEnded: true})
 	f.s.Tick(f.now)
 	f.plan()
-	require.Empty(t, f.started, "started while the VM has more to tell")
+	require.Empty(t, f.started, "started while the VM has more ends to report")
 	f.write()
 	f.report("cut", batch.Report{Ended: []batch.RunEnd{endOf(2, oldTask, 4, batch.EndDone)}})
 	f.plan()
--- a/internal/scheduler/contracts_test.go
+++ b/internal/scheduler/contracts_test.go
@@ -10,8 +10,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Steps start in the order that their dependencies give, each only when all
-// tasks before it are done.
+// Checks that a step starts only when all tasks of the steps it depends on are done.
 func TestStepsWaitForThoseBefore(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -28,7 +27,7 @@
 	require.Contains(t, f.started, "j.0.1.0")
 }
 
-// A VM never holds more than it has; what is being stopped still counts.
+// Guards against exceeding a VM's capacity: runs that are being stopped still use it.
 func TestCapacityCountsStoppingRuns(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -93,7 +92,8 @@
 	}
 }
 
-// A gang starts whole or not at all, with one run number, and one end counts for all.
+// Checks that a gang starts completely or not at all, under one run number, and that the
+// end of one member completes it.
 func TestGang(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -110,7 +110,7 @@
 	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
-// Symptom: a gang whose member ended is started again member by member.
+// Guards against restarting the failed member of a gang alone, before the others ended.
 func TestBrokenGangStartsAgainWhole(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -124,7 +124,7 @@
 	f.report(a.Instance.ID, batch.Report{})
 	f.report(b.Instance.ID, runningReport(b))
 	f.plan()
-	require.Len(t, f.started["g.0.0.0"], 1, "started alone")
+	require.Len(t, f.started["g.0.0.0"], 1, "one member was started alone")
 	f.report(b.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, b, batch.EndBroken)}})
 	f.plan()
 	require.Len(t, f.started["g.0.0.0"], 2)
@@ -151,7 +151,7 @@
 	require.Equal(t, batch.Failed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
-// Ends that are not the task's fault count no attempt, however many.
+// Checks that ends without a fault of the task never count as attempts.
 func TestStoppedAndLapsedRunsCountNoAttempt(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -164,8 +164,8 @@
 	}
 }
 
-// Occurrences start when they are due, each once, also when the time of day
-// jumps back, and after a change of leader.
+// Checks that each occurrence starts once when it is due, even if the wall clock jumps
+// back or the leader changes.
 func TestTimedJob(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -186,12 +186,12 @@
 	next.s.OpenDue(next.now, 3000)
 	next.report("vm00", runningReport(f.last("j.0.0.0")))
 	next.plan()
-	require.NotContains(t, next.started, "j.0.0.0", "runs already")
-	require.NotContains(t, next.started, "j.1.0.0", "is done")
+	require.NotContains(t, next.started, "j.0.0.0", "it is already running")
+	require.NotContains(t, next.started, "j.1.0.0", "it is done")
 	require.Contains(t, next.started, "j.2.0.0")
 }
 
-// A lasting task is started again however it ends.
+// Checks that a lasting task is restarted after any kind of end.
 func TestLastingTaskIsRestarted(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -207,7 +207,7 @@
 	}
 }
 
-// A queue with an adviser gets no start without a ticket that is still valid.
+// Checks that no task of a queue with an adviser starts without a valid ticket.
 func TestAdvice(t *testing.T) {
 	f := newFixture(t, 2)
 	f.s.SetConfig(&batch.Config{Version: 2, Queues: []batch.Queue{
@@ -226,7 +226,7 @@
 	require.Equal(t, "vm01", o.Instance.ID)
 	require.Equal(t, "leave", o.Start.Ticket)
 	require.NotContains(t, f.started, "j.0.0.1", "vm00 is not allowed, vm01 is full")
-	// The ticket expires; the VM is asked about again once it has room.
+	// The ticket expires; the next request names the VM once it has capacity.
 	f.advance(3 * time.Second)
 	f.report("vm00", batch.Report{})
 	f.report("vm01", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, o, batch.EndDone)}})
@@ -235,7 +235,7 @@
 	require.Equal(t, []string{"vm01"}, orders[0].Candidates)
 }
 
-// wave of maintenance over n machines of a fixture, at most so many at once.
+// withWave adds a wave of maintenance over n machines of a fixture, at most atOnce at a time.
 func withWave(f *fixture, n, atOnce int) []batch.Machine {
 	var machines []batch.Machine
 	w := batch.Wave{Number: 1, Duration: 20 * time.Second, MaxAtOnce: atOnce}
@@ -259,8 +259,8 @@
 	return out
 }
 
-// A wave takes each machine down once, no more at once than allowed, and is not
-// completed before all have begun.
+// Checks that a wave takes each machine down once, respects its limit of machines at a
+// time, and completes only when the maintenance of all has begun.
 func TestWaveKeepsItsBound(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
@@ -297,8 +297,8 @@
 	require.True(t, f.s.WaveStatuses()[0].Completed)
 }
 
-// Lasting tasks are moved off a machine no faster than their step allows, before
-// it goes down.
+// Checks that lasting tasks are moved off a machine before its maintenance, no faster
+// than their step allows.
 func TestWaveMovesLastingTasks(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -308,7 +308,7 @@
 	f.submit("j", s)
 	f.plan()
 	a, b := f.last("j.0.0.0"), f.last("j.0.0.1")
-	require.Equal(t, a.Instance.ID, b.Instance.ID, "packed")
+	require.Equal(t, a.Instance.ID, b.Instance.ID, "both tasks should be on one VM")
 	f.confirm(a)
 	f.confirm(b)
 	f.report(a.Instance.ID, progressReport(100, a, b))
@@ -322,12 +322,11 @@
 		f.advance(100 * time.Millisecond)
 		require.Empty(t, maintenances(f.plan()))
 	}
-	require.Len(t, f.stops, 1, "one task at a time")
+	require.Len(t, f.stops, 1, "tasks should be moved one at a time")
 }
 
-// Symptom: lasting tasks of a VM that left are not at work for ten seconds.
-// Sequence: the VM says that it drains, leaves, and its entry goes; the leader
-// waits its lease out.
+// Guards against lasting tasks that are down for ten seconds, until the lease expires,
+// after their VM announced that it drains, left, and its entry was removed.
 func TestLastingTasksLeaveDrainingVM(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -348,11 +347,9 @@
 	require.NotEqual(t, o.Instance.ID, f.last("j.0.0.0").Instance.ID)
 }
 
-// Symptom: what ran on a VM that left is away for the whole of a usual lease.
-// Sequence: a VM says that it leaves, is held for a while, and is gone with what it
-// ran; its lease would have lasted eight seconds more.
-// A VM that leaves gets short leases: its tasks start again as soon as the last of
-// them is over, and not before, since one that is cut off looks the same.
+// Guards against tasks of a drained VM that wait for the end of a regular lease of eight
+// seconds. A draining VM gets short leases; its tasks are started again as soon as the
+// last has expired and not before, since a partitioned VM looks the same.
 func TestDrainedVMThatLeftHasAShortLease(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
--- a/internal/scheduler/figures_test.go
+++ b/internal/scheduler/figures_test.go
@@ -9,13 +9,13 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// A VM goes off the list and is not heard any more: the figures tell that a lease
-// may live there, for how long, and when it is over.
+// Checks that the statistics and a VM's status show whether a lease may still be valid
+// on a VM that is unlisted and unresponsive, and for how long.
 func TestStatsCountUnexpiredLeases(t *testing.T) {
 	f := newFixture(t, 3)
 	f.report("vm00", batch.Report{})
 	f.report("vm01", batch.Report{})
-	// The clocks are known now, so that these holds take leases.
+	// The clocks are known now, so these holds request leases.
 	f.report("vm00", batch.Report{})
 	f.report("vm01", batch.Report{})
 	f.s.AwaitInstances([]string{"vm02"}, f.now+time.Minute)
@@ -28,7 +28,7 @@
 	f.report("vm01", batch.Report{})
 	f.report("vm02", batch.Report{})
 	x = f.s.Stats(f.now)
-	// On vm02 a lease of an earlier leader may live from before it was first heard.
+	// On vm02 a lease of an earlier leader from before the first report may be valid.
 	require.Equal(t, Stats{Fence: 1, VMs: 3, Unlisted: 1, Unresponsive: 1, LeasedUnresponsive: 1, Leased: 3, LongestLease: x.LongestLease}, x)
 	s, ok := f.s.VMStatus(f.now, "vm00")
 	require.True(t, ok)
@@ -42,8 +42,7 @@
 	require.False(t, ok)
 }
 
-// An end that is told counts for something only if its task is open here; the
-// other ways that it can stand are told apart.
+// Checks each status of a reported end. Only an end whose task is open has an effect.
 func TestEndStatus(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -59,7 +58,7 @@
 	f.report(vm, batch.Report{Ended: []batch.RunEnd{end}})
 	require.Equal(t, EndDuplicate, f.s.EndStatus(vm, 0, &end))
 
-	// The next leader is told it again, and knows from the record which run counts.
+	// The end is reported to the next leader too, whose record has the run that counts.
 	next := newSuccessorFixture(t, 1)
 	next.s.Submit(next.now, Submission{
 		Job: &batch.Job{ID: "j", Steps: []batch.Step{tasks(2, 1000)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: f.write()["j"],
@@ -81,7 +80,8 @@
 	require.Equal(t, EndAfterDone, f.s.EndStatus(vm, 0, &older))
 }
 
-// The two runs of one task were numbered by two leaders.
+// Checks that run numbers identify their leader, with two numbers of one task that were
+// assigned by different leaders.
 func TestFenceOfRunNumber(t *testing.T) {
 	require.Equal(t, int64(706), FenceOf(11844717423))
 	require.Equal(t, int64(4246), FenceOf(71236059276))
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -10,7 +10,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// fixture drives a scheduler against VMs that exist only in the test.
+// fixture drives a scheduler with simulated VMs.
 type fixture struct {
 	t     *testing.T
 	s     *Scheduler
@@ -18,7 +18,7 @@
 	fence int64
 	log   []Decision
 	list  []batch.Instance
-	// started holds the start orders of each task, in order.
+	// started holds the start orders of each task in the order of their issue.
 	started map[string][]Order
 	stops   []Order
 	paces   []Order
@@ -26,12 +26,12 @@
 
 const (
 	testQueue = "q"
-	// testAttempts is how often a task of its jobs may fail.
+	// testAttempts is the maximum number of attempts for tasks in testQueue.
 	testAttempts = 3
 )
 
-// distantFuture is a moment after the end of every test: the fixture's leader leads for
-// certain.
+// distantFuture is later than the end of every test, so that the leadership of the
+// fixture's leader is confirmed throughout.
 const distantFuture = Time(1 << 62)
 
 func newFixture(t *testing.T, vms int) *fixture {
@@ -55,7 +55,7 @@
 	}
 }
 
-// report delivers a report of a VM that was asked for just now.
+// report holds a VM and delivers its report at the same moment.
 func (f *fixture) report(vm string, rep batch.Report) {
 	rep.Clock = f.now + time.Hour
 	_, ok := f.s.Hold(f.now, vm, 0)
@@ -63,14 +63,14 @@
 	f.s.HandleReport(f.now, f.now, vm, rep)
 }
 
-// reportAll delivers empty reports of all VMs, or those given.
+// reportAll delivers a report of each VM: the given one, or an empty one.
 func (f *fixture) reportAll(reports map[string]batch.Report) {
 	for _, inst := range f.list {
 		f.report(inst.ID, reports[inst.ID])
 	}
 }
 
-// plan collects the orders of now.
+// plan plans at the current time, records the orders by kind and returns them.
 func (f *fixture) plan() []Order {
 	orders := f.s.Plan(f.now)
 	for _, o := range orders {
@@ -96,7 +96,7 @@
 	return batch.Step{Tasks: count, Need: batch.Resources{MilliCPU: milliCPU, MemoryMB: 10}, Estimate: time.Second}
 }
 
-// confirm answers a start order with success.
+// confirm reports a start order as successful.
 func (f *fixture) confirm(o Order) { f.s.Started(f.now, f.now, o, f.now+time.Hour, "", false) }
 
 func (f *fixture) last(task string) Order {
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// failTwoJobs makes two jobs in a row fail on the fixture's only VM.
+// failTwoJobs makes two consecutive jobs fail on the fixture's only VM.
 func failTwoJobs(f *fixture) {
 	for i, id := range []string{"x", "y"} {
 		f.submit(id, tasks(1, 100))
@@ -19,9 +19,9 @@
 	}
 }
 
-// Symptom: tasks burn their attempts on a VM that fails everything, healthy by
-// its own word. Two jobs in a row are enough to leave it alone for a while; then
-// one run at a time tries it, until one is done.
+// Guards against tasks that use up their attempts on a VM that fails every run but
+// reports itself healthy. Two consecutive failed jobs quarantine it; afterwards it gets
+// one run at a time until one completes.
 func TestFailingVMIsSuspectedAndProbed(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -40,8 +40,8 @@
 	require.Contains(t, f.started, "j.0.0.2")
 }
 
-// Symptom: a VM that was suspected once is never used again.
-// Cause: a lasting task that ran there counted as a probe that does not end.
+// Guards against a suspected VM that is never used again because a lasting task there
+// counts as a probe, which never ends.
 func TestSuspectedVMWithLastingTaskIsProbed(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -58,7 +58,7 @@
 	require.Contains(t, f.started, "j.0.0.0")
 }
 
-// A job that fails wherever it runs says nothing of the VMs.
+// Guards against suspecting VMs because of a job that fails on every VM.
 func TestAlwaysFailingJobSuspectsNoVM(t *testing.T) {
 	f := newFixture(t, 3)
 	f.reportAll(nil)
--- a/internal/scheduler/intents_test.go
+++ b/internal/scheduler/intents_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// progressWithIntents is the record of a job whose task ended a VM once, and was to be started again by
-// each of some leaders.
+// progressWithIntents returns the record of a job whose task is one crash below the total
+// limit and was then intended to be started by each of the given leaders.
 func progressWithIntents(leaders ...int64) *Progress {
 	sp := StepProgress{}
 	for n := range int64(totalCrashLimit - 1) {
@@ -22,8 +22,8 @@
 	return &Progress{Open: []OccurrenceProgress{{Steps: []StepProgress{sp}}}}
 }
 
-// Guards against a job that is given up for runs that never began: each leader that died
-// before it found a VM for a suspect left a doubt behind, and five gave the job up.
+// Guards against a job that fails for runs that never began: each leader that died before
+// it found a VM for a suspect left an unconfirmed crash, and five made the job fail.
 func TestIntentsThatNeverBeganAreNoCrashes(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
@@ -32,10 +32,11 @@
 	f.write()
 	f.plan()
 	require.Equal(t, batch.Queued, f.s.jobs["old"].state)
-	require.Len(t, f.taskOf("old").crashes, totalCrashLimit, "those of its VMs, and the run that this leader intends")
+	require.Len(t, f.taskOf("old").crashes, totalCrashLimit, "the recorded crashes and the run that this leader intends")
 }
 
-// The same where a VM has ended meanwhile: one of the runs may have begun there, hardly two.
+// As above, where a VM has ended meanwhile: at most one of the runs is assumed to have
+// begun there.
 func TestIntentsOfSeveralLeadersCountOnce(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
@@ -47,7 +48,8 @@
 	require.Equal(t, batch.Queued, f.s.jobs["old"].state)
 }
 
-// Guards against a count that is lost: an intended run may have begun on a VM that has ended.
+// Guards against a lost crash: an intended run may have begun on a VM that ended before
+// its first report.
 func TestIntentsAreKeptWhereAVMEndedUnreported(t *testing.T) {
 	for name, end := range map[string]func(*fixture){
 		"the machine service names it": func(f *fixture) { f.s.RemoveInstance(f.now, "vm01", "machine ended it") },
--- a/internal/scheduler/lifetimes_test.go
+++ b/internal/scheduler/lifetimes_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Tasks were lost with VM after VM, and the log could not tell whether they had ended
-// the VMs or were there by chance: it had the time from the order to the conclusion,
-// two seconds each, not how long the runs had run.
+// Guards against run_lost lines that don't show whether a task may have ended its VM:
+// they had only the time from the order to the conclusion, about two seconds for every
+// run, and not how long the run had run.
 func TestLostRunReportsLifetime(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -42,7 +42,8 @@
 	require.Equal(t, 13*time.Millisecond, lost["new"].MaxLifetime)
 }
 
-// A hold that failed by chance is no sign once the VM has answered again.
+// Guards against a maximum lifetime that ends at a failed hold although the VM has
+// reported since.
 func TestReportClearsUnansweredHolds(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,15 +9,16 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// newFullFixture occupies the only VM with one task of a job and returns its order.
-func newFullFixture(t *testing.T) (f *fixture, holds Order) {
+// newFullFixture returns a fixture whose only VM is occupied by one task, and the start
+// order of that task.
+func newFullFixture(t *testing.T) (f *fixture, occupant Order) {
 	f = newFixture(t, 1)
 	f.reportAll(nil)
 	f.submit("first", tasks(1, 9000))
 	f.plan()
-	holds = f.last("first.0.0.0")
-	f.confirm(holds)
-	return f, holds
+	occupant = f.last("first.0.0.0")
+	f.confirm(occupant)
+	return f, occupant
 }
 
 func lastingStep(milliCPU int64) batch.Step {
@@ -26,23 +27,22 @@
 	return s
 }
 
-// Symptom: a check of a second waits for seconds while standing work takes each
-// processor that comes free.
-// Load: more standing work than there is room for.
+// Guards against a one-second task that waits for seconds while lasting tasks take each
+// processor that becomes free, where there are more lasting tasks than capacity.
 func TestShortTasksGoBeforeNewLastingOnes(t *testing.T) {
-	f, holds := newFullFixture(t)
+	f, occupant := newFullFixture(t)
 	f.submit("watch", lastingStep(8000))
 	f.submit("check", tasks(1, 8000))
 	f.plan()
 	f.advance(500 * time.Millisecond)
-	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, holds, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, occupant, batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "check.0.0.0")
 	require.NotContains(t, f.started, "watch.0.0.0")
 }
 
-// Standing work that was at work before, and lost its VM or failed, comes back
-// before anything else: its users notice at once.
+// Checks that a lasting task that ran before and lost its VM or failed is restarted
+// before anything else, since its users notice the outage at once.
 func TestLastingTasksComeBackFirst(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -58,24 +58,24 @@
 	require.NotContains(t, f.started, "check.0.0.0")
 }
 
-// A check that is late already does not keep standing work waiting.
+// Checks that a short task that is already late does not delay lasting tasks.
 func TestLateShortTasksGoBehindLastingOnes(t *testing.T) {
-	f, holds := newFullFixture(t)
+	f, occupant := newFullFixture(t)
 	f.submit("check", tasks(1, 8000))
 	f.advance(10 * time.Second)
-	f.report("vm00", runningReport(holds))
+	f.report("vm00", runningReport(occupant))
 	f.submit("watch", lastingStep(8000))
 	f.plan()
 	f.advance(500 * time.Millisecond)
-	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, holds, batch.EndDone)}})
+	f.report("vm00", batch.Report{Ended: []batch.RunEnd{endOfOrder(1, occupant, batch.EndDone)}})
 	f.plan()
 	require.Contains(t, f.started, "watch.0.0.0")
 	require.NotContains(t, f.started, "check.0.0.0")
 }
 
-// Symptom: a queue is said to have no waiting jobs while sixteen have waited for
-// five seconds. Sequence: a leader takes over with thousands of VMs; its orders wait
-// for their turn. Cause: a job counted as begun when its first start was decided.
+// Guards against counting a job as started when its first start is decided. After a
+// takeover with thousands of VMs, orders wait in a backlog: a queue was reported to have
+// no waiting jobs while sixteen had waited for five seconds.
 func TestJobWaitsUntilItsFirstStartIsConfirmed(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
--- a/internal/scheduler/twice_test.go
+++ b/internal/scheduler/twice_test.go
@@ -10,24 +10,24 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// awaitDuration is how long the leaders of these tests are told to wait for instances
-// of earlier leaders.
+// awaitDuration is how long the leaders of these tests wait for instances of earlier
+// leaders.
 const awaitDuration = 13 * time.Second
 
-// oldTask is the one task of a job that earlier leaders knew.
+// oldTask is the only task of oldJob, which earlier leaders knew.
 var oldTask = batch.TaskID{Job: "old"}
 
-// oldJob is that job, as a new leader reads it.
+// oldJob returns the job "old" as a new leader reads it.
 func oldJob(p *Progress) Submission {
 	return Submission{Job: &batch.Job{ID: "old", Steps: []batch.Step{tasks(1, 100)}}, Queue: testQueue, Pool: "pool", PredatesLeader: true, Progress: p}
 }
 
-// endOf is how an earlier leader's run of a task ended.
+// endOf returns the end of a run with an arbitrary number, such as one of an earlier leader.
 func endOf(seq int64, task batch.TaskID, run int64, kind batch.EndKind) batch.RunEnd {
 	return batch.RunEnd{Seq: seq, Task: task, Run: run, Kind: kind}
 }
 
-// newSuccessorFixture is a fixture with a leader after f's.
+// newSuccessorFixture returns a fixture whose leader has a higher fencing token.
 func newSuccessorFixture(t *testing.T, vms int) *fixture {
 	f := newFixture(t, vms)
 	f.fence = 9
@@ -38,8 +38,7 @@
 	return f
 }
 
-// write makes all that is pending durable and returns the records as the store
-// gives them to the next leader.
+// write makes all pending records durable and returns them as the next leader reads them.
 func (f *fixture) write() map[string]*Progress {
 	out := map[string]*Progress{}
 	flush := f.s.PendingWrites()
@@ -57,20 +56,20 @@
 	return out
 }
 
-// acked is the highest end that the next hold acknowledges to a VM.
+// acked returns the highest end that the next hold acknowledges to a VM.
 func (f *fixture) acked(vm string) int64 {
 	o, ok := f.s.Hold(f.now, vm, 0)
 	require.True(f.t, ok, "unknown VM %s", vm)
 	return o.Acked
 }
 
-// advanceUntilStarted lets time go by while one VM is heard and the leader plans, until the task
-// was started so many times.
-func (f *fixture) advanceUntilStarted(d time.Duration, heard string, task batch.TaskID, starts int) {
+// advanceUntilStarted advances the time by up to d while one VM reports and the leader
+// plans, until the task was started the given number of times.
+func (f *fixture) advanceUntilStarted(d time.Duration, vm string, task batch.TaskID, starts int) {
 	const tick = 100 * time.Millisecond
 	for range d / tick {
 		f.advance(tick)
-		f.report(heard, batch.Report{})
+		f.report(vm, batch.Report{})
 		f.s.Tick(f.now)
 		f.plan()
 		if len(f.started[task.String()]) >= starts {
@@ -79,8 +78,8 @@
 	}
 }
 
-// newCutOffFixture is a leader with one VM that it hears, vm00, and one that earlier leaders
-// used and that is off the list, "cut".
+// newCutOffFixture returns a fixture whose leader has one VM that reports, vm00, and an
+// unlisted one that earlier leaders used, "cut".
 func newCutOffFixture(t *testing.T) *fixture {
 	f := newSuccessorFixture(t, 1)
 	f.s.AwaitInstances([]string{"vm00", "cut"}, f.now+awaitDuration)
@@ -90,7 +89,7 @@
 	return f
 }
 
-// relist puts the VM that was cut off back on the list.
+// relist adds the VM "cut" to the list.
 func (f *fixture) relist() {
 	back := instance(9)
 	back.ID, back.Address = "cut", "10.9.9.9:1"
@@ -98,40 +97,29 @@
 	f.s.SetInstances(f.now, f.list)
 }
 
-// What happened: two runs of one task at once, on VMs that are both up.
-// Sequence: an availability zone is cut off from the store and from the other
-// zones, with the leader and its VMs in it. Another leader is elected elsewhere;
-// the VMs go off the list. Four seconds later it counts each of them as gone and
-// starts their tasks again, while the old leader may still renew their leases.
-// Cause: the end of a VM's life was concluded from its absence on the list, before
-// every lease that an earlier leader may have taken is over.
-// What settled it, from the logs of a cut that began at 8 s: the new leader's vm_unlisted
-// at 11.97 s and vm_gone, "off the list and unheard", at 15.98 s; its first run_started of
-// such a task at 16.48 s; the old leader's leader_lease_unrenewed not before 13.81 s, so
-// that its leases lasted until 22 s. 243 tasks ran twice.
+// Guards against declaring unlisted VMs ended before every lease of an earlier leader has
+// expired. A zone was partitioned at 8 s with its leader and VMs. The new leader saw the
+// VMs unlisted at 11.97 s, declared them gone at 15.98 s and started their tasks from
+// 16.48 s on. The old leader renewed leases until 13.81 s, which made them valid until
+// 22 s, so that 243 tasks ran twice.
 func TestLeaseOutlivesListEntry(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advanceUntilStarted(unlistedRetention-200*time.Millisecond, "vm00", oldTask, 1)
 	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+awaitDuration)
 }
 
-// What happened: as above, but six seconds later.
-// Sequence: the VM that is off the list has no run that the new leader knows, since
-// it was never heard; after ten seconds off the list it is forgotten.
-// Cause: a VM that is forgotten for being off the list was no longer waited for
-// either, though nobody had heard what it runs.
+// Guards against ending the wait for an unlisted VM when it is forgotten, after ten
+// seconds off the list: it never reported its runs to the new leader, so that a lease may
+// still be valid there, as above but six seconds later.
 func TestLeaseOutlivesForgetting(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advanceUntilStarted(awaitDuration-200*time.Millisecond, "vm00", oldTask, 1)
 	require.Empty(t, f.started, "started again at %v, while it may run on the VM that is cut off until %v", f.now, time.Second+awaitDuration)
 }
 
-// What happened: two runs of one task at once, one of them on a draining VM.
-// Sequence: a VM says that it drains, and is cut off from the store and the leader
-// before it has left; its entry goes. The leader takes it to have left 1.2 s later
-// and starts its task elsewhere, while the VM lives and its lease runs.
-// Cause: a draining VM that is off the list and unheard was taken for one that has
-// ended, whatever its lease.
+// Guards against declaring a draining VM ended because it is unlisted and unresponsive,
+// while its lease is valid. The VM was partitioned before it left, and its task was
+// started elsewhere 1.2 s after its entry was removed.
 func TestLeaseOutlivesDraining(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -139,7 +127,7 @@
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	// The VM's lease, on its clock, which is an hour ahead.
+	// The end of the lease on the VM's clock, which is an hour ahead.
 	lease := o.Start.LeaseUntil
 	var rest []batch.Instance
 	for i := range f.list {
@@ -149,7 +137,7 @@
 		}
 	}
 	f.s.SetInstances(f.now, f.list)
-	// One more hold arrives there; the rest of the talk with it is lost.
+	// One more hold arrives there; all later messages are lost.
 	hold, _ := f.s.Hold(f.now, o.Instance.ID, 0)
 	lease = max(lease, hold.LeaseUntil)
 	f.s.HandleReport(f.now, f.now, o.Instance.ID, batch.Report{Clock: f.now + time.Hour, Running: runningReport(o).Running})
@@ -157,14 +145,12 @@
 	f.s.SetInstances(f.now, rest)
 	f.advanceUntilStarted(20*time.Second, rest[0].ID, o.Task, 2)
 	require.Len(t, f.started["j.0.0.0"], 2, "never started again")
-	require.Greater(t, f.now+time.Hour, lease, "started again at %v, while its lease on the draining VM runs until %v", f.now, lease-time.Hour)
+	require.Greater(t, f.now+time.Hour, lease, "started again at %v, while its lease on the draining VM is valid until %v", f.now, lease-time.Hour)
 }
 
-// What happened: tasks ran twice at once, the moment a cut ended.
-// Sequence: a leader hears a VM for the first time, which tells what an earlier
-// leader runs there; before the next hold takes a lease, the leader looks which
-// leases are over.
-// Cause: a lease of which nothing was known counted as over.
+// Guards against treating an unknown lease as expired: when a partition ended, the leader
+// checked for expired leases between a VM's first report, with runs of an earlier leader,
+// and the next hold, and started the tasks a second time.
 func TestLeaseOutlivesFirstReport(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advance(5 * time.Second)
@@ -178,15 +164,12 @@
 		require.Empty(t, f.started, "started again at %v", f.now)
 	}
 	f.advanceUntilStarted(2*time.Second, "vm00", oldTask, 1)
-	require.Len(t, f.started, 1, "not started again though every lease there is over")
+	require.Len(t, f.started, 1, "not started again although every lease there has expired")
 }
 
-// What happened: a task was started after its end had been acknowledged.
-// Sequence: a leader is cut off from the store and from a VM whose lease it took; it
-// may act for some seconds more. Another is elected, which hears the VM and takes what
-// runs there over. The first counts the VM's lease as over and starts its task again,
-// on a VM that only it reaches.
-// Cause: a lease was taken to be over by a leader that may not lead any more.
+// Guards against a deposed leader that declares a lease expired. It is partitioned from
+// the store and a VM but may act for some seconds; its successor adopts the VM's runs
+// and acknowledges their ends, and the old leader starts the task on a VM it can reach.
 func TestLeaseOutlivesTheLead(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -200,13 +183,13 @@
 	}
 	f.s.leadConfirmedAt = f.now + 5*time.Second
 	f.advanceUntilStarted(12*time.Second, other, first.Task, 2)
-	require.Len(t, f.started["j.0.0.0"], 1, "started again by a leader that is cut off")
+	require.Len(t, f.started["j.0.0.0"], 1, "started again by a leader that may be deposed")
 	f.s.ConfirmLeadership(f.now)
 	f.plan()
-	require.Len(t, f.started["j.0.0.0"], 2, "not started again though it led all the while")
+	require.Len(t, f.started["j.0.0.0"], 2, "not started again although it led all the time")
 }
 
-// A leader that is cut off does not take the wait for earlier leaders' VMs to be over.
+// Checks that a leader that may be deposed does not end the wait for VMs of earlier leaders.
 func TestWaitForSilentVMsOutlivesTheLead(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.s.leadConfirmedAt = f.now + awaitDuration - time.Millisecond
@@ -217,10 +200,9 @@
 	require.Len(t, f.started, 1)
 }
 
-// What happened: a VM stood idle for as long as its leaders led.
-// Sequence: a VM is given up rightly, after its lease, and its task done elsewhere;
-// another leader is elected; the VM is back and tells that its run ended well.
-// Cause: that the lease had run out was known to the first leader only.
+// Guards against a VM that gets no work because only an earlier leader knew that its lease
+// had expired. The task was completed elsewhere after the lease; after a change of leader
+// the VM returns and reports that its own run completed.
 func TestNextLeaderKnowsThatALeaseRanOut(t *testing.T) {
 	f := newCutOffFixture(t)
 	f.advanceUntilStarted(2*awaitDuration, "vm00", oldTask, 1)
@@ -239,14 +221,10 @@
 	require.EqualValues(t, 1, next.acked("cut"))
 }
 
-// What happened: two runs of one task at once, a second and a half after a change
-// of leader.
-// Sequence: a leader whose key is gone, which it has not heard of, takes a new job
-// up and starts it on a VM that the next leader does not reach. The next leader has
-// the job too, and starts it once the earlier one has certainly learned that it is
-// deposed.
-// Cause: that the earlier leader starts no more says nothing of what it has started.
-// A job that came while it may still have followed new ones is as good as an old one.
+// Guards against starting a task twice, 1.5 s after a change of leader. A leader that does
+// not know yet that it is deposed accepts a new job and starts it on a VM that its
+// successor can't reach. The successor must treat jobs of that period like older ones,
+// even after the earlier leader has certainly stopped starting tasks.
 func TestJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
@@ -258,8 +236,7 @@
 	require.Len(t, f.started, 1)
 }
 
-// What happened: as above, seconds later.
-// Sequence: the job came in the same time, and the next leader's watch tells it late.
+// As above, where the successor's watch delivers the job some seconds late.
 func TestLateJobOfOverlappingLeadersWaitsForUnresponsiveVMs(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
 	f.s.AwaitInstances([]string{"vm00", "vm01"}, f.now+awaitDuration)
@@ -271,10 +248,9 @@
 	require.Empty(t, f.started, "started at %v, while an earlier leader's run may be on vm01 until %v", f.now, time.Second+awaitDuration)
 }
 
-// What must not happen: an end is not looked at, since one before it is of a job that
-// is not known; its run, which the VM does not list any more, counts as lost, and its
-// task is started again.
-// The end of the unknown job holds up what is acknowledged, and nothing else.
+// Guards against skipping ends that follow the end of an unknown job: their runs, which
+// the VM no longer lists, would be declared lost and their tasks started again. The end
+// of the unknown job delays only acknowledgements.
 func TestEndsBehindOneOfUnknownJobAreProcessed(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	f.reportAll(nil)
@@ -291,9 +267,9 @@
 	require.Equal(t, batch.Completed, f.write()["known"].State)
 }
 
-// startedTwice brings about: a run of oldTask was confirmed on a VM, which then did
-// not list it, though its lease never ran out; the task was started again elsewhere.
-// The end of the first run is kept on its VM, and told later.
+// startedTwice returns a fixture where oldTask was started a second time, because the VM
+// of its first, confirmed run did not list it although the lease never expired. The
+// caller can report the end of the first run later.
 func startedTwice(t *testing.T) (f *fixture, first, second Order) {
 	f = newSuccessorFixture(t, 2)
 	f.reportAll(nil)
@@ -311,7 +287,7 @@
 	return f, first, second
 }
 
-// secondRunDone lets the second run end well, and returns the records then.
+// secondRunDone is startedTwice with the second run completed, and returns the records.
 func secondRunDone(t *testing.T) (f *fixture, first Order, records map[string]*Progress) {
 	f, first, second := startedTwice(t)
 	f.report(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}})
@@ -320,12 +296,9 @@
 	return f, first, records
 }
 
-// What happened: a task counts as run twice: the end of its first run, before its
-// second one was started, was acknowledged after both.
-// Sequence: a run is given up while its VM lives, and its task is started again
-// elsewhere; that run ends well. Then the VM tells that the first run ended well.
-// Cause: an end counted as superseded only while a later run was under way; which
-// run counted as done was not known any more once it had ended.
+// Guards against acknowledging the end of a superseded run, which counts the task as
+// executed twice. A run is declared lost while its VM is up, and a second run completes;
+// once that had ended, the leader no longer knew that it is the run that counts.
 func TestCountedRunIsKnownAfterItsEnd(t *testing.T) {
 	f, first, _ := secondRunDone(t)
 	seq := f.acked(first.Instance.ID) + 7
@@ -334,8 +307,8 @@
 	require.Less(t, f.acked(first.Instance.ID), seq, "the end of the first run was acknowledged; a later run counts")
 }
 
-// What happened: as above, but the VM is back after another change of leader.
-// Cause: the record told that the task is done, and not by which run.
+// As above, where the VM returns after another change of leader: the record contained
+// that the task is done but not by which run.
 func TestCountedRunIsKnownToTheNextLeader(t *testing.T) {
 	_, _, records := secondRunDone(t)
 	f := newSuccessorFixture(t, 1)
@@ -347,8 +320,7 @@
 	require.Zero(t, f.acked("cut"), "the end of run 3 was acknowledged; a later run counts")
 }
 
-// What happened: as above, where other tasks of the job are still to be done, so
-// that the record has no final state.
+// As above, where the job has unfinished tasks, so that its record has no final state.
 func TestCountedRunIsKnownToTheNextLeaderInAnOpenJob(t *testing.T) {
 	open := oldJob(nil)
 	open.Job = &batch.Job{ID: "open", Steps: []batch.Step{tasks(2, 100)}}
@@ -370,11 +342,9 @@
 	require.Zero(t, next.acked("cut"), "the end of run 3 was acknowledged; a later run counts")
 }
 
-// What happened: a task counts as run twice: an end `done` was acknowledged after a
-// later run of the task had been started, and had failed.
-// Sequence: a run is given up while its VM lives, and its task is started again
-// elsewhere; that run fails. Then the VM tells that the first run ended well.
-// Cause: an end counted as superseded only while a later run was under way.
+// Guards against acknowledging that a run completed after a later run of the task was
+// started and failed, which counts the task as executed twice: an end was treated as
+// superseded only while a later run was in progress.
 func TestCountedRunIsNotOneBeforeAFailedRun(t *testing.T) {
 	f, first, second := startedTwice(t)
 	f.report(second.Instance.ID, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndFailed)}})
@@ -384,11 +354,9 @@
 	require.Less(t, f.acked(first.Instance.ID), seq, "the end of the first run was acknowledged; a later run was started")
 }
 
-// What happened: a task was started after its end `done` had been acknowledged.
-// Sequence: a leader takes a job on and starts it; another is elected, whose watch
-// of new jobs is late or silent. A VM tells it the end of the job's task; the flush
-// that follows acknowledges it, though no record holds it. Then the job is learned.
-// Cause: an end of a job that is not known counted as processed.
+// Guards against acknowledging the end of an unknown job. The watch of a new leader
+// delivers the job only after a VM has reported the end of its task; no record includes
+// the end, and the finished task was started again.
 func TestAcknowledgedEndIsOfAKnownJob(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "late"}
@@ -399,16 +367,15 @@
 	f.submit("late", tasks(1, 100))
 	f.plan()
 	require.Zero(t, acked, "acknowledged before the job is known")
-	require.Empty(t, f.started, "started though its end is known")
+	require.Empty(t, f.started, "started although its end is known")
 	f.report("vm00", rep)
 	f.plan()
-	require.Empty(t, f.started, "started though its end is known")
+	require.Empty(t, f.started, "started although its end is known")
 	require.Equal(t, batch.Completed, f.write()["late"].State)
 	require.EqualValues(t, 1, f.acked("vm00"))
 }
 
-// What happened: a task is started more often than its queue allows.
-// Sequence: as above, and the end that is told is that of a failed run.
+// As above with failed runs: the task would be started more often than its queue allows.
 func TestAcknowledgedFailureIsOfAKnownJob(t *testing.T) {
 	f := newSuccessorFixture(t, 1)
 	task := batch.TaskID{Job: "late"}
@@ -422,14 +389,12 @@
 	f.report("vm00", rep)
 	f.plan()
 	require.Zero(t, acked, "acknowledged before the job is known")
-	require.Empty(t, f.started, "started after three failed runs, which is all its queue allows")
+	require.Empty(t, f.started, "started after three failed runs, the maximum of its queue")
 }
 
-// What happened: two runs of one task at once.
-// Sequence: as above, but the run is under way when the VM is heard. It is ordered
-// to stop, as one of a job that there is not; then the job is learned, and started
-// elsewhere before the VM has carried the stop out.
-// Cause: a run of a job that is not known was not held on its VM.
+// Guards against two concurrent runs of a task: a VM reports a run of a job that the leader
+// does not know yet. The run was ordered to stop as unwanted, and when the job became
+// known, its task was started elsewhere before the stop was carried out.
 func TestAcknowledgedRunIsOfAKnownJob(t *testing.T) {
 	f := newSuccessorFixture(t, 2)
 	task := batch.TaskID{Job: "late"}
@@ -437,15 +402,12 @@
 	f.plan()
 	f.submit("late", tasks(1, 100))
 	f.plan()
-	require.Empty(t, f.started, "started while run 3 was last seen on vm00")
+	require.Empty(t, f.started, "started while run 3 was last reported by vm00")
 }
 
-// What happened: tasks of a timed job whose ends were acknowledged are started again.
-// Sequence: a record tells of occurrence 0 that one task is done and another failed.
-// The next leader takes the job up and is told an end of occurrence 1, before it has
-// looked at the time of day; it writes the job's record, and another is elected.
-// Cause: a record was written of the occurrences that were open, without those that
-// the leader had read of and not opened yet.
+// Guards against losing acknowledged ends of occurrences that a leader has restored but
+// not opened. A new leader receives an end of occurrence 1 before it has checked which
+// occurrences are due, and its record lacked occurrence 0, whose tasks were repeated.
 func TestAcknowledgedEndsStayInTheRecord(t *testing.T) {
 	sub := Submission{
 		Job: &batch.Job{
@@ -478,5 +440,5 @@
 	third.plan()
 	require.NotContains(t, third.started, "timed.0.0.0", "its end was acknowledged")
 	require.NotContains(t, third.started, "timed.1.0.0", "its end was acknowledged")
-	require.Len(t, third.s.task(task(0, 1)).failedRuns, 2, "ends that were acknowledged")
+	require.Len(t, third.s.task(task(0, 1)).failedRuns, 2, "their ends were acknowledged")
 }
