--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Backlog bounds how long starts wait between their decision and their being given. What has
-// been decided can't be overtaken: a leader whose processor is full and that decides more than
-// it can give has urgent work wait behind all of it, its calls time out, and it loses its
-// lease. So no more is decided than it gives within a time, and the rest waits in the
-// scheduler's queue, where each plan begins with what is most urgent then.
+// Backlog bounds how long starts wait between their decision and their dispatch to VMs. Starts
+// that were decided cannot be overtaken: if a leader at its processor limit decides more than it
+// can send, urgent starts queue behind all others, its calls time out, and it loses its lease. It
+// therefore decides only what it can send within a given time. The rest waits in the scheduler's
+// queue, where each plan starts with the most urgent tasks at that time.
 type Backlog struct {
 	mu sync.Mutex
-	// size is how many starts may wait, batchSize how many of batch jobs one plan may decide.
+	// size is the maximum number of waiting starts, batchSize the maximum number of starts of
+	// batch jobs per plan.
 	size, batchSize float64
-	// batches are those that wait, by plan, the oldest first.
+	// batches are the waiting starts by plan, the oldest first.
 	batches []*startBatch
 	waiting int
-	// batchAllowedAt is when there last was room for batch starts.
+	// batchAllowedAt is when the budget last admitted batch starts.
 	batchAllowedAt Time
 }
 
-// CountStarts counts the starts among orders.
+// CountStarts returns the number of start orders among orders.
 func CountStarts(orders []Order) int {
 	n := 0
 	for i := range orders {
@@ -33,7 +34,7 @@
 	return n
 }
 
-// startBatch is the starts that one plan has decided.
+// startBatch tracks the unsent starts of one plan.
 type startBatch struct {
 	decidedAt Time
 	remaining int
@@ -41,34 +42,37 @@
 	limited bool
 }
 
-// StartBudget is how many starts may be decided.
+// StartBudget is the number of starts that may be decided.
 type StartBudget struct {
-	// Starts bounds all of them, Batch those of batch jobs.
+	// Starts bounds all starts, Batch those of batch jobs.
 	Starts, Batch int
 }
 
-// UnlimitedStarts has a plan start whatever can be started.
+// UnlimitedStarts is a budget without limits.
 var UnlimitedStarts = StartBudget{Starts: math.MaxInt, Batch: math.MaxInt}
 
-// exhausted reports whether there is none for some.
+// exhausted reports whether the budget has no starts left for some jobs.
 func (r StartBudget) exhausted() bool { return r.Starts <= 0 || r.Batch <= 0 }
 
 const (
-	// maxStartDelay is how long a start may wait to be given: urgent tasks have some 0.3 s for
-	// all that is not their own work, and many of them two steps.
+	// maxStartDelay is the target for the time between decision and dispatch of a start. Urgent
+	// tasks have some 0.3 s for everything but their own work, and many of their jobs have two
+	// steps.
 	maxStartDelay = 80 * time.Millisecond
-	// maxBatchLag is how far the leader may be behind and decide starts of batch jobs: urgent
-	// ones pass it several times, with their job, their order and the end of each step.
+	// maxBatchLag is the lag of the leader up to which it decides starts of batch jobs. Urgent
+	// jobs incur the lag several times: with their submission, their start and the end of each
+	// step.
 	maxBatchLag = 25 * time.Millisecond
-	// maxBatchWait is for how long a leader that is late decides no batch starts at most.
+	// maxBatchWait is the longest time for which a lagging leader decides no batch starts.
 	maxBatchWait = 500 * time.Millisecond
-	// initialBacklog is how many starts may wait at first: 5,000 a second. minBacklog keeps
-	// starts coming, maxBacklog is as many as may be under way through relays.
+	// initialBacklog is the initial number of waiting starts, enough for 5,000 starts a second.
+	// minBacklog keeps starts flowing, and maxBacklog is the number of starts that may be in
+	// flight through relays.
 	initialBacklog = 256
 	minBacklog     = 16
 	maxBacklog     = 2048
-	// backlogShrinkFactor and backlogGrowthFactor change the size after each plan whose starts took longer
-	// than the target, or less than half of it.
+	// backlogShrinkFactor and backlogGrowthFactor adjust the sizes after each plan whose starts
+	// took longer than the target, or less than half of it.
 	backlogShrinkFactor = 0.7
 	backlogGrowthFactor = 1.25
 )
@@ -76,39 +80,39 @@
 // NewBacklog returns an empty backlog.
 func NewBacklog() *Backlog { return &Backlog{size: initialBacklog, batchSize: initialBacklog} }
 
-// Budget is how many more starts may be decided now, by a leader that is so late with what it
-// does itself.
-func (b *Backlog) Budget(now Time, late time.Duration) StartBudget {
+// Budget returns how many more starts may be decided now, where lag is the delay of the leader's
+// own work.
+func (b *Backlog) Budget(now Time, lag time.Duration) StartBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	oldest := time.Duration(0)
 	if len(b.batches) > 0 {
 		oldest = now - b.batches[0].decidedAt
 	}
-	room := StartBudget{Starts: max(0, int(b.size)-b.waiting)}
+	budget := StartBudget{Starts: max(0, int(b.size)-b.waiting)}
 	if oldest > maxStartDelay {
-		room.Starts = 0
+		budget.Starts = 0
 	}
 	switch {
-	case max(late, oldest) <= maxBatchLag:
-		room.Batch = int(b.batchSize)
+	case max(lag, oldest) <= maxBatchLag:
+		budget.Batch = int(b.batchSize)
 	case now-b.batchAllowedAt > maxBatchWait:
-		// A process that is always late still has to get its batch work done.
-		room.Batch = minBacklog
+		// Batch jobs must progress even if the process always lags.
+		budget.Batch = minBacklog
 	default:
 		b.shrinkBatch()
 	}
-	if room.Batch = min(room.Batch, room.Starts); room.Batch > 0 {
+	if budget.Batch = min(budget.Batch, budget.Starts); budget.Batch > 0 {
 		b.batchAllowedAt = now
 	}
-	return room
+	return budget
 }
 
 func (b *Backlog) shrinkBatch() { b.batchSize = max(b.batchSize*backlogShrinkFactor, minBacklog) }
 
-// RecordPlan notes the starts of a plan that had so much room left. It returns what is to be
-// called once for each of them, with the time, when it is given or dropped.
-func (b *Backlog) RecordPlan(now Time, starts int, left StartBudget) (given func(now Time)) {
+// RecordPlan records the starts that a plan has decided and the budget that it left. The returned
+// function must be called once for each start when it is sent or dropped.
+func (b *Backlog) RecordPlan(now Time, starts int, left StartBudget) (sent func(now Time)) {
 	batch := &startBatch{decidedAt: now, remaining: starts, limited: left.exhausted()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +148,7 @@
 	}
 }
 
-// Stats are how many starts may wait and how many do.
+// Stats returns the maximum and the current number of waiting starts.
 func (b *Backlog) Stats() (size, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -2,15 +2,15 @@
 
 import "github.com/rattanwall/rattanwall/internal/batch"
 
-// The tasks of a step ask for the same, and each that is placed changes one VM only. All
-// VMs are therefore looked at once a step, not once a task: at 1,100 VMs a start takes
-// 0.05 ms of decisions instead of 0.15 (BenchmarkLargeFleet).
+// The tasks of a step have the same needs, and placing one changes a single VM. All VMs are
+// therefore rated once per step instead of once per task: at 1,100 VMs a start takes 0.05 ms of
+// planning instead of 0.15 ms (BenchmarkLargeFleet).
 
-// candidate is a VM that may be given a task of a step, with its score when it was rated.
+// candidate is a VM suitable for a step's tasks, with its last score.
 type candidate struct {
 	vm    *vm
 	score float64
-	// index is its place in the scheduler's order, which decides between equal scores.
+	// index is the VM's position in the scheduler's list, which breaks ties between scores.
 	index int
 }
 
@@ -19,13 +19,12 @@
 	return c.score > d.score || (c.score == d.score && c.index < d.index)
 }
 
-// candidates are those of a step within one pass, the best first, as a heap.
+// candidates is a heap of a step's candidates within one pass, the best first.
 type candidates struct {
 	heap []candidate
 }
 
-// candidatesFor rates all VMs for a step, of which t is a task. The list is good until the
-// next call.
+// candidatesFor rates all VMs for the step of task t. The result is valid until the next call.
 func (s *Scheduler) candidatesFor(now Time, t *task) *candidates {
 	c := &s.candidates
 	c.heap = c.heap[:0]
@@ -44,8 +43,8 @@
 	return c
 }
 
-// hasCapacity reports whether a VM has what the step's tasks ask for. It is the cheaper part
-// of fits, and rules most VMs of a full fleet out.
+// hasCapacity reports whether the VM has enough free resources for a task of the step. It is a
+// cheap part of placementObstacle that excludes most VMs of a busy fleet.
 func (s *Scheduler) hasCapacity(now Time, v *vm, spec *batch.Step) bool {
 	capacity := &v.inst.Capacity
 	if spec.Need.MemoryMB > capacity.MemoryMB-v.used.MemoryMB || spec.Need.Accelerators > capacity.Accelerators-v.used.Accelerators {
@@ -57,9 +56,8 @@
 	return spec.Need.MilliCPU <= capacity.MilliCPU-v.used.MilliCPU
 }
 
-// takeBest returns the best VM for a task of the step, or nil. What was started since the
-// list was made has only made VMs worse: the first is rated anew, and is the best if it
-// still comes before the next.
+// takeBest returns the best VM for a task of the step, or nil. Starts since the list was made
+// only lower scores: the first candidate is rated again and is the best if it stays first.
 func (s *Scheduler) takeBest(now Time, c *candidates, t *task) *vm {
 	for len(c.heap) > 0 {
 		first := &c.heap[0]
@@ -87,7 +85,7 @@
 	c.siftDown(0)
 }
 
-// siftDown restores the heap's order below a place.
+// siftDown restores the heap order below index i.
 func (c *candidates) siftDown(i int) {
 	for {
 		best := i
@@ -104,8 +102,8 @@
 	}
 }
 
-// usesCandidateList reports whether a task may be placed from its step's list of candidates: those
-// that are drawn to a rack, or kept from a VM, are rated by themselves.
+// usesCandidateList reports whether a task is placed from its step's candidate list. Tasks with a
+// rack preference or a VM to avoid are rated individually.
 func (s *Scheduler) usesCandidateList(t *task) bool {
 	return !t.step.spec.SameRack && t.lastFailedOn == "" && s.policy.Placement != PlacementFirst
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -9,22 +9,21 @@
 )
 
 const (
-	// fillerUseShare is the share of their declared processors that fillers use on
-	// average.
+	// fillerUseShare is the average share of their declared processors that fillers use.
 	fillerUseShare = 0.9
-	// fillerOvercommit is how much more than the rest fillers may declare on a VM
-	// without tails to watch.
+	// fillerOvercommit is the factor by which fillers may overcommit the free processors of a VM
+	// that has no serving tasks.
 	fillerOvercommit = 1.2
-	// mismatchPenalty is what a place away from the data costs in the score, where 1
-	// is a whole VM's processors.
+	// mismatchPenalty lowers the score of VMs away from the data, with unneeded accelerators, or
+	// on which the task failed last. A score of 1 corresponds to all processors of a VM.
 	mismatchPenalty = 2.0
-	// sameRackBonus draws the tasks of one step to one rack.
+	// sameRackBonus raises the score of VMs in the rack of the step's other tasks.
 	sameRackBonus = 2.0
-	// tolerableEffect is the effect, as a logarithm, that is within the slopes' noise for
-	// a tenth of a VM's processors.
+	// tolerableEffect is the effect on a tail, as a logarithm, that is within the noise of the
+	// learned slopes for a filler with a tenth of a VM's processors.
 	tolerableEffect = 0.05
-	// negligibleEffect is the effect, as a logarithm, of a filler that may start beside
-	// any serving task.
+	// negligibleEffect is the effect, as a logarithm, up to which a filler may start beside any
+	// serving task.
 	negligibleEffect = 0.02
 )
 
@@ -60,8 +59,8 @@
 	return best
 }
 
-// isStarving reports whether a filler's job has had nothing running for so long that it
-// starts beside others and takes its share of their processors.
+// isStarving reports whether a filler's job has had no runs for so long that the filler may start
+// despite interference and lack of processors.
 func (s *Scheduler) isStarving(now Time, t *task) bool {
 	st, after := t.step, milliseconds(s.policy.StarvedAfterMS)
 	if s.crowded {
@@ -70,28 +69,28 @@
 	return after > 0 && st.spec.Filler && !st.spec.Gang && st.occ.job.running == 0 && now-max(st.runnableAt, t.lastRunEnd) > after
 }
 
-// leastAffectedVM returns the VM with memory for a starving filler on which it
-// presses least, or nil.
+// leastAffectedVM returns the VM with enough memory on which a starving filler interferes least,
+// or nil.
 func (s *Scheduler) leastAffectedVM(now Time, t *task) *vm {
 	var best *vm
-	least := 0.0
+	lowest := 0.0
 	for _, v := range s.vmList {
 		if o := s.placementObstacle(now, v, t); o != obstacleNone && o != obstacleLeftover {
 			continue
 		}
 		p := s.pressure(now, v, t.step.spec.Image, t.step.spec.Need.MilliCPU)
-		pressed := math.Exp(p.worst) + float64(v.fillerCPU)/v.capacityMilliCPU()
-		if best == nil || pressed < least {
-			best, least = v, pressed
+		impact := math.Exp(p.worst) + float64(v.fillerCPU)/v.capacityMilliCPU()
+		if best == nil || impact < lowest {
+			best, lowest = v, impact
 		}
 	}
 	if best != nil {
-		s.logf(Decision{Event: EventTaskStarved, Task: t.id(), VM: best.inst.ID, Age: now - t.step.runnableAt, Value: least})
+		s.logf(Decision{Event: EventTaskStarved, Task: t.id(), VM: best.inst.ID, Age: now - t.step.runnableAt, Value: lowest})
 	}
 	return best
 }
 
-// currentRack is where a task of the step runs already, or "".
+// currentRack returns the rack of one of the step's runs, or "".
 func (st *step) currentRack() string {
 	for k := range st.tasks {
 		for _, r := range st.tasks[k].runs {
@@ -101,10 +100,10 @@
 	return ""
 }
 
-// obstacle is why a VM may not be given a task now.
+// obstacle is a reason why a task cannot be placed on a VM now.
 type obstacle int
 
-// The obstacles. obstaclePressure is last: it is found with the score.
+// The obstacles. obstaclePressure is last: it is detected only when the VM is rated.
 const (
 	obstacleNone obstacle = iota
 	obstacleUnreachable
@@ -126,11 +125,13 @@
 
 var obstacleNames = [obstacleCount]string{"none", "unheard", "restarted", "draining", "pool", "suspected", "per_vm", "trial", "capacity", "processor", "reserve", "memory", "leftover", "advice", "pressure"}
 
-// maxUnackedEnds is how many ends a VM may have to be acknowledged and get new work: it
-// tells 500 at a time, and a run whose end is beyond them is in doubt.
+// maxUnackedEnds is the number of unacknowledged run ends up to which a VM gets new work. A
+// report lists at most 500 ends, and a run whose end is beyond them counts as an unconfirmed
+// crash.
 const maxUnackedEnds = 200
 
-// placementObstacle reports what keeps the VM from being given the task now.
+// placementObstacle returns the reason why the task cannot be placed on the VM now, or
+// obstacleNone.
 func (s *Scheduler) placementObstacle(now Time, v *vm, t *task) obstacle {
 	spec := t.step.spec
 	switch {
@@ -170,8 +171,7 @@
 	return obstacleNone
 }
 
-// obstaclesOf counts, for a task that found no VM, how many VMs each obstacle
-// rules out.
+// obstaclesOf counts, for a task without a suitable VM, the VMs that each obstacle excludes.
 func (s *Scheduler) obstaclesOf(now Time, t *task) string {
 	var count [obstacleCount]int
 	for _, v := range s.vmList {
@@ -190,7 +190,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-// fillerHeadroom is what one more filler may be expected to get of the VM, in
+// fillerHeadroom is the processor time that one more filler is expected to get on the VM, in
 // thousandths of a processor.
 func (s *Scheduler) fillerHeadroom(now Time, v *vm) float64 {
 	if v.servingRuns == 0 {
@@ -200,11 +200,11 @@
 	return v.fillerCapacity - v.fillerFullUse
 }
 
-// purity is the share of the image among what serves on the VM. Few pairs of
-// images press, but of five serving images beside each other one nearly always
-// minds a filler: where the images are kept apart, most fillers find VMs where
-// nobody minds them. Serving tasks do not press on each other, so that packing
-// them tightly costs their tails nothing.
+// purity is the image's share of the serving processors on the VM, or empty if nothing serves
+// there. Few pairs of images interfere, but of five serving images on a VM nearly always one is
+// sensitive to a given filler. Grouping serving tasks by image leaves VMs without interference
+// for most fillers. Serving tasks do not interfere with each other, so packing them densely does
+// not lengthen their tails.
 func (v *vm) purity(image string, empty float64) float64 {
 	if v.servingRuns == 0 {
 		return empty
@@ -218,11 +218,12 @@
 	return float64(same) / float64(max(v.servingCPU, 1))
 }
 
-// keepEmptyPurity rates an empty VM that is to be left to others: worse than any that serves.
+// keepEmptyPurity is the purity of an empty VM that is kept for other tasks. It is below that of
+// any serving VM.
 const keepEmptyPurity = -0.3
 
-// emptyPurity rates a VM that serves nothing, for a serving task: the last few are left
-// to fillers and short tasks as long as there is room elsewhere.
+// emptyPurity is the purity of an empty VM for a serving task. The last few empty VMs are kept
+// for fillers and short tasks while there is capacity elsewhere.
 func (s *Scheduler) emptyPurity() float64 {
 	if float64(s.nonServingVMs) <= s.policy.KeepEmpty*float64(s.reportedVMs) {
 		return keepEmptyPurity
@@ -230,8 +231,8 @@
 	return s.policy.EmptyPurity
 }
 
-// score rates a VM that fits; higher is better. ok is false when the task would
-// press too hard on what serves there.
+// score rates a VM without obstacles for a task; higher is better. It returns false if the
+// predicted interference with the VM's serving tasks is too strong.
 func (s *Scheduler) score(now Time, v *vm, spec *batch.Step) (score float64, ok bool) {
 	capacity := v.capacityMilliCPU()
 	free := float64(v.inst.Capacity.MilliCPU-v.used.MilliCPU) / capacity
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// lateObjectiveFactor: a job is worth something, though less, until this many times
-	// its objective.
+	// lateObjectiveFactor is the multiple of its objective up to which a late job still has a
+	// reduced value.
 	lateObjectiveFactor = 3
-	// planInterval is how often waiting work is looked at when nothing has changed:
-	// pauses after failures end by time.
+	// planInterval is the interval between plans when nothing has changed: pauses after failures
+	// end with time.
 	planInterval = 50 * time.Millisecond
 )
 
@@ -21,41 +21,43 @@
 type rank struct {
 	group    rankGroup
 	priority int
-	// costPerValue is the work that is still to come for what the job is worth. Where
-	// more comes than there is room for, going by it serves more jobs, more work,
-	// and more of the largest tenth than going by slack, which begins them all and
-	// ends them late: 0.63 instead of 0.54 of the work on time, where twelve
-	// seconds bring twice the work (TestOverloadOfFillerChains).
+	// costPerValue is the remaining work per value of the job. Under overload, ordering by it
+	// completes more jobs, more work and more of the largest tenth of jobs than ordering by
+	// slack, which starts all jobs and finishes them late: 0.63 instead of 0.54 of the work on
+	// time, with twice the available capacity requested for twelve seconds
+	// (TestOverloadOfFillerChains).
 	costPerValue float64
 	// slack is the time that may be lost without missing the objective.
 	slack time.Duration
 }
 
-// rankGroup is the first thing that a place in the queue goes by.
+// rankGroup is the primary sort key of the queue, most urgent first.
 type rankGroup int
 
 const (
-	// groupRestart: lasting work that was at work before.
+	// groupRestart holds lasting tasks of jobs that ran before.
 	groupRestart rankGroup = iota
-	// groupShort: tasks that hold processors for a second or two, of jobs that can
-	// meet their objective. Lasting tasks hold what they get for minutes, and wait
-	// that much longer anyway where more of them come than there is room for.
+	// groupShort holds tasks that occupy processors for a second or two, of jobs that can meet
+	// their objective. They precede new lasting tasks, which hold their processors for minutes
+	// and have to wait in any case when more of them arrive than fit.
 	groupShort
-	// groupLasting: lasting work that is new.
+	// groupLasting holds lasting tasks of jobs that have not run yet.
 	groupLasting
-	// groupShortLate: short tasks of jobs that are late but count.
+	// groupShortLate holds short tasks of jobs that are late but still have a value.
 	groupShortLate
-	// groupOnTime: the other jobs that can meet their objective, then those that
-	// are late but count, and the rest.
+	// groupOnTime holds all other jobs that can meet their objective, groupLate those that are
+	// late but still have a value, and groupHopeless those past lateObjectiveFactor times their
+	// objective.
 	groupOnTime
 	groupLate
 	groupHopeless
 )
 
-// groupNames are the groups in metrics.
+// groupNames are the names of the groups in metrics and logs.
 var groupNames = [...]string{"restart", "short", "lasting", "short_late", "on_time", "late", "hopeless"}
 
-// urgent reports whether a step of the group may not wait for a leader that is behind.
+// urgent reports whether steps of the group are started even if the leader is behind with its
+// work.
 func (g rankGroup) urgent() bool { return g < groupOnTime }
 
 func (g rankGroup) String() string { return groupNames[g] }
@@ -94,36 +96,36 @@
 	return r
 }
 
-// fixedValueShare is the part of the mean job's worth that each job of a queue has,
-// however small; the rest goes by its work.
+// fixedValueShare is the part of a job's value that is independent of its size: this share of the
+// mean work in its queue. The rest is proportional to the job's own work.
 const fixedValueShare = 0.3
 
-// costPerValue is what the occurrence still takes of what is short, over its worth: work, or starts
-// while the leader gives fewer than it could decide.
+// costPerValue returns the occurrence's remaining demand for the scarce resource per value: work,
+// or starts while the leader can send fewer than it could decide.
 func (s *Scheduler) costPerValue(now Time, o *occurrence) float64 {
 	if s.policy.Order != OrderWork {
 		return 0
 	}
-	worth := fixedValueShare*s.meanWork[o.job.queue] + (1-fixedValueShare)*o.job.work
-	if worth <= 0 {
+	value := fixedValueShare*s.meanWork[o.job.queue] + (1-fixedValueShare)*o.job.work
+	if value <= 0 {
 		return 0
 	}
 	if s.isStartLimited(now) {
-		return float64(o.remainingStarts()) / worth
+		return float64(o.remainingStarts()) / value
 	}
-	return o.remainingWork() / worth
+	return o.remainingWork() / value
 }
 
-// startLimitedDuration is how long starts count as short after a plan had to leave some out: such
-// plans come many times a second where the leader is full.
+// startLimitedDuration is how long starts count as scarce after a plan had to omit some. A leader
+// at its limit makes such plans many times a second.
 const startLimitedDuration = time.Second
 
-// isStartLimited reports whether plans of late had to leave starts out.
+// isStartLimited reports whether recent plans had to omit starts.
 func (s *Scheduler) isStartLimited(now Time) bool {
 	return s.startLimitHitAt > 0 && now-s.startLimitHitAt < startLimitedDuration
 }
 
-// remainingStarts is how many tasks are neither done nor have a run.
+// remainingStarts counts the tasks that are neither done nor have a run.
 func (o *occurrence) remainingStarts() int {
 	sum := 0
 	for i := range o.steps {
@@ -132,7 +134,7 @@
 	return sum
 }
 
-// remainingWork is the declared work that is still to come, in processor seconds.
+// remainingWork is the declared work of unfinished tasks, in processor seconds.
 func (o *occurrence) remainingWork() float64 {
 	sum := 0.0
 	for i := range o.steps {
@@ -142,10 +144,10 @@
 	return sum
 }
 
-// meanWorkWeight is the weight of a new job in the mean work of its queue.
+// meanWorkWeight is the weight of a new job in the moving average of its queue's work.
 const meanWorkWeight = 1.0 / 32
 
-// updateMeanWork takes a job's work into the mean of its queue.
+// updateMeanWork adds a job to the mean work of its queue.
 func (s *Scheduler) updateMeanWork(j *job) {
 	mean, known := s.meanWork[j.queue]
 	if !known {
@@ -154,7 +156,7 @@
 	s.meanWork[j.queue] = mean + meanWorkWeight*(j.work-mean)
 }
 
-// remaining is the longest chain of declared durations that is still to come.
+// remaining is the longest path through the unfinished steps by their declared durations.
 func (o *occurrence) remaining() time.Duration {
 	var buffer [16]time.Duration
 	end := buffer[:0]
@@ -178,21 +180,21 @@
 	return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.priority, b.priority), cmp.Compare(a.costPerValue, b.costPerValue), cmp.Compare(a.slack, b.slack))
 }
 
-// SetStartBudget bounds the starts that are decided from now on, until it is called again: a leader
-// that is behind with the starts that it has can't have others overtake them. A gang is
-// started whole.
-func (s *Scheduler) SetStartBudget(room StartBudget) { s.startBudget = room }
+// SetStartBudget bounds the starts that plans may decide until the next call. A leader that is
+// behind with sending starts should not decide more, since urgent ones cannot overtake them. A
+// gang is started whole even if it exceeds the budget.
+func (s *Scheduler) SetStartBudget(budget StartBudget) { s.startBudget = budget }
 
-// StartBudgetLeft is what is left of it.
+// StartBudgetLeft returns the unused part of the budget.
 func (s *Scheduler) StartBudgetLeft() StartBudget { return s.startBudget }
 
-// mayStart reports whether there is room for a start of a step.
+// mayStart reports whether the budget admits a start of the step.
 func (s *Scheduler) mayStart(st *step) bool {
 	return s.startBudget.Starts > 0 && (s.startBudget.Batch > 0 || st.rank.group.urgent())
 }
 
-// Plan starts what can be started and returns the orders to carry out. The rest
-// waits in the order of its rank.
+// Plan starts the tasks that can be started and returns the orders to carry out. The others wait
+// in the order of their ranks.
 func (s *Scheduler) Plan(now Time) []Order {
 	if s.planNeeded || now-s.plannedAt >= planInterval {
 		s.plannedAt = now
@@ -202,7 +204,7 @@
 			s.startWaiting(now)
 		}
 		if s.startBudget.exhausted() {
-			// What was left out is to be looked at as soon as there is room.
+			// Plan again as soon as the budget allows.
 			s.planNeeded = true
 			s.startLimitHitAt = now
 		}
@@ -225,42 +227,42 @@
 	}
 	slices.SortStableFunc(s.readySteps, func(a, b *step) int { return compareRanks(a.rank, b.rank) })
 	s.updateShortUse(now)
-	round := &planPass{now: now}
+	pass := &planPass{now: now}
 	for _, st := range s.readySteps {
 		if !s.mayStart(st) {
 			return
 		}
-		s.startStep(round, st)
+		s.startStep(pass, st)
 	}
 }
 
-// maxFailedNeeds bounds the needs that find no VM in one pass: each look at all VMs
-// takes some 20 us at 350, and what stands far back in the queue gets its turn
-// when the room changes.
+// maxFailedNeeds bounds the needs without a suitable VM in one pass, since each check of all VMs
+// takes some 20 us at 350 VMs. Steps further back in the queue are tried when capacity has
+// changed.
 const maxFailedNeeds = 60
 
-// planPass is one pass over the waiting steps.
+// planPass is the state of one pass over the waiting steps.
 type planPass struct {
 	now Time
 	// failed holds the needs for which no VM was found in this pass.
 	failed []placementNeed
-	// suspectCount counts those that were looked at for a trial, overdue those whose patience is
-	// over.
+	// suspectCount counts the suspects considered for a trial in this pass, overdueCount those of
+	// them that have waited longer than maxTrialWait.
 	suspectCount, overdueCount int
 }
 
-// placementNeed is what makes a VM suitable.
+// placementNeed holds the requirements of a task that decide which VMs are suitable.
 type placementNeed struct {
 	pool  string
 	label string
-	// image is that of a filler: where one presses too hard, another may not.
+	// image is set for fillers only: their interference with serving tasks differs by image.
 	image   string
 	filler  bool
 	lasting bool
 	res     batch.Resources
 }
 
-// unplaceable reports whether something that asks for no more has found no VM.
+// unplaceable reports whether no VM was found in this pass for a need that asks for no more.
 func (r *planPass) unplaceable(n placementNeed) bool {
 	for i := range r.failed {
 		f := &r.failed[i]
@@ -300,13 +302,13 @@
 			return
 		}
 		if t.isSuspect() {
-			// What it starts is in no list of candidates.
+			// Its runs change VMs outside the candidate list.
 			if r.admitsSuspect(t) {
 				s.startSuspect(r.now, t)
 				list = nil
 			}
 			if j.state.Final() {
-				// It was given up: what is left of it must not be started.
+				// The job failed: do not start its other tasks.
 				return
 			}
 			if len(t.runs) == 0 && s.needsAdvice(st) {
@@ -341,8 +343,8 @@
 	}
 }
 
-// startGang starts all members at once, or none: a member alone holds its room
-// without making progress.
+// startGang starts all members at once or none: a single member would hold its resources without
+// making progress.
 func (s *Scheduler) startGang(r *planPass, st *step) {
 	for k := range st.tasks {
 		if len(st.tasks[k].runs) > 0 || !s.isStartable(r.now, &st.tasks[k]) {
@@ -370,7 +372,7 @@
 	}
 }
 
-// allocateGang takes room for all members of a gang, or returns nil.
+// allocateGang allocates resources for all members of a gang, or returns nil.
 func (s *Scheduler) allocateGang(now Time, st *step, number int64, choose func(Time, *task) *vm) []*run {
 	held := make([]*run, 0, len(st.tasks))
 	for k := range st.tasks {
@@ -404,7 +406,7 @@
 	t, v := r.task, r.vm
 	j := t.step.occ.job
 	if v.leaseUntil == 0 {
-		// The first report has told the clock; no hold has taken a lease yet.
+		// The VM's clock is known from its first report, but no hold has granted a lease yet.
 		v.renew(now, s.settings.Lease())
 	}
 	allowed, _ := t.step.validTicket(now, v)
@@ -423,11 +425,11 @@
 	})
 }
 
-// explainInterval is how often a waiting task's obstacles are logged.
+// explainInterval is the minimum interval between log lines about waiting tasks.
 const explainInterval = 500 * time.Millisecond
 
-// explainWait logs what keeps a task waiting: that of the first in the queue,
-// now and then.
+// explainWait logs the obstacles of a waiting task, which is the first unplaced one in the queue,
+// at most once per explainInterval.
 func (s *Scheduler) explainWait(now Time, t *task) {
 	if now-s.waitLoggedAt < explainInterval {
 		return
@@ -438,7 +440,7 @@
 	})
 }
 
-// waitingTasks counts the tasks that could run and have no place.
+// waitingTasks counts the tasks that are ready but not placed.
 func (s *Scheduler) waitingTasks() int {
 	n := 0
 	for _, st := range s.readySteps {
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -5,113 +5,112 @@
 	"time"
 )
 
-// QueueOrder is what the queue goes by.
+// QueueOrder selects the sort order of waiting jobs.
 type QueueOrder string
 
 // The orders.
 const (
-	// OrderWork puts first what has the least work left for its worth.
+	// OrderWork puts jobs with the least remaining work per value first.
 	OrderWork QueueOrder = "work_over_worth"
-	// OrderSlack puts first what can wait least.
+	// OrderSlack puts jobs with the least slack first.
 	OrderSlack QueueOrder = "slack"
-	// OrderArrival is first come, first served.
+	// OrderArrival puts jobs in order of arrival.
 	OrderArrival QueueOrder = "arrival"
 )
 
-// Placement is how a VM is chosen among those with room.
+// Placement selects how a VM is chosen among those with enough capacity.
 type Placement string
 
 // The placements.
 const (
-	// PlacementScored rates the VMs; see score.
+	// PlacementScored takes the VM with the highest score; see score.
 	PlacementScored Placement = "scored"
-	// PlacementFirst takes the first that has room.
+	// PlacementFirst takes the first VM with enough capacity.
 	PlacementFirst Placement = "first_fit"
-	// PlacementLeastLoaded takes the one with the most processors free.
+	// PlacementLeastLoaded takes the VM with the most free processors.
 	PlacementLeastLoaded Placement = "least_loaded"
 )
 
-// Policy holds the limits and weights that decide how work waits, is placed and is
-// slowed, and a switch for each mechanism, so that its worth can be measured. A
-// deployment runs on DefaultPolicy; only experiments and tests change it.
+// Policy holds the limits and weights of queueing, placement and pacing, and a switch for each
+// mechanism so that its benefit can be measured. Deployments use DefaultPolicy; only experiments
+// and tests change it.
 type Policy struct {
-	// Order is what the queue goes by among jobs of one group and priority.
+	// Order is the sort order among jobs of equal group and priority.
 	Order QueueOrder `json:"order"`
-	// ShortFirst puts tasks that hold processors for a while only, of jobs that can
-	// meet their objective, before new lasting work: lasting tasks hold what they get
-	// for minutes.
+	// ShortFirst puts short tasks of jobs that can meet their objective before new lasting tasks,
+	// which hold their processors for minutes.
 	ShortFirst bool `json:"short_first"`
 	// Placement is how a VM is chosen.
 	Placement Placement `json:"placement"`
-	// ReserveMost bounds the share of all processors kept from lasting tasks for short
-	// ones; 0 keeps none.
+	// ReserveMost is the maximum share of all processors reserved for short tasks; 0 reserves
+	// none.
 	ReserveMost float64 `json:"reserve_most"`
-	// ReserveOn: one VM in so many keeps the reserve of all of them.
+	// ReserveOn is n if one VM in n keeps the whole reserve.
 	ReserveOn int `json:"reserve_on"`
-	// ReservePatienceMS is how long a lasting task that never ran leaves the reserve to
-	// others, in milliseconds.
+	// ReservePatienceMS is how long a lasting task that never ran leaves the reserve free, in
+	// milliseconds.
 	ReservePatienceMS int64 `json:"reserve_patience_ms"`
-	// PurityWeight draws serving tasks of one image together, in a score where 1 is a
-	// whole VM's processors; see purity.
+	// PurityWeight is the weight of purity in the score of a serving task, where a score of 1
+	// corresponds to all processors of a VM.
 	PurityWeight float64 `json:"purity_weight"`
-	// EmptyPurity rates a VM that serves nothing: worse than one of the same image,
-	// better than one of another.
+	// EmptyPurity is the purity of a VM without serving tasks: worse than a VM that serves the
+	// same image, better than one that serves another.
 	EmptyPurity float64 `json:"empty_purity"`
-	// KeepEmpty is the share of the VMs that serving tasks leave to others as long as
-	// they find room elsewhere. On them fillers that press on all that serves find whole
-	// processors, where they would have a tenth of a VM beside it.
+	// KeepEmpty is the share of the VMs that serving tasks leave empty while there is capacity
+	// elsewhere. Fillers that interfere with all serving images get whole processors there;
+	// beside serving tasks they would get a tenth of a VM.
 	KeepEmpty float64 `json:"keep_empty"`
-	// EffectPenalty keeps fillers off VMs where they press on what serves, for each
-	// unit of the logarithm of a tail.
+	// EffectPenalty lowers a filler's score for a VM by this much per unit of its effect on a
+	// tail, as a logarithm.
 	EffectPenalty float64 `json:"effect_penalty"`
-	// PeakLimit is the share of its target up to which a serving task's tail may be
-	// predicted at the peak of its load for a filler to start beside it. 0 is no limit.
+	// PeakLimit is the highest predicted tail of a serving task at its peak load, as a share of
+	// its target, with which a filler may start beside it; 0 is no limit.
 	PeakLimit float64 `json:"peak_limit"`
-	// RoomLimit is the share of a VM's processors that may be in use: beyond nine tenths
-	// all tails there grow several times over.
+	// RoomLimit is the share of a VM's processors that may be in use. Above 0.9, all tails on the
+	// VM grow several times over.
 	RoomLimit float64 `json:"room_limit"`
-	// StarvedAfterMS is how long a job may have nothing running while one of its fillers
-	// could run, before that one starts beside others, in milliseconds; 0 is for ever.
-	// Without it fillers that press on every serving image wait for as long as others
-	// come that do not.
+	// StarvedAfterMS is how long a job may have nothing running before one of its ready fillers
+	// starts despite its interference, in milliseconds; 0 disables this. Otherwise fillers that
+	// interfere with every serving image wait as long as others arrive.
 	StarvedAfterMS int64 `json:"starved_after_ms"`
-	// StarvedCrowdedMS is the same while lasting and short tasks declare most of all
-	// processors. Then hundreds of jobs wait for the little room beside what serves: a
-	// task of each would be slowed to a crawl there, keep others from ending in time, and
-	// press on what serves.
+	// StarvedCrowdedMS is StarvedAfterMS for a crowded fleet, in which lasting and short tasks
+	// declare most processors. Hundreds of jobs then wait for the little capacity beside serving
+	// tasks. If each started a task, all would be slow, delay others and interfere with the
+	// serving tasks.
 	StarvedCrowdedMS int64 `json:"starved_crowded_ms"`
-	// Learn takes in what tails tell of interference.
+	// Learn updates the interference model from observed tails.
 	Learn bool `json:"learn"`
-	// Pace slows fillers that press on what serves.
+	// Pace slows fillers that interfere with serving tasks.
 	Pace bool `json:"pace"`
-	// PaceAtStart works the paces on a VM out anew when a filler has started there. With
-	// the next report only it works at full pace for up to 0.6 s, a fifth of its time.
+	// PaceAtStart recomputes the paces on a VM when a filler has started there. Otherwise the
+	// filler runs at full pace until the next report, for up to 0.6 s, a fifth of its duration.
 	PaceAtStart bool `json:"pace_at_start"`
-	// PressedAt is the share of its target at which a serving task's predicted tail
-	// counts as pressed: fillers beside it are slowed before it is over.
+	// PressedAt is the predicted tail, as a share of the target, from which the fillers beside a
+	// serving task are slowed. It is below 1 so that they are slowed before the target is
+	// exceeded.
 	PressedAt float64 `json:"pressed_at"`
-	// AimAt is the share that slowing aims for. The rest is for what the prediction
-	// misses: a tenth, as a standard deviation.
+	// AimAt is the tail that slowing aims for, as a share of the target. The margin covers the
+	// prediction error, whose standard deviation is a tenth.
 	AimAt float64 `json:"aim_at"`
-	// BlindAfterMS is how long a tail may stay over its target with nobody to blame
-	// before all fillers beside it stand still, in milliseconds; 0 is for ever. The harm
+	// BlindAfterMS is how long a tail may exceed its target without an explanation by the model
+	// before all fillers on the VM are stopped, in milliseconds; 0 disables this. A violation
 	// counts after about 4 s.
 	BlindAfterMS int64 `json:"blind_after_ms"`
-	// MoveBelow is the pace, in percent, at which a filler is better off elsewhere; 0
-	// moves none.
+	// MoveBelow is the pace, in percent, below which a filler is moved to another VM; 0 moves
+	// none.
 	MoveBelow int `json:"move_below"`
-	// Quarantine keeps work off VMs that fail what they run.
+	// Quarantine keeps tasks off VMs on which runs fail.
 	Quarantine bool `json:"quarantine"`
-	// Rescue gives tasks that stand still or crawl another place.
+	// Rescue relocates tasks whose runs make no or little progress.
 	Rescue bool `json:"rescue"`
-	// Copies starts copies of what an unheard VM runs, where the step allows copies.
+	// Copies starts copies of runs on unreachable VMs, if the step allows copies.
 	Copies bool `json:"copies"`
-	// Evacuate moves lasting tasks off VMs that leave.
+	// Evacuate moves lasting tasks off VMs that are about to leave.
 	Evacuate bool `json:"evacuate"`
 }
 
-// DefaultPolicy is what deployments run on. The figures' sources are with the fields,
-// and in docs/POLICY.md.
+// DefaultPolicy is the policy of deployments. The sources of its values are documented with the
+// fields and in docs/POLICY.md.
 func DefaultPolicy() Policy {
 	return Policy{
 		Order: OrderWork, ShortFirst: true, Placement: PlacementScored,
@@ -122,7 +121,7 @@
 	}
 }
 
-// Validate returns nil or an error that names the field and the fix.
+// Validate returns nil or an error that names the invalid field and the accepted values.
 func (p *Policy) Validate() error {
 	for _, share := range []struct {
 		name  string
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -9,25 +9,24 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Lasting tasks hold their processors for minutes. Where more of them come than
-// there is room for, they fill every gap as it opens, and short tasks that may
-// not share processors find none: they wait while they could have run a hundred
-// times. A part of the processors is therefore kept from lasting tasks, sized by
-// what short tasks use. It is kept on one VM in three: a third of the room on each
-// would be too narrow for a short task of four processors.
+// Lasting tasks hold their processors for minutes. When more of them arrive than fit, they occupy
+// all capacity as it becomes free, and short tasks, which cannot share processors, wait for a
+// time in which they could have run a hundred times. A part of the processors is therefore
+// reserved for short tasks, sized by their recent use. One VM in three keeps the reserve: a third
+// of it on every VM would be too small for a short task of four processors.
 
 const (
-	// initialReserve is the share kept before anything is known.
+	// initialReserve is the reserved share before any use is known.
 	initialReserve = 0.05
-	// reservePeakRatio is the ratio of the kept share to the mean use: arrivals come
-	// in bursts.
+	// reservePeakRatio is the ratio of the reserved share to the mean use, to allow for bursts of
+	// arrivals.
 	reservePeakRatio = 1.0
 	// reserveRiseTime and reserveFallTime are the time constants of the mean.
 	reserveRiseTime = 2 * time.Second
 	reserveFallTime = 15 * time.Second
 )
 
-// reserve follows the use of short tasks.
+// reserve tracks the processor use of short tasks.
 type reserve struct {
 	// use is the mean share of all processors that short tasks use or wait for.
 	use         float64
@@ -35,10 +34,10 @@
 	initialized bool
 }
 
-// isShort reports whether a step's tasks hold processors of their own for a while only.
+// isShort reports whether a step's tasks need processors of their own for a limited time.
 func isShort(spec *batch.Step) bool { return !spec.Lasting && !spec.Filler }
 
-// update takes the share of now into the mean.
+// update adds the current share to the mean.
 func (r *reserve) update(now Time, use float64) {
 	if !r.initialized {
 		*r = reserve{use: initialReserve / reservePeakRatio, updatedAt: now, initialized: true}
@@ -51,16 +50,17 @@
 	r.updatedAt = now
 }
 
-// share is the part of all processors that lasting tasks leave free, at most so much:
-// lasting work is not to be crowded out.
-func (r *reserve) share(most float64) float64 { return min(reservePeakRatio*r.use, most) }
+// share is the part of all processors to reserve. The bound limit keeps lasting tasks from being
+// displaced.
+func (r *reserve) share(limit float64) float64 { return min(reservePeakRatio*r.use, limit) }
 
-// crowdedShare is the share of all processors declared by lasting and short tasks from
-// which the fleet counts as crowded: below half of it in use nobody may be left waiting.
+// crowdedShare is the share of all processors declared by lasting and short tasks from which the
+// fleet counts as crowded. A fleet with less than half of its processors in use must not leave
+// tasks waiting.
 const crowdedShare = 0.6
 
-// updateShortUse measures what short tasks use and wait for, whether the fleet is crowded,
-// and how many VMs serve nothing.
+// updateShortUse updates the demand of short tasks, whether the fleet is crowded, and the number
+// of VMs without serving tasks.
 func (s *Scheduler) updateShortUse(now Time) {
 	capacity, use, held := 0.0, 0.0, 0.0
 	s.reportedVMs, s.nonServingVMs = 0, 0
@@ -86,12 +86,12 @@
 	}
 }
 
-// keepsReserve reports whether the VM is one that keeps a reserve.
-func (v *vm) keepsReserve(on int) bool { return xxhash.Sum64String(v.inst.ID)%uint64(on) == 0 }
+// keepsReserve reports whether the VM is the one in n that keeps a reserve.
+func (v *vm) keepsReserve(n int) bool { return xxhash.Sum64String(v.inst.ID)%uint64(n) == 0 }
 
-// leavesReserve reports whether a lasting task leaves the VM's reserve free, or need not
-// because it ran before or has waited for long: when a VM dies, what it ran has to be
-// at work again within nine seconds, and its lease takes eight of them.
+// leavesReserve reports whether a lasting task leaves the VM's reserve free, or may use it
+// because it ran before or has waited for long. When a VM ends, its lasting tasks have to run
+// again within nine seconds, and the expiry of its lease takes eight of them.
 func (s *Scheduler) leavesReserve(now Time, v *vm, t *task, free batch.Resources) bool {
 	if t.lastRunEnd > 0 || now-t.step.runnableAt > milliseconds(s.policy.ReservePatienceMS) || !v.keepsReserve(s.policy.ReserveOn) {
 		return true
