--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -38,7 +38,7 @@
 type startBatch struct {
 	decidedAt Time
 	remaining int
-	// limited is set where the plan was kept from deciding more.
+	// limited is set if the budget kept the plan from deciding more starts.
 	limited bool
 }
 
--- a/internal/scheduler/baseline.go
+++ b/internal/scheduler/baseline.go
@@ -6,77 +6,76 @@
 	"time"
 )
 
-// The tasks of one lasting step serve the same users: their load moves together,
-// and with it their tails, wherever they run. What their tails have in common is
-// the load; what sets one apart from its siblings is what runs beside it. Without
-// this distinction a rise of the load is blamed on the fillers, which are slowed
-// though they press on nobody, and a filler's effect is lost in the load's swings.
+// The tasks of one lasting step serve the same users: their load, and with it their tails, vary
+// together on all VMs. What their tails have in common is caused by the load, and deviations of
+// one task by the other runs on its VM. Without this distinction, a rise of the load would be
+// attributed to the fillers, which would be slowed without interfering, and the effects of
+// fillers would be lost in the variation of the load.
 
 const (
-	// levelTimeConstant is the time constant of the level, and trendTimeConstant that of
-	// its trend: four times as long, so that the filter does not overshoot.
+	// levelTimeConstant is the time constant of the level, and trendTimeConstant that of its
+	// trend: four times as long, so that the filter does not overshoot.
 	levelTimeConstant = 200 * time.Millisecond
 	trendTimeConstant = 4 * levelTimeConstant
-	// tailSampleSpan is what a figure covers.
+	// tailSampleSpan is the period that a reported tail covers.
 	tailSampleSpan = 500 * time.Millisecond
-	// meanSampleAge is the mean age of what the level is made from: half of a
-	// figure's span, and half of the span of the siblings' figures.
+	// meanSampleAge is the mean age of the data behind the level: half of the period of a sample
+	// plus half of the age limit of the siblings' samples.
 	meanSampleAge = (tailSampleSpan + maxSiblingAge) / 2
-	// maxTrend bounds the trend, as a logarithm a second: the steepest that a
-	// load that doubles and halves within ten seconds shows.
+	// maxTrend bounds the trend, as a logarithm per second: the steepest trend of a load that
+	// doubles and halves within ten seconds.
 	maxTrend = 0.8
-	// maxLevelStep bounds what one observation may tell.
+	// maxLevelStep bounds the deviation of one observation from the forecast.
 	maxLevelStep = 0.3
-	// unreliableEffect is the effect of fillers, as a logarithm, from which a figure
-	// is left out where others are to be had: the effect is only an estimate.
+	// unreliableEffect is the effect of fillers, as a logarithm, from which a sample is ignored
+	// if there are enough others: the effect is only an estimate.
 	unreliableEffect = 0.3
-	// peakWindow is how long a peak is remembered, once over at least: the load
-	// of a service swings, and what it was it will be again.
+	// peakWindow is the minimum time for which a peak is remembered; it is kept for up to two
+	// windows. The load of a service varies periodically and returns to earlier peaks.
 	peakWindow = 12 * time.Second
-	// meanServingUse is the share of their declared processors that serving tasks use in
-	// the middle of their swing.
+	// meanServingUse is the share of their declared processors that serving tasks use at their
+	// mean load.
 	meanServingUse = 0.48
-	// assumedPeak is the peak, as a share of the target, that is taken for a step
-	// that has not been watched for peakWindow.
+	// assumedPeak is the peak, as a share of the target, assumed for a step that was observed for
+	// less than peakWindow.
 	assumedPeak = 0.7
-	// minSiblings is how many other runs, or figures of theirs, make a comparison.
+	// minSiblings is the minimum number of other runs, or of their samples, for a comparison.
 	minSiblings = 3
-	// maxSiblingAge is how old a sibling's figure may be that another is compared
-	// with: reports come each 0.6 s, and the load must not have moved much.
+	// maxSiblingAge is the maximum age of a sibling's sample in comparisons: reports arrive every
+	// 0.6 s, and the load must not have changed much.
 	maxSiblingAge = 500 * time.Millisecond
 )
 
-// maxLoadLevel is the highest level, as a logarithm: by their own load alone tasks
-// stay within their target, or nothing that is done to fillers helps them.
+// maxLoadLevel is the maximum level, as a logarithm. By their own load alone, tasks are assumed
+// to meet their target; otherwise slowing fillers would not help.
 var maxLoadLevel = math.Log(0.95)
 
-// baseline follows the tail that a lasting step's tasks have by their own load
-// alone: its logarithm, as a share of the target.
+// baseline estimates the tail that the tasks of a lasting step have by their own load alone, as
+// the logarithm of its share of the target.
 type baseline struct {
 	known     bool
 	updatedAt Time
-	// firstAt is when the first figure came.
+	// firstAt is the time of the first observation.
 	firstAt Time
 	level   float64
-	// trend is the change of the level a second.
+	// trend is the change of the level per second.
 	trend float64
-	// peaks and troughs are the highest and lowest levels of this window and the
-	// last one.
+	// peaks and troughs are the highest and lowest levels of the current and the previous window.
 	peaks, troughs [2]float64
 	windowAt       Time
-	// useCache are the shares that use has worked out last; observe clears them. A plan asks for
-	// the same two at each VM that the step has a task on.
+	// useCache holds the last two results of use and is cleared by observe. A plan needs the same
+	// two values for each VM with a task of the step.
 	useCache [2]cachedUse
 }
 
-// cachedUse is the outcome of baseline.use for its arguments.
+// cachedUse is the result of baseline.use for its arguments.
 type cachedUse struct {
 	known      bool
 	now, ahead Time
 	share      float64
 }
 
-// observe takes in what the siblings' figures of late say of the load.
+// observe updates the level with the load derived from the siblings' recent samples.
 func (b *baseline) observe(now Time, y float64) {
 	y = min(y, maxLoadLevel)
 	if !b.known {
@@ -100,7 +99,7 @@
 	b.troughs[0] = min(b.troughs[0], b.level)
 }
 
-// forecast is the level that the figures show after some time from now.
+// forecast is the level predicted for the time ahead from now, as samples will show it.
 func (b *baseline) forecast(now Time, ahead time.Duration) float64 {
 	if !b.known {
 		return math.Log(assumedPeak)
@@ -108,7 +107,7 @@
 	return b.level + b.trend*(now-b.updatedAt+ahead).Seconds()
 }
 
-// peak is the highest level of late, or what is taken for it.
+// peak is the highest recent level, or an assumed one.
 func (b *baseline) peak(now Time) float64 {
 	if !b.known {
 		return math.Log(assumedPeak)
@@ -120,10 +119,10 @@
 	return highest
 }
 
-// use is the share of its declared processors that a task of the step is taken
-// to use after some time from now. Response times grow as 1/(1-use), so that the
-// ratio of the highest tail of late to the lowest tells how far use swings around
-// its mean, and the tail of then where it stands.
+// use is the estimated share of its declared processors that a task of the step uses at the time
+// ahead from now. Response times grow as 1/(1-use): the ratio of the highest to the lowest recent
+// tail gives the amplitude of use around its mean, and the predicted tail its position within
+// that range.
 func (b *baseline) use(now Time, ahead time.Duration) float64 {
 	if !b.known {
 		return meanServingUse
@@ -159,20 +158,20 @@
 	return n
 }
 
-// tailSample is one tail that a task has told, with what fillers used beside it.
+// tailSample is a reported tail and the use of the fillers on the same VM.
 type tailSample struct {
 	at       Time
 	vm       *vm
 	logRatio float64
 	uses     fillerUses
-	// unreliable figures are those of VMs with hardly a processor left.
+	// unreliable marks samples of VMs with hardly a free processor.
 	unreliable bool
-	// effect is that of x by the slopes of solved, a version of the pair's.
+	// effect caches the effect of uses by the slopes with solve count effectSolveCount-1.
 	effect           float64
 	effectSolveCount int
 }
 
-// effectFor is the effect of the fillers beside the figure by the slopes of now.
+// effectFor is the effect of the sample's fillers by the current slopes.
 func (g *tailSample) effectFor(p *slopes) float64 {
 	if g.effectSolveCount != p.solveCount+1 {
 		g.effect, g.effectSolveCount = p.effects(&g.uses), p.solveCount+1
@@ -180,14 +179,13 @@
 	return g.effect
 }
 
-// tailSamples holds those of a step's tasks of late.
+// tailSamples holds the recent samples of a step's tasks.
 type tailSamples []tailSample
 
-// add notes a figure.
 func (f *tailSamples) add(g tailSample) { *f = append(*f, g) }
 
-// compare returns by how much a figure, and the use of fillers beside it, differ
-// from the mean of the siblings' on other VMs; ok is false when there are too few.
+// compare returns the differences between a sample, with its fillers' use, and the mean of the
+// siblings' samples on other VMs; ok is false if there are too few.
 func (f *tailSamples) compare(now Time, v *vm, y float64, x *fillerUses, trend float64) (dy float64, dx fillerUses, ok bool) {
 	*f = slices.DeleteFunc(*f, func(g tailSample) bool { return now-g.at > maxSiblingAge })
 	n, age := 0.0, time.Duration(0)
@@ -214,9 +212,9 @@
 	return dy, dx, true
 }
 
-// loadLevel is the median of the figures less the effects of the fillers beside them:
-// a few figures in a hundred are off by two and more, and what presses on a task
-// unknown to the model must not pass for its load.
+// loadLevel is the median of the samples minus the effects of their fillers. A median is used
+// because a few samples in a hundred are off by a factor of two or more, and because interference
+// unknown to the model must not count as load.
 func (f tailSamples) loadLevel(p *slopes) float64 {
 	var cleanBuffer, allBuffer [64]float64
 	clean, all := cleanBuffer[:0], allBuffer[:0]
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -6,19 +6,19 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// The capacity of a VM may shrink while tasks run there, and grow again; its entry on the
-// list tells. A VM that guards its capacity refuses what does not fit. One that does not
-// begins it, and all that runs there suffers: the leader notices nothing. What was decided
-// before the list told is therefore looked at again before the order is given, and where
-// the list has not been read, or the VM has not written there, for some time, such VMs get
-// nothing new.
+// The capacity of a VM may change while tasks run on it; its entry in the list of VMs shows the
+// change. A VM that guards its capacity refuses starts that exceed it. One that does not guard it
+// accepts them, all its runs suffer, and the leader gets no error. Starts that were decided
+// before the change was known are therefore checked again before they are sent. VMs that do not
+// guard their capacity get no starts while the list has not been read, or the VM has not updated
+// its entry, for some time.
 
-// listMaxAge is how old the list of VMs may be for work to be given to VMs that do not guard
-// their capacity: it is read twice a second, and a call or two may fail.
+// listMaxAge is the maximum age of the list of VMs for starts on VMs that do not guard their
+// capacity. The list is read twice a second, and one or two reads may fail.
 const listMaxAge = 2 * time.Second
 
-// updateUnguarded notes whether there are VMs that do not guard their capacity: mostly there are
-// none, and no VM need be looked at.
+// updateUnguarded records whether any pool has VMs that do not guard their capacity. Usually
+// there are none, and the checks of single VMs are skipped.
 func (s *Scheduler) updateUnguarded() {
 	s.hasUnguardedPools = false
 	for _, pool := range s.config.Pools {
@@ -26,15 +26,15 @@
 	}
 }
 
-// guardsCapacity reports whether the VM refuses what it has no room for.
+// guardsCapacity reports whether the VM refuses starts that exceed its capacity.
 func (s *Scheduler) guardsCapacity(v *vm) bool {
 	pool, known := s.config.Pools[v.inst.Pool]
 	return !known || pool.GuardsCapacity
 }
 
-// mayExceedCapacity reports whether a start might bring a VM that does not guard its capacity
-// over it: more is in use already, by runs that are being stopped as well, or what it has
-// is not known any more.
+// mayExceedCapacity reports whether a start might exceed the capacity of a VM that does not guard
+// it: current runs, including those being stopped, exceed it already, or the capacity is
+// outdated.
 func (s *Scheduler) mayExceedCapacity(now Time, v *vm) bool {
 	return s.hasUnguardedPools && !s.guardsCapacity(v) && (v.inst.Stale || now-s.listReadAt > listMaxAge || exceeds(v.used, v.inst.Capacity))
 }
@@ -43,7 +43,7 @@
 	return used.MilliCPU > capacity.MilliCPU || used.MemoryMB > capacity.MemoryMB || used.Accelerators > capacity.Accelerators
 }
 
-// recordCapacity takes a changed capacity into account.
+// recordCapacity processes a change of the VM's capacity.
 func (s *Scheduler) recordCapacity(v *vm, before batch.Resources) {
 	if v.inst.Capacity == before {
 		return
@@ -53,8 +53,8 @@
 	s.logf(Decision{Event: EventVMResized, VM: v.inst.ID, Reason: "was " + before.String(), Value: float64(v.inst.Capacity.MilliCPU)})
 }
 
-// dropStart takes back a start that was ordered and is certainly not given. The other
-// members of a gang would wait for it in vain.
+// dropStart revokes an ordered start that is certainly not sent. The other members of a gang are
+// stopped, since they would wait for it forever.
 func (s *Scheduler) dropStart(now Time, r *run, reason string) {
 	t := r.task
 	s.logf(Decision{Event: EventRunNotBegun, Task: t.id(), VM: r.vm.inst.ID, Run: r.number, Reason: reason, Age: now - r.orderedAt})
--- a/internal/scheduler/interference.go
+++ b/internal/scheduler/interference.go
@@ -8,61 +8,60 @@
 	"time"
 )
 
-// The interference model: the logarithm of a serving task's tail is that of its
-// load alone (see baseline) and grows with the processors that fillers beside it
-// use, by a slope for each pair of images. Most pairs have none, a few a large
-// one. The slopes are learned from what sets a task's tail apart from those of its
-// siblings; where it has none, from how the tail changes when the fillers do.
+// The interference model: the logarithm of a serving task's tail is that of its load alone (see
+// baseline) plus, for each filler image on the VM, a slope times the processors that its fillers
+// use. Most pairs of serving and filler images have a slope of zero, a few a large one. The
+// slopes are learned from differences between a task's tail and those of its siblings; for tasks
+// without siblings, from changes of the tail when the fillers change.
 
 const (
-	// maxImages bounds the filler images that are told apart; further ones share
-	// the last place.
+	// maxImages bounds the filler images that are distinguished; further ones share the last
+	// index.
 	maxImages = 24
-	// priorSlope is what a pair is taken to do before it was seen: the prior
-	// keeps an unknown filler off a task that is near its target, no more. The
-	// unit is the logarithm of the tail per whole VM of processors.
+	// priorSlope is the slope assumed for an unobserved pair. It only keeps an unknown filler off
+	// tasks close to their targets. The unit is the logarithm of the tail per processors of a
+	// whole VM.
 	priorSlope = 0.6
-	// priorWeight is how much evidence the prior counts for: that of about four
-	// fillers with a tenth of a VM's processors that came or went.
+	// priorWeight is the weight of the prior as evidence: that of about four fillers with a tenth
+	// of a VM's processors that started or ended.
 	priorWeight = 0.04
-	// slopeNoise is the error of a learned slope: two standard deviations of what
-	// a few hundred figures tell. Less counts as nothing, or ten harmless fillers
-	// together would seem to press.
+	// slopeNoise is the error of a learned slope: two standard deviations after a few hundred
+	// samples. It is subtracted from slopes; otherwise ten harmless fillers together would seem
+	// to interfere.
 	slopeNoise = 0.25
-	// evidenceDecay is what remains of old evidence at each solution, 4 a second at
-	// most: half of it is forgotten after a minute and a half.
+	// evidenceDecay is the remaining share of old evidence at each solution, of which there are
+	// at most 4 a second: its half-life is a minute and a half.
 	evidenceDecay = 0.998
 	solveInterval = 250 * time.Millisecond
-	// maxObservedEffect bounds what one comparison may tell, as a logarithm.
+	// maxObservedEffect bounds the effect in one comparison, as a logarithm.
 	maxObservedEffect = 1.5
-	// maxResidual bounds how far one comparison may be from what is predicted, as
-	// a logarithm: a few figures in a hundred are off by two and more.
+	// maxResidual bounds the deviation of one comparison from its prediction, as a logarithm: a
+	// few samples in a hundred are off by a factor of two or more.
 	maxResidual = 0.4
 )
 
-// offset is the place of the regression's constant term, before those of the
-// images: an error of the load's trend must not be taken for an effect of the
-// fillers, of which there are some nearly everywhere. terms counts all places.
+// offsetTerm is the index of the regression's constant term, which precedes those of the images.
+// It keeps errors of the load's trend from being attributed to the fillers, which run almost
+// everywhere. maxTerms is the number of terms.
 const (
 	offsetTerm = 0
 	maxTerms   = 1 + maxImages
 )
 
-// effectModel numbers filler images.
+// effectModel holds the learned effects of filler images on serving images.
 type effectModel struct {
 	index map[string]int
-	// slopesByServing holds the model of each serving image.
+	// slopesByServing holds the slopes of each serving image.
 	slopesByServing map[string]*slopes
 	solvedAt        Time
 }
 
-// fillerUses are the processors that fillers of each image use, as shares of the VM.
-// The place of the constant term is 1 where figures of siblings are compared, 0
-// where it cancels.
+// fillerUses is the processor use of fillers by image, as shares of the VM. The constant term is
+// 1 for comparisons with siblings, and 0 for comparisons over time, where it cancels out.
 type fillerUses [maxTerms]float64
 
-// slopes are the effects of all filler images on one serving image: ridge
-// regression by its normal equations.
+// slopes holds the effects of all filler images on one serving image, estimated by ridge
+// regression with the normal equations a*slope = b.
 type slopes struct {
 	a              [maxTerms][maxTerms]float64
 	b              [maxTerms]float64
@@ -76,10 +75,10 @@
 	return effectModel{index: map[string]int{}, slopesByServing: map[string]*slopes{}}
 }
 
-// usedTerms is how many places are taken, that of the constant term included.
+// usedTerms is the number of terms in use, including the constant term.
 func (m *effectModel) usedTerms() int { return min(len(m.index)+1, maxTerms) }
 
-// imageIndex returns the place of a filler image.
+// imageIndex returns the term index of a filler image.
 func (m *effectModel) imageIndex(image string) int {
 	i, ok := m.index[image]
 	if !ok {
@@ -101,26 +100,26 @@
 	return p
 }
 
-// priorCoefficient is what a place's coefficient is taken to be before anything was seen.
-func priorCoefficient(place int) float64 {
-	if place == offsetTerm {
+// priorCoefficient is the assumed coefficient of a term without evidence.
+func priorCoefficient(term int) float64 {
+	if term == offsetTerm {
 		return 0
 	}
 	return priorSlope
 }
 
-// slope is the effect of a filler image on a serving image; never below 0, since
-// no filler helps.
+// slope is the learned effect of a filler image on a serving image. It is at least 0, since no
+// filler shortens a tail.
 func (m *effectModel) slope(serving string, filler int) float64 {
 	return max(0, m.slopesOf(serving).slope[filler])
 }
 
-// effect is how much a filler image's use lengthens the tail, as a logarithm.
+// effect is the increase of the tail by fillers of one image with this use, as a logarithm.
 func (p *slopes) effect(filler int, use float64) float64 {
 	return max(0, p.slope[filler]-slopeNoise) * use
 }
 
-// effects is the effect of all fillers together.
+// effects is the increase of the tail by all fillers.
 func (p *slopes) effects(x *fillerUses) float64 {
 	sum := 0.0
 	for i := offsetTerm + 1; i < maxTerms; i++ {
@@ -131,8 +130,8 @@
 	return sum
 }
 
-// learn takes in that the tail of a task of the serving image is longer by the
-// factor exp(dy) with the fillers' use dx, or with that much more of it.
+// learn adds the observation that a tail of the serving image is longer by the factor exp(dy) for
+// a difference dx in the fillers' use.
 func (m *effectModel) learn(serving string, dx *fillerUses, dy float64) {
 	dy = min(max(dy, -maxObservedEffect), maxObservedEffect)
 	p := m.slopesOf(serving)
@@ -153,7 +152,7 @@
 	p.hasNewEvidence = true
 }
 
-// solve brings the slopes up to date.
+// solve updates the slopes that have new evidence.
 func (m *effectModel) solve(now Time) {
 	if now-m.solvedAt < solveInterval {
 		return
@@ -168,7 +167,7 @@
 	}
 }
 
-// describe tells the slopes that matter, for the log.
+// describe formats the slopes of 1 and more for the log.
 func (m *effectModel) describe() string {
 	names := make([]string, m.usedTerms())
 	for name, i := range m.index {
@@ -187,8 +186,8 @@
 	return b.String()
 }
 
-// solve finds the coefficients of the first n places by Gaussian elimination. The
-// prior keeps the matrix positive definite, so no pivoting is needed.
+// solve computes the coefficients of the first n terms by Gaussian elimination. The prior keeps
+// the matrix positive definite, so no pivoting is needed.
 func (p *slopes) solve(n int) {
 	p.solveCount++
 	var m [maxTerms][maxTerms + 1]float64
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// loadLogInterval is how often the fleet's load is logged.
+// loadLogInterval is the interval between log lines about the fleet's load.
 const loadLogInterval = 2 * time.Second
 
-// fleetLoad is what the heard VMs have and what is asked of them, in thousandths of a
-// processor.
+// fleetLoad is the capacity of the VMs that have reported and the demand on them, in thousandths
+// of a processor.
 type fleetLoad struct {
 	capacity int64
-	// lasting and short are the declared processors of the tasks that hold some.
+	// lasting and short are the declared processors of lasting and short tasks with a run.
 	lasting, short int64
-	// fillerDemand is what the running fillers would use at their pace, fillerFullUse
-	// what they were last seen to use.
+	// fillerDemand is what the running fillers would use at their paces, fillerUse their last
+	// measured use.
 	fillerDemand, fillerUse float64
-	// saturated counts the VMs whose fillers use less than they ask for, filled
-	// those that have any. Some declare more than they ever use.
+	// saturated counts the VMs whose fillers use less than their demand, withFillers those that
+	// run any. Some fillers never use what they declare.
 	saturated, withFillers int
 	// overTarget counts the serving runs over their targets, serving all of them.
 	overTarget, serving int
 }
 
-// saturationRatio is the share of what they ask for below which fillers count as
-// getting less.
+// saturationRatio is the ratio of use to demand below which a VM's fillers count as saturated.
 const saturationRatio = 0.9
 
-// measureLoad sums the VMs' last reports up.
+// measureLoad sums up the VMs' last reports.
 func (s *Scheduler) measureLoad() fleetLoad {
 	var l fleetLoad
 	for _, v := range s.vmList {
@@ -63,8 +62,8 @@
 	}
 }
 
-// measuredFillerUse sums what the VM's fillers would use at their pace and what they were
-// seen to use, over those that have told a figure.
+// measuredFillerUse sums up the demand and the measured use of the VM's fillers that report their
+// usage.
 func (v *vm) measuredFillerUse() (ask, use float64) {
 	for _, r := range v.runList {
 		spec := r.task.step.spec
@@ -77,7 +76,7 @@
 	return ask, use
 }
 
-// logLoad logs the fleet's load now and then.
+// logLoad logs the fleet's load once per loadLogInterval.
 func (s *Scheduler) logLoad(now Time) {
 	if now-s.loadLoggedAt < loadLogInterval {
 		return
--- a/internal/scheduler/occupancy.go
+++ b/internal/scheduler/occupancy.go
@@ -4,7 +4,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// occupy counts what a run needs on its VM.
+// occupy adds a run's declared needs to the VM's used resources.
 func (v *vm) occupy(spec *batch.Step) {
 	if spec.Filler {
 		v.fillerCPU += spec.Need.MilliCPU
@@ -18,7 +18,7 @@
 	}
 }
 
-// vacate takes off what occupy has counted.
+// vacate subtracts what occupy has added.
 func (v *vm) vacate(spec *batch.Step) {
 	if spec.Filler {
 		v.fillerCPU -= spec.Need.MilliCPU
@@ -32,7 +32,7 @@
 	}
 }
 
-// addPerVM counts a run of the step on v, where the step bounds them.
+// addPerVM counts a run of the step on v if the step bounds runs per VM.
 func (st *step) addPerVM(v *vm) {
 	if st.spec.MaxPerVM == 0 {
 		return
@@ -49,18 +49,18 @@
 	}
 }
 
-// unwantedRun is a run that a VM has and that does not count: it was ordered to stop, and
-// takes its room until it is not listed any more. Left out of the account, what is
-// started in its place is refused for want of room, runs beside it where the VM does
-// not look, or beside more of its step than there may be.
+// unwantedRun is a run on a VM that no longer counts for its task. It was ordered to stop and
+// occupies its resources until the VM no longer lists it. If these were not counted, starts in
+// its place would be refused for lack of capacity, overload a VM that does not check its
+// capacity, or exceed the step's bound per VM.
 type unwantedRun struct {
 	number int64
 	spec   *batch.Step
-	// step is nil where its occurrence has ended.
+	// step is nil if its occurrence has ended.
 	step *step
 }
 
-// stopUnwanted orders a run to stop that does not count, and counts its room.
+// stopUnwanted orders an unwanted run to stop and counts its resources.
 func (s *Scheduler) stopUnwanted(v *vm, st *batch.RunStatus) {
 	s.logf(Decision{Event: EventRunUnwanted, Task: st.Task, VM: v.inst.ID, Run: st.Run})
 	s.orderStop(v, st.Task, st.Run)
@@ -78,8 +78,8 @@
 	v.unwantedRuns = append(v.unwantedRuns, u)
 }
 
-// clearUnwanted takes the unwanted runs off the account; a report that lists them
-// counts them again.
+// clearUnwanted releases the resources of unwanted runs. A report that lists them adds them
+// again.
 func (s *Scheduler) clearUnwanted(v *vm) {
 	for _, u := range v.unwantedRuns {
 		v.vacate(u.spec)
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// paceRiseInterval is the least time between two rises on a VM: a change takes
-	// effect after 0.1 s, and the figure then covers half a second more.
+	// paceRiseInterval is the minimum time between two rises on a VM: a change takes effect after
+	// 0.1 s, and the next usage sample covers another half second.
 	paceRiseInterval = 700 * time.Millisecond
-	// paceRiseStep is how much a filler gets back at a time after a blind stop, in percent.
+	// paceRiseStep is the step by which fillers are restored after a stop of all fillers, in
+	// percent.
 	paceRiseStep = 25
-	// minPaceRise is the least rise of a pace that is worth an order, in percent,
-	// unless it is to full pace.
+	// minPaceRise is the smallest rise that is ordered, in percent, unless it restores the full
+	// pace.
 	minPaceRise = 10
-	// minPacedEffect is the effect, as a logarithm, below which a filler is left alone:
-	// to slow it would not show.
+	// minPacedEffect is the effect, as a logarithm, below which a filler is not slowed, since
+	// slowing it would make no visible difference.
 	minPacedEffect = 0.02
-	// runExpiry is the share of its target from which a tail counts as over: the
-	// figure is rough.
+	// overTargetRatio is the share of its target from which a tail counts as over the target. It
+	// is below 1 since samples are imprecise.
 	overTargetRatio = 0.97
-	// maxMoveProgress: a run that cannot resume is moved only below this progress,
-	// in percent: what it has done is lost.
+	// maxMoveProgress is the progress, in percent, up to which a run without checkpoints is
+	// moved, since its work is lost.
 	maxMoveProgress = 15
-	// moveDelay is how long a run is left where it is at first.
+	// moveDelay is the minimum time after its start before a run is moved.
 	moveDelay = time.Second
 	// fullPace is the pace at which a run starts, in percent.
 	fullPace = 100
 )
 
-// updatePaces slows the fillers on a VM that press on what serves there, and gives back
-// what the tails allow.
+// updatePaces slows the fillers that interfere with serving tasks on a VM, and restores them as
+// far as the predicted tails allow.
 func (s *Scheduler) updatePaces(now Time, v *vm) {
 	fillers := s.pacedFillers(v)
 	if v.servingRuns == 0 {
@@ -52,24 +53,23 @@
 	}
 }
 
-// isBlind reports whether a tail has been over its target for so long that nobody
-// in particular can be blamed.
-func (v *vm) isBlind(now, after Time) bool {
-	return after > 0 && v.overTargetSince > 0 && now-v.overTargetSince > after
+// isBlind reports whether a tail has been over its target for longer than the limit: the model
+// evidently does not identify the cause.
+func (v *vm) isBlind(now, limit Time) bool {
+	return limit > 0 && v.overTargetSince > 0 && now-v.overTargetSince > limit
 }
 
-// updateBlindCap stops all fillers while the VM is blind, and gives them back step by
-// step afterwards.
-func (v *vm) updateBlindCap(now, after Time) {
+// updateBlindCap stops all fillers while the VM is blind, and restores them in steps afterwards.
+func (v *vm) updateBlindCap(now, limit Time) {
 	switch {
-	case v.isBlind(now, after):
+	case v.isBlind(now, limit):
 		v.fillerPaceCap, v.fillerPaceCapAt = 0, now
 	case v.fillerPaceCap < fullPace && now-v.fillerPaceCapAt >= paceRiseInterval:
 		v.fillerPaceCap, v.fillerPaceCapAt = min(v.fillerPaceCap+paceRiseStep, fullPace), now
 	}
 }
 
-// worstServingRun is the serving run nearest to its target, or nil.
+// worstServingRun returns the serving run with the highest ratio of tail to target, or nil.
 func (v *vm) worstServingRun() *run {
 	var worst *run
 	for _, r := range v.runList {
@@ -89,8 +89,8 @@
 	}
 }
 
-// pacedFiller is a running filler with the paces, in shares, that are worked out
-// for it: below trigger it need not be slowed, aim is what slowing gives it.
+// pacedFiller is a running filler and its computed paces, as shares of the full pace. It is
+// slowed to aim if its current pace is above trigger.
 type pacedFiller struct {
 	run          *run
 	image        int
@@ -99,13 +99,13 @@
 	effect       float64
 }
 
-// pacedFillers are the VM's running fillers, in a fixed order.
+// pacedFillers returns the VM's running fillers in order of run number.
 func (s *Scheduler) pacedFillers(v *vm) []pacedFiller {
 	var list []pacedFiller
 	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if spec.Filler && r.state == running {
-			// What it would use at full pace: the figure lags behind the pace.
+			// Computed from the use at full pace, since usage samples lag behind the pace.
 			use := r.fullUse() / v.capacityMilliCPU()
 			list = append(list, pacedFiller{run: r, image: s.images.imageIndex(spec.Image), use: use, trigger: 1, aim: 1})
 		}
@@ -114,8 +114,8 @@
 	return list
 }
 
-// solvePaces works out paces that keep every predicted tail on the VM within its
-// target, taking from those first that press most.
+// solvePaces computes paces that keep every predicted tail on the VM within its target, slowing
+// the fillers with the largest effect first.
 func (s *Scheduler) solvePaces(now Time, v *vm, fillers []pacedFiller) {
 	for i := range s.predictedTails(now, v) {
 		t := &v.tails[i]
@@ -127,21 +127,21 @@
 		limitTail(fillers, t.nearTerm, math.Log(s.policy.AimAt), aimPace)
 	}
 	if v.servingRuns > 0 {
-		room := v.fillerBudget(now, paceLookahead, s.policy.RoomLimit) / v.capacityMilliCPU()
-		limitTotalUse(fillers, room+headroomSlack, triggerPace)
-		limitTotalUse(fillers, room, aimPace)
+		budget := v.fillerBudget(now, paceLookahead, s.policy.RoomLimit) / v.capacityMilliCPU()
+		limitTotalUse(fillers, budget+headroomSlack, triggerPace)
+		limitTotalUse(fillers, budget, aimPace)
 	}
 }
 
-// headroomSlack is the share of the VM by which fillers may use more than there is
-// room for before they are slowed.
+// headroomSlack is the share of the VM's processors by which fillers may exceed their budget
+// before they are slowed.
 const headroomSlack = 0.04
 
 func triggerPace(f *pacedFiller) *float64 { return &f.trigger }
 func aimPace(f *pacedFiller) *float64     { return &f.aim }
 
-// fullUse is what a filler uses at full pace, in thousandths of a processor: as
-// seen, else as declared.
+// fullUse is a filler's processor use at full pace, in thousandths of a processor: the last
+// measured value, or the declared one.
 func (r *run) fullUse() float64 {
 	if r.fullPaceUsage > 0 {
 		return r.fullPaceUsage
@@ -149,30 +149,31 @@
 	return float64(r.task.step.spec.Need.MilliCPU)
 }
 
-// recordFullUse takes a report in that shows what the run uses at full pace.
+// recordFullUse records the usage of the last report if the run was at full pace for all of the
+// sample.
 func (r *run) recordFullUse(now Time) {
 	if r.orderedPace == fullPace && r.hasUsage && r.usage > 0 && now-max(r.orderedAt, r.paceOrderedAt) > paceRiseInterval {
 		r.fullPaceUsage = r.usage
 	}
 }
 
-// limitTotalUse lowers all paces by the same factor until the fillers use no more than
-// the VM has left.
-func limitTotalUse(fillers []pacedFiller, room float64, pace func(*pacedFiller) *float64) {
+// limitTotalUse scales all paces down by the same factor so that the fillers' total use is within
+// budget.
+func limitTotalUse(fillers []pacedFiller, budget float64, pace func(*pacedFiller) *float64) {
 	sum := 0.0
 	for i := range fillers {
 		sum += fillers[i].use * *pace(&fillers[i])
 	}
-	if sum <= room {
+	if sum <= budget {
 		return
 	}
 	for i := range fillers {
-		*pace(&fillers[i]) *= max(room, 0) / sum
+		*pace(&fillers[i]) *= max(budget, 0) / sum
 	}
 }
 
-// limitTail lowers paces until a tail that is full with all of them at full pace is
-// within bound.
+// limitTail lowers paces, in the order of fillers, until the predicted tail is at most bound.
+// Tail full is the prediction with all fillers at full pace; both are logarithms.
 func limitTail(fillers []pacedFiller, full, bound float64, pace func(*pacedFiller) *float64) {
 	excess := full - bound
 	for i := range fillers {
@@ -184,21 +185,21 @@
 			return
 		}
 		p := pace(f)
-		take := min(*p, excess/f.effect)
-		*p -= take
-		excess -= take * f.effect
+		reduction := min(*p, excess/f.effect)
+		*p -= reduction
+		excess -= reduction * f.effect
 	}
 }
 
-// applyPace orders the pace that was worked out, where it differs enough: down at
-// once, up when the last change shows in the figures.
-func (s *Scheduler) applyPace(now Time, f *pacedFiller, most int, mayRise bool) {
+// applyPace orders the computed pace if it differs enough: lower paces at once, higher ones only
+// when the samples reflect the last change.
+func (s *Scheduler) applyPace(now Time, f *pacedFiller, limit int, mayRise bool) {
 	r := f.run
-	aim := min(int(fullPace*f.aim), most)
+	aim := min(int(fullPace*f.aim), limit)
 	if aim == unknownPace {
 		aim--
 	}
-	trigger := min(int(math.Ceil(fullPace*f.trigger)), most)
+	trigger := min(int(math.Ceil(fullPace*f.trigger)), limit)
 	switch {
 	case r.orderedPace > trigger || r.orderedPace == unknownPace:
 		s.setPace(now, r, aim)
@@ -218,8 +219,8 @@
 	s.orders = append(s.orders, Order{Kind: OrderPace, Instance: r.vm.inst, Task: r.task.id(), Run: r.number, Percent: percent})
 }
 
-// HandlePaceResult takes the outcome of an order of pace over: one that failed is ordered
-// again with the next report.
+// HandlePaceResult processes the result of a pace order. A failed order is repeated with the next
+// report.
 func (s *Scheduler) HandlePaceResult(o Order, ok bool) {
 	v := s.vms[o.Instance.ID]
 	if v == nil || ok {
@@ -230,12 +231,12 @@
 	}
 }
 
-// unknownPace is the pace of a run whose last order was not answered; any
-// decision differs from it.
+// unknownPace marks a run whose last pace order was not confirmed, so that any computed pace
+// differs from it.
 const unknownPace = 99
 
-// moveSlowed stops a slowed filler that is better off on another VM. It starts
-// again there from its checkpoint.
+// moveSlowed stops a slowed filler if another VM is suitable. It restarts there from its
+// checkpoint.
 func (s *Scheduler) moveSlowed(now Time, r *run) {
 	t := r.task
 	if r.orderedPace >= s.policy.MoveBelow || now-r.orderedAt < moveDelay || t.step.spec.Gang || t.step.occ.job.state.Final() {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -50,8 +50,8 @@
 	r.updatedAt = now
 }
 
-// share is the part of all processors to reserve. The bound limit keeps lasting tasks from being
-// displaced.
+// share is the part of all processors to reserve, at most limit: reserves must not displace
+// lasting tasks.
 func (r *reserve) share(limit float64) float64 { return min(reservePeakRatio*r.use, limit) }
 
 // crowdedShare is the share of all processors declared by lasting and short tasks from which the
--- a/internal/scheduler/straggler.go
+++ b/internal/scheduler/straggler.go
@@ -2,38 +2,36 @@
 
 import "time"
 
-// Some VMs run everything several times slower than others, and on some tasks
-// stand still, while the VM calls itself healthy. The runs tell: their progress
-// is compared with that of their siblings in the step, since what was declared
-// may be off by a factor of two.
+// Some VMs run all tasks several times slower than others, or make no progress on some, while
+// reporting that they are healthy. They are detected by comparing the progress of their runs with
+// that of sibling runs in the same step, since declared durations may be off by a factor of two.
 
 const (
-	// stallTimeout is how long a run at full pace may show no progress at all:
-	// two reports, during which a run of seconds gains tens of percent.
+	// stallTimeout is how long a run at full pace may make no progress: the time of two reports,
+	// in which a run of a few seconds progresses by tens of percent.
 	stallTimeout = 1600 * time.Millisecond
-	// minStallPace is the pace from which a filler that stands still is not just
-	// slowed by order.
+	// minStallPace is the pace from which lack of progress is not explained by the pace alone.
 	minStallPace = 50
-	// minRateDuration is how long a run has to be watched before its rate counts.
+	// minRateDuration is the minimum time of observation for a progress rate.
 	minRateDuration = 900 * time.Millisecond
-	// minPeers is how many other runs make a comparison of rates.
+	// minPeers is the minimum number of other runs for a comparison of rates.
 	minPeers = 2
-	// minCrawlingRuns is how many runs have to crawl, and be the larger part of
-	// those on the VM, before the VM is blamed.
+	// minCrawlingRuns is the minimum number of crawling runs, which must also be the majority of
+	// the runs observed so far on the VM, for the VM to become suspect.
 	minCrawlingRuns = 2
-	// minRelocateGain is how many times longer the rest of a run has to take here than
-	// the whole of it elsewhere, before it is moved.
+	// minRelocateGain is the minimum ratio of a run's remaining time here to the full time
+	// elsewhere for a relocation.
 	minRelocateGain = 1.5
-	// crawlFactor is how many times slower than its siblings a run has to be.
-	// The tasks of a step differ by a factor of up to two in their work, and
-	// fillers by what the VMs leave them; slow VMs are four times slower or more.
+	// crawlFactor is the ratio of the siblings' rate to that of a run from which the run crawls.
+	// The work of a step's tasks differs by a factor of up to two, and the rate of fillers by
+	// what the VMs leave them; slow VMs are slower by a factor of four or more.
 	crawlFactor = 3.0
-	// copyDelay is how much longer than a hold waits a VM may be unheard before
-	// copies of what it runs start elsewhere, where the step allows copies.
+	// copyDelay is how much longer than its hold's wait a VM may be unreachable before copies of
+	// its runs start elsewhere, if the step allows copies.
 	copyDelay = 700 * time.Millisecond
 )
 
-// recordProgress takes a report of the run's progress in.
+// recordProgress records the progress in a report.
 func (r *run) recordProgress(now Time, progress int) {
 	if r.firstProgressAt == 0 {
 		r.firstProgressAt, r.firstProgress = now, progress
@@ -44,22 +42,22 @@
 	r.progress = progress
 }
 
-// progressRate is the run's progress in percent a second, 0 when it is not known yet.
+// progressRate is the run's progress in percent per second, or 0 if it is not known yet.
 func (r *run) progressRate(now Time) float64 {
-	watched := now - r.firstProgressAt
-	if r.firstProgressAt == 0 || watched < minRateDuration {
+	observed := now - r.firstProgressAt
+	if r.firstProgressAt == 0 || observed < minRateDuration {
 		return 0
 	}
-	return float64(r.progress-r.firstProgress) / watched.Seconds()
+	return float64(r.progress-r.firstProgress) / observed.Seconds()
 }
 
-// isUnthrottled reports whether the run works at full pace.
+// isUnthrottled reports whether the run's pace does not explain a lack of progress.
 func (r *run) isUnthrottled() bool {
 	return r.state == running && (!r.task.step.spec.Filler || r.orderedPace >= minStallPace)
 }
 
-// siblingRate is the mean rate of the step's other runs, done ones included, and
-// how many there are.
+// siblingRate returns the mean rate of the step's runs on other VMs, including completed ones,
+// and their number.
 func (st *step) siblingRate(now Time, except *run) (mean float64, n int) {
 	sum := st.doneRateSum
 	n = st.doneRuns
@@ -80,7 +78,7 @@
 	return sum / float64(n), n
 }
 
-// recordDoneRate takes the rate of a run that is done into its step's mean.
+// recordDoneRate adds the rate of a completed run to its step's mean.
 func (r *run) recordDoneRate(now Time) {
 	if took := now - r.confirmedAt; r.confirmedAt > 0 && took > 0 && r.orderedPace >= 100 && r.firstProgress == 0 {
 		r.task.step.doneRateSum += 100 / took.Seconds()
@@ -88,19 +86,18 @@
 	}
 }
 
-// rescueStragglers looks for runs on a VM that stand still or crawl, and gives their tasks
-// another place.
+// rescueStragglers relocates the tasks whose runs on the VM make no progress or crawl.
 func (s *Scheduler) rescueStragglers(now Time, v *vm) {
 	if !s.policy.Rescue {
 		return
 	}
-	watched, crawling := 0, 0
+	checked, crawling := 0, 0
 	for _, r := range v.runList {
 		spec := r.task.step.spec
 		if spec.Lasting || spec.Gang || !r.isUnthrottled() || r.progressAt == 0 {
 			continue
 		}
-		watched++
+		checked++
 		switch {
 		case now-max(r.progressAt, r.paceOrderedAt) > stallTimeout:
 			s.suspectVM(now, v, "stalled runs", r)
@@ -108,18 +105,18 @@
 		case s.isCrawling(now, r):
 			crawling++
 			s.relocate(now, r, "slow")
-			if crawling >= minCrawlingRuns && 2*crawling > watched {
+			if crawling >= minCrawlingRuns && 2*crawling > checked {
 				s.suspectVM(now, v, "slow runs", r)
 			}
 		}
 	}
 }
 
-// isCrawling reports whether the rest of the run takes much longer here than the
-// whole of it elsewhere.
+// isCrawling reports whether the rest of the run takes much longer here than the whole run
+// elsewhere.
 func (s *Scheduler) isCrawling(now Time, r *run) bool {
 	if r.task.step.spec.Filler {
-		// Its rate tells what the others leave, not how fast the VM is.
+		// Its rate depends on the processors that other tasks leave, not on the speed of the VM.
 		return false
 	}
 	rate := r.progressRate(now)
@@ -136,8 +133,8 @@
 	}
 }
 
-// relocate gives a run's task another place: a copy beside it where the step
-// allows copies, else a new start after the run has stopped.
+// relocate moves a run's task: it starts a copy if the step allows copies, else it stops the run
+// so that the task restarts elsewhere.
 func (s *Scheduler) relocate(now Time, r *run, reason string) {
 	if r.task.step.spec.Speculative {
 		s.startCopy(now, r.task, reason)
@@ -148,10 +145,10 @@
 	}
 }
 
-// startCopy starts a second run of a task whose first may not end soon.
+// startCopy starts a second run of a task whose first run may not end soon.
 func (s *Scheduler) startCopy(now Time, t *task, reason string) {
 	if len(t.runs) != 1 || t.done || t.step.occ.job.state.Final() || len(t.crashes) > 0 {
-		// A task that may have ended its VM is not to end another meanwhile.
+		// A task that may have crashed its VM must not put another VM at risk.
 		return
 	}
 	v := s.chooseVM(now, t)
@@ -162,7 +159,7 @@
 	s.start(now, t, v, s.nextRunNumber())
 }
 
-// copyUnreachable starts copies of what a VM runs that has not been heard of late.
+// copyUnreachable starts copies of the runs on a VM that has not reported recently.
 func (s *Scheduler) copyUnreachable(now Time, v *vm) {
 	if !s.policy.Copies || now-v.lastReportAt <= v.holdWait+copyDelay {
 		return
@@ -174,7 +171,8 @@
 	}
 }
 
-// recordStall notes a run that stands still or crawls without a cause of its own.
+// recordStall records a run that makes no or little progress for no reason of its own, and
+// quarantines the VM unless it already is quarantined.
 func (h *health) recordStall(now Time) bool {
 	if now < h.avoidUntil {
 		return false
--- a/internal/scheduler/tails.go
+++ b/internal/scheduler/tails.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// tail is what is predicted for the tasks of one serving image on a VM, as
-// logarithms of shares of their targets, with all fillers at full pace.
+// tail is the prediction for the tasks of one serving image on a VM, with all fillers at full
+// pace. Values are logarithms of the tail latency as a share of its target.
 type tail struct {
 	image  string
 	slopes *slopes
-	// peak is for the peak of the load, soon for the next second.
+	// peak is the tail at peak load, nearTerm that of the next second.
 	peak, nearTerm float64
 }
 
 const (
-	// tailsMaxAge is how long predicted tails are used.
+	// tailsMaxAge is how long predicted tails are reused.
 	tailsMaxAge = 100 * time.Millisecond
-	// paceLookahead is how far ahead a rising load is looked at: an order takes 0.1 s
-	// to work, and the next report comes within 0.6 s.
+	// paceLookahead is how far ahead a rising load is predicted for pacing: an order takes 0.1 s
+	// to take effect, and the next report arrives within 0.6 s.
 	paceLookahead = 700 * time.Millisecond
-	// excessNoise is the excess that the figures' noise alone gives.
+	// excessNoise is the excess explained by the noise of the samples.
 	excessNoise = 0.1
-	// maxExcess bounds what an unexplained excess may hold back.
+	// maxExcess bounds the unexplained excess that is added to predictions.
 	maxExcess = 0.5
 )
 
-// unexplainedExcess is the excess of the VM's tails that the model does not explain, as far as
-// it is not noise.
+// unexplainedExcess is the excess of the VM's tails beyond the model's prediction and the noise.
 func (v *vm) unexplainedExcess() float64 { return min(max(v.tailExcess-excessNoise, 0), maxExcess) }
 
-// nearTermLevel is the level of the step's load that fillers have to leave room for now:
-// that of the next second where it rises.
+// nearTermLevel is the level that fillers have to allow for now: that of the next second if the
+// load rises.
 func (b *baseline) nearTermLevel(now Time) float64 {
 	return max(b.forecast(now, meanSampleAge), b.forecast(now, meanSampleAge+paceLookahead))
 }
 
-// headroomLookahead is how far ahead a filler that starts has to have room.
+// headroomLookahead is how far ahead the processors for a starting filler have to be available.
 const headroomLookahead = 1500 * time.Millisecond
 
-// fillerBudget is what fillers may use of the VM now and after some time, in
-// thousandths of a processor, where limit is the share of all that may be in use.
+// fillerBudget is the processor time available to fillers, in thousandths of a processor: the
+// lower of its values now and after the time ahead. The limit is the share of all processors that
+// may be in use.
 func (v *vm) fillerBudget(now Time, ahead time.Duration, limit float64) float64 {
 	rest := limit*v.capacityMilliCPU() - float64(v.used.MilliCPU-v.servingCPU)
 	return rest - max(v.servingUse(now, 0), v.servingUse(now, ahead))
 }
 
-// predictedTails returns the VM's predicted tails.
+// predictedTails returns the predicted tails of the VM's serving images.
 func (s *Scheduler) predictedTails(now Time, v *vm) []tail {
 	if v.servingRuns == 0 {
 		return nil
@@ -90,12 +90,12 @@
 	v.tails = append(v.tails, tail{image: image, slopes: pair, peak: peak, nearTerm: soon})
 }
 
-// startedProgress reports whether a serving run is past its startup and tells a tail.
+// reportsTail reports whether a serving run has completed its startup and reports a tail.
 func (r *run) reportsTail() bool {
 	return r.state == running && r.hasUsage && r.usage > 0 && r.progress >= 100
 }
 
-// tailRatio is a serving run's tail as a share of its target.
+// tailRatio is a serving run's tail as a share of its target, or assumedPeak if it is unknown.
 func (r *run) tailRatio() float64 {
 	if !r.hasUsage || r.usage <= 0 {
 		return assumedPeak
@@ -103,18 +103,17 @@
 	return r.usage / (float64(r.task.step.spec.TailTarget) / float64(time.Millisecond))
 }
 
-// pressure is what a filler would do to the tails on a VM; the tails are
-// logarithms of shares of their targets.
+// pressure is the predicted interference of a filler with the tails on a VM, as logarithms of
+// shares of their targets.
 type pressure struct {
-	// effect is the largest growth of a tail by the filler alone.
+	// effect is the largest increase of a tail by the filler alone.
 	effect float64
-	// worst is the highest tail soon; peak the highest at the peak of the load, and
-	// soon the highest soon, of those that the filler has an effect on.
+	// worst is the highest near-term tail on the VM. peak and nearTerm are the highest tails at
+	// peak load and in the near term among those that the filler affects.
 	worst, peak, nearTerm float64
 }
 
-// pressure predicts the tails on a VM with one more filler of an image that uses
-// so many thousandths of a processor.
+// pressure predicts the tails on a VM with one more filler of the image that uses milliCPU.
 func (s *Scheduler) pressure(now Time, v *vm, image string, milliCPU int64) pressure {
 	p := pressure{worst: math.Inf(-1), peak: math.Inf(-1), nearTerm: math.Inf(-1)}
 	number := s.images.imageIndex(image)
--- a/internal/scheduler/waves.go
+++ b/internal/scheduler/waves.go
@@ -8,48 +8,51 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// A wave asks that each of its machines has its maintenance within a time, a few
-// at once. A machine is first closed to new work, then emptied: lasting tasks are
-// moved as fast as their steps' bounds allow, others get some time to end.
+// A wave requires the maintenance of each of its machines within a given time, with a bound on
+// the machines that are down at once. A machine is first closed to new tasks and then emptied:
+// lasting tasks are moved as fast as their steps' bounds allow, others get some time to end.
 
 const (
-	// minEmptyTime and maxEmptyTime bound the time that a machine's work has to end.
+	// minEmptyTime and maxEmptyTime bound the time for emptying a machine.
 	minEmptyTime = 500 * time.Millisecond
 	maxEmptyTime = 8 * time.Second
-	// emptyingShare is the part of a wave's time that is kept for maintenance itself.
+	// emptyingShare is the share of a wave's duration that is available for emptying machines;
+	// the rest is for the maintenance itself.
 	emptyingShare = 0.6
-	// maintainRetryDelay is the wait after an order that was refused or not answered.
+	// maintainRetryDelay is the delay before an order that was refused or got no response is
+	// repeated.
 	maintainRetryDelay = 500 * time.Millisecond
 )
 
-// wave is one wave under way.
+// wave is a maintenance wave in progress.
 type wave struct {
 	spec      batch.Wave
 	startedAt Time
-	// begun are the machines whose maintenance has begun.
+	// begun holds the machines whose maintenance has begun.
 	begun map[string]bool
-	// closedAt are the machines that are being emptied, with the time since when.
+	// closedAt is when each machine that is being emptied was closed.
 	closedAt map[string]Time
-	// orderedAt are the machines whose order is under way or was not answered.
+	// orderedAt is when the maintenance of a machine was ordered, until the order succeeds or is
+	// refused.
 	orderedAt map[string]Time
-	// instances holds the instance that each ordered machine had.
+	// instances holds the VM that each ordered machine ran at the time of the order.
 	instances map[string]string
-	// acceptedAt are the machines whose order was accepted, with the time since when,
-	// until the list of machines tells what became of their instances.
+	// acceptedAt is when the order for a machine was accepted, until the list of machines shows
+	// what happened to its VM.
 	acceptedAt map[string]Time
 }
 
-// done reports whether every machine of the wave that is still there has begun.
+// done reports whether the maintenance of every listed machine of the wave has begun.
 func (w *wave) done(machines map[string]batch.Machine) bool {
 	for _, name := range w.spec.Machines {
-		if _, stays := machines[name]; stays && !w.begun[name] {
+		if _, listed := machines[name]; listed && !w.begun[name] {
 			return false
 		}
 	}
 	return true
 }
 
-// downCount counts the wave's machines that are, or may be, down for it.
+// downCount counts the wave's machines that are, or may be, down for maintenance.
 func (w *wave) downCount(machines map[string]batch.Machine) int {
 	n := 0
 	for _, name := range w.spec.Machines {
@@ -63,16 +66,15 @@
 	return n
 }
 
-// WaveStatus is what operators are told of a wave.
+// WaveStatus is the state of a wave as shown to operators.
 type WaveStatus struct {
 	Number    int64
 	Completed bool
-	// Begun are the machines whose maintenance has begun.
+	// Begun lists the machines whose maintenance has begun.
 	Begun []string
 }
 
-// AddWave takes a wave on; begun are the machines that an earlier leader has
-// recorded as begun.
+// AddWave adds a wave; begun lists the machines that an earlier leader has recorded as begun.
 func (s *Scheduler) AddWave(now Time, spec batch.Wave, begun []string) {
 	if s.waves[spec.Number] != nil {
 		return
@@ -85,8 +87,8 @@
 	s.logf(Decision{Event: EventWaveBegun, Reason: spec.Duration.String(), Value: float64(len(spec.Machines))})
 }
 
-// SetMachines takes the machine service's list over, which was asked for at askedAt.
-func (s *Scheduler) SetMachines(now, askedAt Time, list []batch.Machine) {
+// SetMachines processes the list of machines from the machine service, requested at requestedAt.
+func (s *Scheduler) SetMachines(now, requestedAt Time, list []batch.Machine) {
 	s.machines = make(map[string]batch.Machine, len(list))
 	for _, m := range list {
 		s.machines[m.Name] = m
@@ -94,13 +96,13 @@
 	for _, w := range s.wavesInOrder() {
 		for _, name := range w.spec.Machines {
 			if at, accepted := w.acceptedAt[name]; accepted {
-				s.settleMaintained(now, askedAt-at, w, name)
+				s.settleMaintained(now, requestedAt-at, w, name)
 			}
 		}
 	}
 }
 
-// wavesInOrder returns the waves by their number.
+// wavesInOrder returns the waves in order of their numbers.
 func (s *Scheduler) wavesInOrder() []*wave {
 	waves := make([]*wave, 0, len(s.waves))
 	for _, number := range slices.Sorted(maps.Keys(s.waves)) {
@@ -109,8 +111,8 @@
 	return waves
 }
 
-// HasUnsettledMaintenance reports whether it is not known yet what became of the instance of some
-// machine whose order was accepted.
+// HasUnsettledMaintenance reports whether an order was accepted for a machine of which it is not
+// known yet what happened to its VM.
 func (s *Scheduler) HasUnsettledMaintenance() bool {
 	for _, w := range s.waves {
 		if len(w.acceptedAt) > 0 {
@@ -120,28 +122,28 @@
 	return false
 }
 
-// settleDelay is how long after an accepted order a machine that is still up with the
-// same instance is taken not to have gone down: a machine is down for longer.
+// settleDelay is the time after an accepted order from which a machine that is still up with the
+// same VM counts as not taken down: maintenance takes longer than that.
 const settleDelay = time.Second
 
-// settleMaintained looks what became of the instance of a machine whose order was accepted a
-// while before the list was asked for. The order alone tells nothing: it is accepted
-// again when the maintenance was done before, for an earlier leader or after a lost
-// answer, and the instance that is there now lives on.
+// settleMaintained determines what happened to the VM of a machine whose order was accepted some
+// time before the list was requested. The success of the order is not sufficient: an order also
+// succeeds if the maintenance was done before, for an earlier leader or after a lost response,
+// and the current VM stays.
 func (s *Scheduler) settleMaintained(now Time, age time.Duration, w *wave, name string) {
-	m, life := s.machines[name], w.instances[name]
+	m, instance := s.machines[name], w.instances[name]
 	switch {
-	case m.State == batch.MachineMaintenance || (m.Instance != "" && m.Instance != life):
+	case m.State == batch.MachineMaintenance || (m.Instance != "" && m.Instance != instance):
 		delete(w.acceptedAt, name)
-		// It may come back under the same ID.
+		// The VM may return under the same ID.
 		delete(w.instances, name)
-		s.RemoveInstance(now, life, "maintenance")
+		s.RemoveInstance(now, instance, "maintenance")
 	case m.State == batch.MachineUp && age > settleDelay:
 		s.reopenMachine(w, name)
 	}
 }
 
-// reopenMachine gives work again to a machine that was emptied and does not go down.
+// reopenMachine admits tasks again on a machine that was emptied and does not go down.
 func (s *Scheduler) reopenMachine(w *wave, name string) {
 	if v := s.vms[w.instances[name]]; v != nil {
 		v.closed = false
@@ -151,7 +153,7 @@
 	s.planNeeded = true
 }
 
-// WaveStatuses tells how the waves go.
+// WaveStatuses returns the states of all waves.
 func (s *Scheduler) WaveStatuses() []WaveStatus {
 	var out []WaveStatus
 	for _, w := range s.wavesInOrder() {
@@ -163,7 +165,7 @@
 	return out
 }
 
-// planWaves closes, empties and maintains machines.
+// planWaves closes and empties machines and orders their maintenance.
 func (s *Scheduler) planWaves(now Time) {
 	if s.machines == nil {
 		return
@@ -191,12 +193,11 @@
 	}
 }
 
-// closeMachines closes as many machines as may be down at once, those with the
-// least on them first.
+// closeMachines closes as many machines as may be down at once, those with the fewest runs first.
 func (s *Scheduler) closeMachines(now Time, w *wave) {
 	for w.downCount(s.machines)+len(w.closedAt) < max(w.spec.MaxAtOnce, 1) {
 		var next string
-		least := 0
+		fewest := 0
 		for _, name := range w.spec.Machines {
 			m, listed := s.machines[name]
 			_, ordered := w.orderedAt[name]
@@ -204,31 +205,31 @@
 			if !listed || w.begun[name] || ordered || closed || m.State != batch.MachineUp {
 				continue
 			}
-			load := 0
+			runCount := 0
 			if v := s.vms[m.Instance]; v != nil {
-				load = len(v.runs)
+				runCount = len(v.runs)
 			}
-			if next == "" || load < least {
-				next, least = name, load
+			if next == "" || runCount < fewest {
+				next, fewest = name, runCount
 			}
 		}
 		if next == "" {
 			return
 		}
 		w.closedAt[next] = now
-		s.logf(Decision{Event: EventMachineClosed, VM: s.machines[next].Instance, Reason: next, Value: float64(least)})
+		s.logf(Decision{Event: EventMachineClosed, VM: s.machines[next].Instance, Reason: next, Value: float64(fewest)})
 	}
 }
 
-// emptyTime is the time that the work on one machine has to end.
+// emptyTime is the time for emptying one machine.
 func (w *wave) emptyTime() time.Duration {
 	rounds := (len(w.spec.Machines) + w.spec.MaxAtOnce - 1) / max(w.spec.MaxAtOnce, 1)
 	each := time.Duration(float64(w.spec.Duration) * emptyingShare / float64(max(rounds, 1)))
 	return min(max(each, minEmptyTime), maxEmptyTime)
 }
 
-// emptyMachine moves what lasts off a closed machine and begins its maintenance
-// once nothing is lost by it, or its time is up.
+// emptyMachine moves lasting tasks off a closed machine and orders its maintenance once it is
+// empty, or once only runs are left that have exceeded their time.
 func (s *Scheduler) emptyMachine(now Time, w *wave, name string, since Time) {
 	m := s.machines[name]
 	v := s.vms[m.Instance]
@@ -259,8 +260,8 @@
 	}
 }
 
-// moveLasting stops a lasting run so that it starts elsewhere, if its step can
-// spare one more task.
+// moveLasting stops a lasting run so that it restarts elsewhere, if its step tolerates one more
+// unavailable task.
 func (s *Scheduler) moveLasting(now Time, r *run) {
 	if r.state != running {
 		return
@@ -274,12 +275,12 @@
 	s.stop(now, r, "maintenance")
 }
 
-// startedProgress is the progress of a lasting run that has started up.
+// startedProgress is the progress of a lasting run that has completed its startup.
 const startedProgress = 100
 
-// unavailableTasks counts the step's tasks that are not at work, or that were moved so
-// recently that they count as not at work still.
-func (st *step) unavailableTasks(now Time, notice time.Duration) int {
+// unavailableTasks counts the step's tasks that have not completed their startup, or were moved
+// so recently that they still count as unavailable.
+func (st *step) unavailableTasks(now Time, moveDuration time.Duration) int {
 	n := 0
 	for k := range st.tasks {
 		t := &st.tasks[k]
@@ -287,7 +288,7 @@
 		for _, r := range t.runs {
 			up = up || (r.state == running && r.progress >= startedProgress)
 		}
-		if !up || (t.movedAt > 0 && now-t.movedAt < notice) {
+		if !up || (t.movedAt > 0 && now-t.movedAt < moveDuration) {
 			n++
 		}
 	}
@@ -304,9 +305,9 @@
 	s.orders = append(s.orders, Order{Kind: OrderMaintain, Machine: name, Wave: w.spec.Number})
 }
 
-// HandleMaintenanceResult takes the outcome of an order over: begun when the maintenance has
-// begun, now or before, refused when it certainly has not. After no answer the order is repeated:
-// it is idempotent.
+// HandleMaintenanceResult processes the result of an order: begun is set if the maintenance has
+// begun, now or earlier, and refusal if it certainly has not. Without a response the order is
+// repeated; it is idempotent.
 func (s *Scheduler) HandleMaintenanceResult(now Time, o Order, begun bool, refusal batch.Refusal) {
 	w := s.waves[o.Wave]
 	if w == nil {
