--- a/internal/scheduler/backlog_test.go
+++ b/internal/scheduler/backlog_test.go
@@ -9,21 +9,21 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Guards against starts that are decided seconds before they can be given.
+// Guards against starts that are decided seconds before they can be sent.
 func TestBacklogAdaptsToSendRate(t *testing.T) {
 	const perSecond = 100
 	b, now := NewBacklog(), Time(0)
 	var longest Time
 	type waiting struct {
-		at    Time
-		given func(Time)
+		at   Time
+		sent func(Time)
 	}
 	var queue []waiting
 	for ; now < 10*time.Second; now += time.Second / perSecond {
-		room := b.Budget(now, 0).Starts
-		given := b.RecordPlan(now, room, StartBudget{})
-		for range room {
-			queue = append(queue, waiting{now, given})
+		budget := b.Budget(now, 0).Starts
+		sent := b.RecordPlan(now, budget, StartBudget{})
+		for range budget {
+			queue = append(queue, waiting{now, sent})
 		}
 		if len(queue) == 0 {
 			continue
@@ -31,23 +31,24 @@
 		if now > 5*time.Second {
 			longest = max(longest, now-queue[0].at)
 		}
-		queue[0].given(now)
+		queue[0].sent(now)
 		queue = queue[1:]
 	}
 	size, left := b.Stats()
 	require.Len(t, queue, left)
 	require.Equal(t, minBacklog, size)
-	// A whole batch of the least size, and what was decided just before it.
+	// The bound allows for the decision of a whole batch of minimum size after another.
 	require.LessOrEqual(t, longest, maxStartDelay+2*minBacklog*time.Second/perSecond)
 }
 
+// The backlog must not limit a leader that sends all starts without delay.
 func TestBacklogGrowsWhileStartsAreSentAtOnce(t *testing.T) {
 	b := NewBacklog()
 	for now := Time(0); now < time.Second; now += 20 * time.Millisecond {
-		room := b.Budget(now, 0).Starts
-		given := b.RecordPlan(now, room, StartBudget{})
-		for range room {
-			given(now + time.Millisecond)
+		budget := b.Budget(now, 0).Starts
+		sent := b.RecordPlan(now, budget, StartBudget{})
+		for range budget {
+			sent(now + time.Millisecond)
 		}
 	}
 	size, waiting := b.Stats()
@@ -55,19 +56,20 @@
 	require.Zero(t, waiting)
 }
 
-// Guards against a leader that decides on while what it decided isn't given at all.
+// Guards against a leader that decides more starts while those decided before are not sent at
+// all.
 func TestNoStartsAreDecidedBehindAnUnsentStart(t *testing.T) {
 	b := NewBacklog()
-	given := b.RecordPlan(0, 1, UnlimitedStarts)
+	sent := b.RecordPlan(0, 1, UnlimitedStarts)
 	require.Positive(t, b.Budget(maxBatchLag, 0).Batch)
 	require.Positive(t, b.Budget(maxStartDelay, 0).Starts)
 	require.Equal(t, StartBudget{}, b.Budget(maxStartDelay+1, 0))
-	given(maxStartDelay + 1)
+	sent(maxStartDelay + 1)
 	require.Positive(t, b.Budget(maxStartDelay+1, 0).Starts)
 }
 
-// Guards against batch work that keeps a leader late for urgent work, which passes it several
-// times.
+// Guards against batch starts that keep a leader behind with its work, which delays urgent jobs
+// several times.
 func TestLateLeaderDefersBatchStarts(t *testing.T) {
 	b := NewBacklog()
 	require.Equal(t, initialBacklog, b.Budget(0, maxBatchLag).Batch)
@@ -85,21 +87,22 @@
 	require.Equal(t, 1, CountStarts(s.Plan(planAt+time.Millisecond)))
 }
 
-// Guards against work that is never started by a process that is always late, such as one on a
-// slow processor.
+// Guards against batch jobs that never start if the leader is always late, for instance on a slow
+// processor.
 func TestNoWorkIsStarvedByALeaderThatIsAlwaysLate(t *testing.T) {
 	b := NewBacklog()
 	batches := 0
 	for now := Time(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		room := b.Budget(now, time.Second)
-		require.Positive(t, room.Starts)
-		if room.Batch > 0 {
+		budget := b.Budget(now, time.Second)
+		require.Positive(t, budget.Starts)
+		if budget.Batch > 0 {
 			batches++
 		}
 	}
 	require.GreaterOrEqual(t, batches, int(10*time.Second/maxBatchWait)-2)
 }
 
+// Guards against a plan that decides more starts than its budget, within a step or over several.
 func TestPlanKeepsStartBudget(t *testing.T) {
 	s := mixedFleet(1)
 	s.SetStartBudget(StartBudget{Starts: 3, Batch: 3})
@@ -113,8 +116,8 @@
 	require.Equal(t, 7, CountStarts(s.Plan(planAt+2*time.Millisecond)))
 }
 
-// Guards against an order by work where starts are short: jobs of many small tasks took the
-// starts of those that earn more by each.
+// Guards against ordering by work while starts are limited: jobs of many small tasks took the
+// starts of jobs with more value per start.
 func TestMostValuePerStartGoesFirstWhenStartsAreLimited(t *testing.T) {
 	s := mixedFleet(1)
 	wide, narrow := fillerStep("crunch", 100), fillerStep("crunch", 1000)
@@ -132,8 +135,8 @@
 	}
 }
 
-// Guards against checks that are given up for their declared duration: most of what is taken
-// for late by it can still be in time.
+// Guards against short tasks that are deferred because their declared duration exceeds the time
+// left: most of them can still end in time.
 func TestLateShortTasksPrecedeBatch(t *testing.T) {
 	s := mixedFleet(1)
 	submit := func(id string, step batch.Step, age time.Duration) {
--- a/internal/scheduler/baseline_test.go
+++ b/internal/scheduler/baseline_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load of a step is what most of its tasks tell: one that something unknown
-// presses on, and one on a VM without processors left, do not raise it.
+// The load level must not rise because of a single task with interference unknown to the model,
+// or of one on a VM without free processors.
 func TestLoadIsTheMedianOfSiblings(t *testing.T) {
 	p := newEffectModel()
 	pair := p.slopesOf("web")
@@ -24,9 +24,8 @@
 	require.InDelta(t, -1, f.loadLevel(pair), 0.01)
 }
 
-// Symptom: a load that rises is taken for lower than it is, so that fillers are
-// slowed only when the target is exceeded already.
-// Cause it guards against: a level without a trend lags behind.
+// Guards against underestimating a rising load, so that fillers are slowed only after the target
+// is exceeded: a level without a trend lags behind.
 func TestBaselineFollowsARisingLoad(t *testing.T) {
 	var b baseline
 	now := time.Second
@@ -37,7 +36,7 @@
 	require.InDelta(t, -2+0.3*(now+ahead).Seconds(), b.forecast(now, ahead), 0.05)
 }
 
-// A load that swings is known by its peak and trough, and use follows it between.
+// The estimated use follows a periodic load between its peak and its trough.
 func TestUseFollowsAPeriodicLoad(t *testing.T) {
 	var b baseline
 	at := func(now Time) float64 { return -1 + 0.7*math.Sin(2*math.Pi*now.Seconds()/10) }
@@ -46,7 +45,7 @@
 		b.observe(now, at(now))
 	}
 	require.InDelta(t, -0.3, b.peak(now), 0.1)
-	// The tails of 0.48 x (1 +- 0.67) in use differ by a factor of e^1.4.
+	// With a use of 0.48 x (1 +- 0.67), the tails differ by a factor of e^1.4.
 	require.InDelta(t, 0.8, b.use(now, 0), 0.1)
 	for ; now < 27500*time.Millisecond; now += 50 * time.Millisecond {
 		b.observe(now, at(now))
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -8,9 +8,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// BenchmarkPlan plans with a backlog: VMs filled with serving tasks of five
-// images, and so many waiting fillers of nine that nothing more fits. Its figure
-// is ns per plan.
+// BenchmarkPlan plans with a backlog: VMs filled with serving tasks of five images, and so many
+// waiting fillers of nine images that no more fit. It reports ns per plan.
 func BenchmarkPlan(b *testing.B) {
 	for _, vms := range []int{48, 350, 750} {
 		b.Run(fmt.Sprintf("%dVMs", vms), func(b *testing.B) {
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -11,10 +11,10 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// planAt is when the tests below plan: soon after the VMs were heard.
+// planAt is the time of the plans in the tests below, soon after the VMs have reported.
 const planAt = time.Second + 200*time.Millisecond
 
-// mixedFleet is a scheduler with VMs of several sizes, some of which serve.
+// mixedFleet returns a scheduler with VMs of several sizes, some with serving tasks.
 func mixedFleet(seed uint64) *Scheduler {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := New(Settings{MaxLease: 10 * time.Second}, 1, nil)
@@ -38,11 +38,12 @@
 	return s
 }
 
-// placements are the VMs on which the tasks of a step are started, in order.
-func placements(s *Scheduler, step batch.Step, apart bool) []string {
+// placements returns the VMs on which the tasks of a step are started, in order. With
+// individually set, each task is rated by itself.
+func placements(s *Scheduler, step batch.Step, individually bool) []string {
 	s.Submit(planAt, Submission{Job: &batch.Job{ID: "j", Steps: []batch.Step{step}}, Queue: "q", Pool: "pool"})
-	if apart {
-		// A task that failed somewhere is rated by itself.
+	if individually {
+		// A task that failed on a VM is rated individually.
 		st := &s.jobs["j"].occs[0].steps[0]
 		for k := range st.tasks {
 			st.tasks[k].lastFailedOn = "elsewhere"
@@ -57,8 +58,8 @@
 	return places
 }
 
-// VMs that are rated once a step are the same, in the same order, as VMs that are rated
-// for each of its tasks.
+// Rating VMs once per step must choose the same VMs, in the same order, as rating them for each
+// task.
 func TestCandidateListMatchesPerTaskPlacement(t *testing.T) {
 	for seed := range uint64(20) {
 		for name, step := range map[string]batch.Step{
@@ -73,6 +74,8 @@
 	}
 }
 
+// A plan without a start budget starts nothing, and the next plan with a budget starts the
+// waiting tasks.
 func TestNoStartsWithoutStartBudget(t *testing.T) {
 	s := mixedFleet(1)
 	s.SetStartBudget(StartBudget{})
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -9,18 +9,18 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// VMs that do not guard their capacity begin whatever they are told to. Their capacity
-// shrank while starts waited for their turn, and while the list of VMs could not be read:
-// the starts were given all the same, and brought them over it.
+// These tests guard against starts that exceed the capacity of VMs which do not guard it. Such a
+// VM accepts all starts. Starts were sent although the capacity had shrunk while they were
+// waiting, or while the list of VMs could not be read.
 
-// disableCapacityGuard makes the fixture's VMs begin whatever they are told to.
+// disableCapacityGuard makes the fixture's VMs accept all starts.
 func (f *fixture) disableCapacityGuard() {
 	c := *f.s.config
 	c.Pools = map[string]batch.Pool{"pool": {Name: "pool"}}
 	f.s.SetConfig(&c)
 }
 
-// resize changes what the VMs have, in thousandths of a processor.
+// resize sets the processors of all VMs, in thousandths.
 func (f *fixture) resize(milliCPU int64) {
 	for i := range f.list {
 		f.list[i].Capacity.MilliCPU = milliCPU
@@ -28,6 +28,7 @@
 	f.s.SetInstances(f.now, f.list)
 }
 
+// A start that no longer fits is dropped and ordered again when there is enough capacity.
 func TestStartIsNotSentAfterCapacityShrank(t *testing.T) {
 	f := newFixture(t, 1)
 	f.disableCapacityGuard()
@@ -38,15 +39,15 @@
 	require.True(t, f.s.PrepareStart(f.now, first))
 	f.confirm(first)
 	f.resize(6000)
-	require.False(t, f.s.PrepareStart(f.now, second), "8 processors are taken of 6")
-	require.Empty(t, f.plan(), "nor is it ordered again")
+	require.False(t, f.s.PrepareStart(f.now, second), "sent with 8 of 6 processors in use")
+	require.Empty(t, f.plan(), "ordered again without capacity")
 	f.resize(8000)
 	f.plan()
-	require.Len(t, f.started["j.0.0.1"], 2, "once there is room it is")
+	require.Len(t, f.started["j.0.0.1"], 2, "not ordered again with enough capacity")
 	require.True(t, f.s.PrepareStart(f.now, f.last("j.0.0.1")))
 }
 
-// A VM that guards its capacity refuses by itself, and knows best.
+// A VM that guards its capacity decides on starts itself.
 func TestGuardedVMGetsStartsAfterCapacityShrank(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -56,7 +57,7 @@
 	require.True(t, f.s.PrepareStart(f.now, f.last("j.0.0.1")))
 }
 
-// What is being stopped takes its room until its end is told.
+// A run that is being stopped occupies its resources until its end is reported.
 func TestStoppingRunsCountAgainstAShrunkCapacity(t *testing.T) {
 	f := newFixture(t, 1)
 	f.disableCapacityGuard()
@@ -76,7 +77,8 @@
 	require.Len(t, f.started["k.0.0.0"], 1)
 }
 
-// Fillers declare no processors, but what they use is not there either.
+// Fillers must not start on a VM over its capacity either: they declare no processors but use
+// some.
 func TestNothingStartsOnAVMOverItsCapacity(t *testing.T) {
 	f := newFixture(t, 1)
 	f.disableCapacityGuard()
@@ -93,6 +95,7 @@
 	require.Empty(t, f.started["k.0.0.0"])
 }
 
+// With an outdated list of VMs, only VMs that guard their capacity get starts.
 func TestNothingStartsOnUnguardedVMsWhileTheListIsOld(t *testing.T) {
 	for _, unguarded := range []bool{false, true} {
 		f := newFixture(t, 1)
@@ -111,14 +114,14 @@
 			continue
 		}
 		require.Empty(t, f.started["j.0.0.0"])
-		require.False(t, f.s.PrepareStart(f.now, f.last("early.0.0.0")), "a start that has waited since")
+		require.False(t, f.s.PrepareStart(f.now, f.last("early.0.0.0")), "a start ordered before the list became outdated was sent")
 		f.s.SetInstances(f.now, f.list)
 		f.plan()
 		require.Len(t, f.started["j.0.0.0"], 1)
 	}
 }
 
-// The members of a gang that have begun would wait in vain for one that is not given.
+// The started members of a gang would wait forever for a member whose start is not sent.
 func TestGangIsStoppedWhenAMemberIsNotSent(t *testing.T) {
 	f := newFixture(t, 2)
 	f.disableCapacityGuard()
@@ -137,7 +140,7 @@
 	require.Equal(t, first.Run, f.stops[0].Run)
 }
 
-// A VM that has not written its entry for some time may have less than that says.
+// A VM that has not updated its entry for some time may have less capacity than the entry shows.
 func TestNothingStartsOnUnguardedVMsWhileTheEntryIsStale(t *testing.T) {
 	f := newFixture(t, 1)
 	f.disableCapacityGuard()
--- a/internal/scheduler/fleet_bench_test.go
+++ b/internal/scheduler/fleet_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// The looks of each half second at a fleet of 3,000 VMs, each unanswered second a
-// tenth of them.
+// BenchmarkLooksAtALargeFleet measures the calls that a leader makes every half second, for a
+// fleet of 3,000 VMs.
 func BenchmarkLooksAtALargeFleet(b *testing.B) {
 	var list []batch.Instance
 	for i := range 3000 {
@@ -19,9 +19,9 @@
 		list = append(list, inst)
 	}
 	s := New(Settings{MaxLease: 10 * time.Second}, 1, nil)
-	began := time.Now()
+	startedAt := time.Now()
 	s.SetInstances(0, list)
-	b.Logf("first SetInstances %v", time.Since(began))
+	b.Logf("first SetInstances %v", time.Since(startedAt))
 	for i := range list {
 		s.HandleReport(time.Second, time.Second, list[i].ID, batch.Report{Clock: time.Hour})
 	}
@@ -44,8 +44,9 @@
 	}
 }
 
-// BenchmarkStartLog is what logging 1,000 starts costs a leader: to encode them, to write them, and to
-// find that they are accounted for.
+// BenchmarkStartLog measures the cost of logging 1,000 starts for a leader: encoding them,
+// recording them as written, and determining that they are accounted for. It reports ns per
+// start.
 func BenchmarkStartLog(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
--- a/internal/scheduler/interference_test.go
+++ b/internal/scheduler/interference_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnPairs feeds the model with fillers that come and go beside tasks whose
-// tails follow the true slopes, with noise.
+// learnPairs trains the model with fillers that start and end beside tasks whose tails follow the
+// true slopes, with noise.
 func learnPairs(m *effectModel, truth map[string][]float64, fillers []string, samples int, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for n := range samples {
@@ -27,13 +27,13 @@
 			}
 			m.learn(serving, &dx, dy)
 		}
-		// Ten comparisons a solution, as with 48 VMs.
+		// Ten comparisons per solution, as with 48 VMs.
 		m.solve(time.Duration(n/10) * time.Second)
 	}
 }
 
-// A few pairs press and most do not: the model tells them apart from noisy
-// differences, within the first seconds' number of reports.
+// The model must identify the few interfering pairs from noisy differences with the number of
+// reports of the first seconds.
 func TestSlopesAreLearned(t *testing.T) {
 	fillers := []string{"light", "heavy", "some"}
 	truth := map[string][]float64{"minds": {0, 6, 3}, "careless": {0, 0, 0}}
@@ -48,8 +48,8 @@
 	}
 }
 
-// Symptom: each change of leader is followed by ten seconds of pressed tasks.
-// Cause: the new leader knew nothing of what its predecessor had learned.
+// Guards against ten seconds of exceeded targets after each change of leader: the new leader did
+// not get the model that its predecessor had learned.
 func TestModelIsPassedToTheNextLeader(t *testing.T) {
 	first := New(Settings{}, 1, nil)
 	learnPairs(&first.images, map[string][]float64{"minds": {0, 6}}, []string{"light", "heavy"}, 300, 1)
@@ -61,7 +61,7 @@
 	}
 }
 
-// More images than places must neither panic nor spoil the others' slopes.
+// More images than maxImages must neither panic nor produce invalid slopes.
 func TestExcessImagesShareTheLastIndex(t *testing.T) {
 	m := newEffectModel()
 	for i := range 3 * maxImages {
--- a/internal/scheduler/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -21,7 +21,8 @@
 	return s
 }
 
-// startServingAndFiller starts a serving task and a filler on the only VM and returns their orders.
+// startServingAndFiller starts a serving task and a filler on the only VM and returns their
+// orders.
 func startServingAndFiller(t *testing.T) (f *fixture, serves, fills Order) {
 	f = newFixture(t, 1)
 	f.reportAll(nil)
@@ -41,17 +42,17 @@
 	}}
 }
 
-// Symptom: a serving task stays over its target for four seconds because of a
-// filler that the model holds for harmless.
-// Cause it guards against: waiting for a clean signal about who presses.
+// Guards against a serving task that is over its target for four seconds because of a filler that
+// the model considers harmless: fillers must be stopped without waiting for evidence against one
+// of them.
 func TestUnexplainedTailStopsAllFillers(t *testing.T) {
 	f, serves, fills := startServingAndFiller(t)
 	p := f.s.images.slopesOf("web")
 	for i := range p.slope {
 		p.slope[i] = 0
 	}
-	began := f.now
-	for f.now-began < 3*time.Second {
+	start := f.now
+	for f.now-start < 3*time.Second {
 		f.advance(500 * time.Millisecond)
 		f.report("vm00", usageReport(serves, fills, 130, 3000))
 		f.plan()
@@ -59,15 +60,14 @@
 			break
 		}
 	}
-	require.NotEmpty(t, f.paces, "the filler works on beside a task over its target")
+	require.NotEmpty(t, f.paces, "the filler is not slowed beside a task over its target")
 	require.Zero(t, f.paces[0].Percent)
-	require.Less(t, f.now-began, 3*time.Second)
+	require.Less(t, f.now-start, 3*time.Second)
 }
 
-// Symptom: a serving task is over its target for half a second each time that a filler
-// which presses on it starts beside it.
-// Sequence: the VM reports; the filler starts just after; the next report comes 0.6 s on.
-// Cause: paces were worked out with reports only, and runs start at full pace.
+// Guards against a serving task that is over its target for half a second whenever an interfering
+// filler starts on its VM. Runs start at full pace, and paces were computed only with reports: if
+// the filler starts just after one, the next report arrives 0.6 s later.
 func TestFillerIsSlowedAsSoonAsItHasStarted(t *testing.T) {
 	f, serves, fills := startServingAndFiller(t)
 	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 5
@@ -81,11 +81,11 @@
 	f.advance(5 * time.Millisecond)
 	f.confirm(f.last("g.0.0.0"))
 	f.plan()
-	require.NotEmpty(t, f.paces, "it works at full pace until the next report")
+	require.NotEmpty(t, f.paces, "the filler runs at full pace until the next report")
 }
 
-// A filler that is known to press is slowed before the target is reached, by as
-// much as the tail needs, and gets its pace back when the tail allows.
+// A filler with a known effect is slowed before the target is reached, by no more than the tail
+// requires, and restored when the tail allows it.
 func TestInterferingFillerIsSlowedAndRestored(t *testing.T) {
 	f, serves, fills := startServingAndFiller(t)
 	p := f.s.images.slopesOf("web")
@@ -104,7 +104,7 @@
 	require.Equal(t, 100, f.paces[len(f.paces)-1].Percent)
 }
 
-// A filler that does not press is left alone beside a pressed task.
+// A filler without effect must not be slowed beside a task close to its target.
 func TestHarmlessFillerIsNotSlowed(t *testing.T) {
 	f, serves, fills := startServingAndFiller(t)
 	p := f.s.images.slopesOf("web")
@@ -115,7 +115,7 @@
 	require.Empty(t, f.paces)
 }
 
-// A pace whose order was not answered is ordered again.
+// A pace order without a response is repeated.
 func TestUnansweredPaceIsRepeated(t *testing.T) {
 	f, serves, fills := startServingAndFiller(t)
 	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 5
@@ -130,7 +130,7 @@
 	require.Len(t, f.paces, 2)
 }
 
-// Fillers are kept off VMs whose serving tasks mind them, while others are free.
+// Fillers are placed away from the serving tasks that they affect while there are other VMs.
 func TestFillerAvoidsAffectedServingTasks(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Serving tasks of one image are kept together, those of another apart.
+// Serving tasks of the same image are placed together, those of different images apart.
 func TestServingImagesAreKeptApart(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
@@ -154,7 +154,7 @@
 	for i := range 8 {
 		image := string(rune('a' + i%2))
 		id := string(rune('p' + i))
-		// Four of an image leave a reserve of a quarter of a VM free.
+		// Four tasks of an image leave a quarter of a VM free as its reserve.
 		f.submit(id, servingStep(image, 1800))
 		f.plan()
 		vms[image][f.last(id+".0.0.0").Instance.ID] = true
@@ -165,8 +165,8 @@
 	require.Len(t, vms["a"], 1)
 }
 
-// Symptom: a filler that presses on every serving image never starts, while
-// others come and go.
+// Guards against a filler that affects every serving image and never starts while others come and
+// go.
 func TestStarvingFillerStarts(t *testing.T) {
 	f, _, _ := startServingAndFiller(t)
 	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("heavy")] = 50
@@ -179,7 +179,7 @@
 	require.Contains(t, f.started, "h.0.0.0")
 }
 
-// Symptom: short tasks wait while lasting ones fill every gap.
+// Guards against short tasks that wait while lasting tasks occupy all free capacity.
 func TestLastingTasksLeaveRoomForShortOnes(t *testing.T) {
 	f := newFixture(t, 4)
 	f.reportAll(nil)
@@ -194,19 +194,18 @@
 	}
 }
 
-// Symptom: lasting tasks of VMs that left are not at work again, though others
-// have room for them.
-// Cause: the room was kept for short tasks, without bound.
+// Guards against lasting tasks of VMs that left which do not run again although other VMs have
+// capacity: the reserve for short tasks was kept without a time limit.
 func TestLastingTaskUsesReserveAfterPatience(t *testing.T) {
 	f := newFixture(t, 8)
-	reserving := 0
+	reserveVMs := 0
 	for i := range f.list {
 		f.list[i].Draining = !f.s.vms[f.list[i].ID].keepsReserve(f.s.policy.ReserveOn)
 		if !f.list[i].Draining {
-			reserving++
+			reserveVMs++
 		}
 	}
-	require.Positive(t, reserving)
+	require.Positive(t, reserveVMs)
 	f.s.SetInstances(f.now, f.list)
 	f.reportAll(nil)
 	f.submit("s", servingStep("web", 9800))
@@ -218,8 +217,8 @@
 	require.Contains(t, f.started, "s.0.0.0")
 }
 
-// The bound on the wait of a filler that presses everywhere holds in a crowded fleet,
-// too, and is longer there.
+// The wait of a filler that affects every serving image is bounded in a crowded fleet, too, by a
+// longer time.
 func TestStarvedFillerStartsInACrowdedFleet(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -229,13 +228,13 @@
 	f.confirm(serves)
 	f.s.images.slopesOf("web").slope[f.s.images.imageIndex("crunch")] = 9
 	f.submit("f", fillerStep("crunch", 3000))
-	told := batch.Report{Running: []batch.RunStatus{{Task: serves.Task, Run: serves.Run, Progress: 100, Usage: 95, HasUsage: true}}}
-	began := f.now
-	for len(f.started["f.0.0.0"]) == 0 && f.now-began < time.Minute {
+	servingReport := batch.Report{Running: []batch.RunStatus{{Task: serves.Task, Run: serves.Run, Progress: 100, Usage: 95, HasUsage: true}}}
+	start := f.now
+	for len(f.started["f.0.0.0"]) == 0 && f.now-start < time.Minute {
 		f.advance(500 * time.Millisecond)
-		f.report("vm00", told)
+		f.report("vm00", servingReport)
 		f.plan()
 	}
-	require.Greater(t, f.now-began, milliseconds(f.s.policy.StarvedAfterMS)+time.Second)
-	require.LessOrEqual(t, f.now-began, milliseconds(f.s.policy.StarvedCrowdedMS)+time.Second)
+	require.Greater(t, f.now-start, milliseconds(f.s.policy.StarvedAfterMS)+time.Second)
+	require.LessOrEqual(t, f.now-start, milliseconds(f.s.policy.StarvedCrowdedMS)+time.Second)
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -17,7 +17,7 @@
 	planInterval = 50 * time.Millisecond
 )
 
-// rank orders waiting steps.
+// rank is the sort key of a waiting step; lower ranks start first.
 type rank struct {
 	group    rankGroup
 	priority int
@@ -351,13 +351,13 @@
 			return
 		}
 	}
-	var held []*run
+	var allocated []*run
 	if st.isSuspect() {
-		held = s.reserveGangTrial(r.now, st)
+		allocated = s.reserveGangTrial(r.now, st)
 	} else {
-		held = s.allocateGang(r.now, st, s.nextRunNumber(), s.chooseVM)
+		allocated = s.allocateGang(r.now, st, s.nextRunNumber(), s.chooseVM)
 	}
-	if held == nil {
+	if allocated == nil {
 		return
 	}
 	checkpoint := ""
@@ -366,7 +366,7 @@
 			checkpoint = c
 		}
 	}
-	for _, h := range held {
+	for _, h := range allocated {
 		h.task.checkpoint = checkpoint
 		s.orderStart(r.now, h)
 	}
@@ -374,20 +374,20 @@
 
 // allocateGang allocates resources for all members of a gang, or returns nil.
 func (s *Scheduler) allocateGang(now Time, st *step, number int64, choose func(Time, *task) *vm) []*run {
-	held := make([]*run, 0, len(st.tasks))
+	allocated := make([]*run, 0, len(st.tasks))
 	for k := range st.tasks {
 		v := choose(now, &st.tasks[k])
 		if v == nil {
-			for _, h := range held {
+			for _, h := range allocated {
 				s.detachRun(now, h)
 			}
 			return nil
 		}
 		h := &run{task: &st.tasks[k], vm: v, number: number, orderedAt: now, orderedPace: fullPace}
 		s.attachRun(h)
-		held = append(held, h)
+		allocated = append(allocated, h)
 	}
-	return held
+	return allocated
 }
 
 func (s *Scheduler) nextRunNumber() int64 {
--- a/internal/scheduler/policy_test.go
+++ b/internal/scheduler/policy_test.go
@@ -6,12 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Deployments use the default policy, which must pass its own validation.
 func TestDefaultPolicyIsValid(t *testing.T) {
 	p := DefaultPolicy()
 	require.NoError(t, p.Validate())
 }
 
-// A policy that makes no sense is refused with the field and the fix.
+// The error for an invalid policy must name the field.
 func TestInvalidPoliciesAreRejected(t *testing.T) {
 	for field, change := range map[string]func(*Policy){
 		"order":                func(p *Policy) { p.Order = "random" },
--- a/internal/scheduler/replay_test.go
+++ b/internal/scheduler/replay_test.go
@@ -7,67 +7,64 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pressingPairs makes three families of images: the fillers of each press on what
-// serves in it, and on nothing else; the fourth presses on nobody.
-func (p *simulation) pressingPairs() (servingImages, fillerImages []string) {
+// interferingPairs returns images of three families. The fillers of a family affect its serving
+// images and no others; one more filler image affects none.
+func (sim *simulation) interferingPairs() (servingImages, fillerImages []string) {
 	servingImages = []string{"web-a", "api-a", "web-b", "api-b", "web-c", "api-c"}
 	fillerImages = []string{"crunch-a", "index-a", "crunch-b", "index-b", "crunch-c", "crunch-d"}
 	for _, s := range servingImages {
 		for _, f := range fillerImages {
 			if s[len(s)-1] == f[len(f)-1] {
-				p.slopes[[2]string{s, f}] = 4.5
+				sim.slopes[[2]string{s, f}] = 4.5
 			}
 		}
 	}
 	return servingImages, fillerImages
 }
 
-// Symptom: of what serves a tenth is over its target while fillers wait by the
-// hundred beside idle processors.
-// Load: serving tasks declare nine tenths of all processors and use half of them
-// on average, in swings of ten seconds, each job at its own time; fillers come for
-// two thirds of what is left, with a burst of twice that for six seconds.
-// Cause: a rise of the load was blamed on the fillers beside it; the lack of
-// processors at the swing's peak on nobody.
+// Guards against a tenth of the serving time over target while hundreds of fillers wait beside
+// idle processors. A rise of the load was attributed to the fillers on the VM, and the lack of
+// processors at peak load was not taken into account. Load: serving tasks declare nine tenths of
+// all processors and use half of them on average, in periods of ten seconds, with a different
+// phase for each job. Fillers demand two thirds of the remaining processors, and twice that for
+// six seconds.
 func TestFillersBesideSwingingLoads(t *testing.T) {
 	for seed := range uint64(3) {
-		p := newSimulation(t, 40, seed)
-		servingImages, fillerImages := p.pressingPairs()
-		p.submitServing(36, 5, servingImages...)
-		// 40 VMs have 2560 processors; some 1300 are left by what serves.
-		p.submitFillers(5.3, 8, p.now+4*time.Second, 40*time.Second, fillerImages...)
-		p.submitFillers(5.3, 8, 20*time.Second, 26*time.Second, fillerImages...)
-		p.runUntil(46 * time.Second)
-		t.Logf("seed %d: over target %.4f, fillers on time %.3f, filler work %.0f processor seconds", seed, p.overTargetShare(), onTime(p.fillers(38*time.Second)), p.doneWork)
-		require.Less(t, p.overTargetShare(), 0.02)
-		require.Greater(t, onTime(p.fillers(38*time.Second)), 0.5)
+		sim := newSimulation(t, 40, seed)
+		servingImages, fillerImages := sim.interferingPairs()
+		sim.submitServing(36, 5, servingImages...)
+		// 40 VMs have 2560 processors, of which the serving tasks leave some 1300.
+		sim.submitFillers(5.3, 8, sim.now+4*time.Second, 40*time.Second, fillerImages...)
+		sim.submitFillers(5.3, 8, 20*time.Second, 26*time.Second, fillerImages...)
+		sim.runUntil(46 * time.Second)
+		t.Logf("seed %d: over target %.4f, fillers on time %.3f, filler work %.0f processor seconds", seed, sim.overTargetShare(), onTime(sim.fillers(38*time.Second)), sim.doneWork)
+		require.Less(t, sim.overTargetShare(), 0.02)
+		require.Greater(t, onTime(sim.fillers(38*time.Second)), 0.5)
 	}
 }
 
-// Symptom: while more work comes than there is room for, most jobs begin and few
-// end on time, the largest least of all.
-// Load: jobs of one to four steps, some ten times as large as others, come for
-// twice the processors that are left, for twelve seconds, between quieter spells.
-// Cause: the job with the least slack went first, so that all were begun and
-// ended late together.
+// Guards against an overload in which most jobs start and few end on time, the largest least of
+// all: with the job of least slack first, all jobs were started and ended late together. Load:
+// jobs of one to four steps, some ten times as large as others, demand twice the available
+// processors for twelve seconds between quieter periods.
 func TestOverloadOfFillerChains(t *testing.T) {
 	const seeds = 8
 	var jobsOnTime, work, largest float64
 	for seed := range uint64(seeds) {
-		p := newSimulation(t, 40, seed)
-		servingImages, fillerImages := p.pressingPairs()
-		p.submitServing(36, 5, servingImages...)
-		p.submitFillerChains(4, p.now+4*time.Second, 40*time.Second, fillerImages...)
-		p.submitFillerChains(4, 14*time.Second, 26*time.Second, fillerImages...)
-		p.runUntil(60 * time.Second)
-		jobs := p.fillers(40 * time.Second)
+		sim := newSimulation(t, 40, seed)
+		servingImages, fillerImages := sim.interferingPairs()
+		sim.submitServing(36, 5, servingImages...)
+		sim.submitFillerChains(4, sim.now+4*time.Second, 40*time.Second, fillerImages...)
+		sim.submitFillerChains(4, 14*time.Second, 26*time.Second, fillerImages...)
+		sim.runUntil(60 * time.Second)
+		jobs := sim.fillers(40 * time.Second)
 		jobsOnTime += onTime(jobs) / seeds
 		work += workOnTime(jobs) / seeds
 		largest += onTime(jobs[len(jobs)*9/10:]) / seeds
-		require.Less(t, p.overTargetShare(), 0.02)
+		require.Less(t, sim.overTargetShare(), 0.02)
 	}
 	t.Logf("on time: %.3f of the jobs, %.3f of the work, %.3f of the largest tenth", jobsOnTime, work, largest)
 	require.Greater(t, work, 0.585)
-	// The largest are served at no less than half the rate of all.
+	// The largest tenth must reach at least half the rate of all jobs.
 	require.Greater(t, largest, jobsOnTime/2)
 }
--- a/internal/scheduler/straggler_test.go
+++ b/internal/scheduler/straggler_test.go
@@ -9,7 +9,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// progressReport is a report of runs with their progress.
+// progressReport returns a report of runs with the given progress.
 func progressReport(percent int, orders ...Order) batch.Report {
 	rep := runningReport(orders...)
 	for i := range rep.Running {
@@ -18,8 +18,8 @@
 	return rep
 }
 
-// Symptom: jobs hang although their VM answers and calls itself healthy.
-// Sequence: the tasks on one VM stand still.
+// Guards against jobs that hang because the tasks on one VM make no progress although the VM
+// reports that it is healthy.
 func TestStalledRunMovesElsewhere(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -39,7 +39,7 @@
 	require.NotEqual(t, o.Instance.ID, f.last("j.0.0.0").Instance.ID)
 }
 
-// A run that makes progress, however slowly reports come, is left alone.
+// A run that makes progress must not be moved, however rarely reports arrive.
 func TestProgressingRunStays(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -55,8 +55,8 @@
 	require.Empty(t, f.stops)
 }
 
-// Symptom: a job with a task on a VM that went silent waits for the whole lease.
-// Where the step allows copies, one starts elsewhere, and the first to finish counts.
+// Guards against a job that waits for the expiry of the lease of an unresponsive VM. If the step
+// allows copies, one starts elsewhere, and the first run to end counts.
 func TestCopyOfUnheardRun(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -79,13 +79,13 @@
 	require.Equal(t, other, second.Instance.ID)
 	f.report(other, batch.Report{Ended: []batch.RunEnd{endOfOrder(1, second, batch.EndDone)}})
 	f.plan()
-	require.Len(t, f.stops, 1, "the other copy runs on")
+	require.Len(t, f.stops, 1, "the other copy was not stopped")
 	state, _ := f.s.State("j")
 	require.Equal(t, batch.Running, state)
 	require.Equal(t, batch.Completed, f.s.PendingWrites().Records[0].Progress.State)
 }
 
-// Without leave for copies the task waits until the lease is certainly over.
+// If the step does not allow copies, the task waits until the lease has certainly expired.
 func TestNoCopyWithoutLeave(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -93,24 +93,24 @@
 	f.plan()
 	o := f.last("j.0.0.0")
 	f.confirm(o)
-	silent := o.Instance.ID
+	unresponsive := o.Instance.ID
 	deadline := f.now + time.Duration(float64(f.s.settings.Lease())/minClockRate) + leaseExpiryMargin
 	for f.now < deadline-time.Second {
 		f.advance(500 * time.Millisecond)
 		for _, inst := range f.list {
-			if inst.ID != silent {
+			if inst.ID != unresponsive {
 				f.report(inst.ID, batch.Report{})
 			}
 		}
-		// Retries of the hold must not prolong the lease.
-		_, _ = f.s.Hold(f.now, silent, 0)
+		// Retries of the hold must not extend the lease.
+		_, _ = f.s.Hold(f.now, unresponsive, 0)
 		f.s.Tick(f.now)
 		f.plan()
 	}
-	require.Len(t, f.started["j.0.0.0"], 1, "started while the VM may run it")
+	require.Len(t, f.started["j.0.0.0"], 1, "started while the VM may still run it")
 	f.now = deadline + 1100*time.Millisecond
 	for _, inst := range f.list {
-		if inst.ID != silent {
+		if inst.ID != unresponsive {
 			f.report(inst.ID, batch.Report{})
 		}
 	}
@@ -119,10 +119,9 @@
 	require.Len(t, f.started["j.0.0.0"], 2)
 }
 
-// Symptom: a task is started seconds after its end was taken note of.
-// Sequence: a copy is ordered, and waits behind thousands of other orders; the
-// first run is heard to be done, and the copy is told to stop.
-// Cause: orders were carried out as they had been decided, however late.
+// Guards against a task that is started seconds after its end was processed. A copy is ordered
+// and waits behind thousands of other orders; meanwhile the first run is reported done, and the
+// copy is to stop. Orders were carried out as decided, however late.
 func TestOvertakenStartIsNotGiven(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
--- a/internal/scheduler/waves_test.go
+++ b/internal/scheduler/waves_test.go
@@ -9,7 +9,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// advanceAndReport lets what is reported make progress, and hears all VMs.
+// advanceAndReport advances the time and the progress in the reports, and delivers reports of all
+// VMs.
 func advanceAndReport(f *fixture, reports map[string]batch.Report) {
 	f.advance(100 * time.Millisecond)
 	for _, rep := range reports {
@@ -20,8 +21,8 @@
 	f.reportAll(reports)
 }
 
-// runUntilMaintained lets time go by, with all VMs heard, until a machine is to be
-// taken down.
+// runUntilMaintained advances the time, with all VMs reporting, until the maintenance of a
+// machine is ordered.
 func runUntilMaintained(f *fixture, reports map[string]batch.Report) Order {
 	for range 150 {
 		advanceAndReport(f, reports)
@@ -30,16 +31,14 @@
 			return m[0]
 		}
 	}
-	require.Fail(f.t, "no machine is taken down")
+	require.Fail(f.t, "no maintenance was ordered")
 	return Order{}
 }
 
-// What happened: tasks were started again while they ran on a machine of a wave.
-// Sequence: a leader begins a machine's maintenance and dies before it has recorded
-// that; the machine is back, with a new instance, and gets work; the next leader
-// orders its maintenance again and is told that it is done.
-// Cause: the success was taken for the end of the instance that is there, which was
-// a new one.
+// Guards against tasks that are started twice while they run on a machine of a wave. A leader
+// begins the machine's maintenance and dies before recording that; the machine returns with a new
+// VM and gets tasks; the next leader orders the maintenance again and gets the response that it
+// is done. This success was taken for the end of the new VM.
 func TestRepeatedMaintenanceEndsNoInstance(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -53,7 +52,7 @@
 	f.s.SetMachines(f.now, f.now, machines)
 	order := runUntilMaintained(f, reports)
 	f.s.HandleMaintenanceResult(f.now, order, true, "")
-	require.Contains(t, f.s.Instances(), o.Instance.ID, "taken for gone")
+	require.Contains(t, f.s.Instances(), o.Instance.ID, "the VM was removed")
 	f.s.SetMachines(f.now, f.now-time.Second, machines)
 	for range 30 {
 		advanceAndReport(f, reports)
@@ -61,14 +60,14 @@
 		f.s.Tick(f.now)
 		f.plan()
 	}
-	require.Len(t, f.started["j.0.0.0"], 1, "started again while it runs")
+	require.Len(t, f.started["j.0.0.0"], 1, "started again while the first run continues")
 	require.Empty(t, f.stops)
 	require.True(t, f.s.WaveStatuses()[0].Completed)
-	require.False(t, f.s.vms[o.Instance.ID].closed, "it gets work again")
+	require.False(t, f.s.vms[o.Instance.ID].closed, "the machine was not reopened")
 }
 
-// acceptFirstMaintenance is a fixture of two machines in a wave, whose first maintenance, which it
-// returns, was accepted.
+// acceptFirstMaintenance returns a fixture with two machines in a wave, and the first order,
+// which was accepted.
 func acceptFirstMaintenance(t *testing.T) (*fixture, []batch.Machine, Order) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -78,9 +77,8 @@
 	return f, machines, first
 }
 
-// What happened: a wave stood still.
-// Sequence: as above; the machine counts as down until it has another instance, and
-// it never gets one.
+// Guards against a wave that makes no progress: in the situation above, the machine counted as
+// down until it had another VM, which it never got.
 func TestWaveContinuesAfterRepeatedMaintenance(t *testing.T) {
 	f, machines, first := acceptFirstMaintenance(t)
 	f.advance(2 * time.Second)
@@ -92,12 +90,12 @@
 	f.plan()
 	require.True(t, f.s.WaveStatuses()[0].Completed)
 	for _, v := range f.s.vms {
-		require.False(t, v.closed, "%s gets work again", v.inst.ID)
+		require.False(t, v.closed, "%s was not reopened", v.inst.ID)
 	}
 }
 
-// A machine whose maintenance has begun takes its instance with it, as soon as the
-// list of machines tells.
+// When maintenance has begun, the machine's VM is removed as soon as the list of machines shows
+// it.
 func TestMaintenanceEndsTheInstance(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
