--- a/internal/scheduler/baseline.go
+++ b/internal/scheduler/baseline.go
@@ -85,10 +85,10 @@
 	b.useCache = [2]cachedUse{}
 	dt := (now - b.updatedAt).Seconds()
 	expected := b.level + b.trend*dt
-	miss := min(max(y-expected, -maxLevelStep), maxLevelStep)
+	residual := min(max(y-expected, -maxLevelStep), maxLevelStep)
 	gain := 1 - math.Exp(-dt/levelTimeConstant.Seconds())
-	b.level = expected + gain*miss
-	b.trend = min(max(b.trend+gain*miss/trendTimeConstant.Seconds(), -maxTrend), maxTrend)
+	b.level = expected + gain*residual
+	b.trend = min(max(b.trend+gain*residual/trendTimeConstant.Seconds(), -maxTrend), maxTrend)
 	b.updatedAt = now
 	if now-b.windowAt > peakWindow {
 		b.peaks[1], b.peaks[0] = b.peaks[0], b.level
@@ -140,9 +140,9 @@
 func (b *baseline) computeUse(now Time, ahead time.Duration) float64 {
 	low, high := min(b.troughs[0], b.troughs[1]), max(b.peaks[0], b.peaks[1])
 	ratio := math.Exp(high - low)
-	quiet := max(meanServingUse-(1-meanServingUse)*(ratio-1)/(ratio+1), 0)
+	lowestUse := max(meanServingUse-(1-meanServingUse)*(ratio-1)/(ratio+1), 0)
 	level := min(max(b.forecast(now, ahead), low), high)
-	return 1 - (1-quiet)*math.Exp(low-level)
+	return 1 - (1-lowestUse)*math.Exp(low-level)
 }
 
 // countSiblingsElsewhere counts the running tasks of the step on other VMs.
--- a/internal/scheduler/tails.go
+++ b/internal/scheduler/tails.go
@@ -42,8 +42,8 @@
 // lower of its values now and after the time ahead. The limit is the share of all processors that
 // may be in use.
 func (v *vm) fillerBudget(now Time, ahead time.Duration, limit float64) float64 {
-	rest := limit*v.capacityMilliCPU() - float64(v.used.MilliCPU-v.servingCPU)
-	return rest - max(v.servingUse(now, 0), v.servingUse(now, ahead))
+	available := limit*v.capacityMilliCPU() - float64(v.used.MilliCPU-v.servingCPU)
+	return available - max(v.servingUse(now, 0), v.servingUse(now, ahead))
 }
 
 // predictedTails returns the predicted tails of the VM's serving images.
