--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -18,8 +18,8 @@
 	MaxOccurrences = 100_000
 	// maxAmount bounds each declared amount, so that sums cannot overflow.
 	maxAmount = 1 << 40
-	// maxTime bounds each declared time, for the same reason.
-	maxTime = 30 * 24 * time.Hour
+	// maxDuration bounds each declared time, for the same reason.
+	maxDuration = 30 * 24 * time.Hour
 )
 
 // Job is what a caller submits: steps of equal tasks, executed in the order that
@@ -108,8 +108,8 @@
 	return false
 }
 
-// Chain is the longest chain of declared durations through the steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath is the longest chain of declared durations through the steps.
+func (j *Job) CriticalPath() time.Duration {
 	longest := time.Duration(0)
 	end := make([]time.Duration, len(j.Steps))
 	for i := range j.Steps {
@@ -160,8 +160,8 @@
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
 		return fmt.Errorf("steps[%d]: give 1 to %d tasks", index, MaxTasks)
 	}
-	if s.Estimate < 0 || s.Estimate > maxTime || s.TailTarget < 0 || s.TailTarget > maxTime {
-		return fmt.Errorf("steps[%d]: times go from 0 to %s", index, maxTime)
+	if s.Estimate < 0 || s.Estimate > maxDuration || s.TailTarget < 0 || s.TailTarget > maxDuration {
+		return fmt.Errorf("steps[%d]: times go from 0 to %s", index, maxDuration)
 	}
 	for _, amount := range []int64{s.Need.MilliCPU, s.Need.MemoryMB, s.Need.Accelerators, int64(s.MaxPerVM), int64(s.MaxUnavailable)} {
 		if amount < 0 || amount > maxAmount {
--- a/internal/batch/job_test.go
+++ b/internal/batch/job_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestChainFollowsDependencies(t *testing.T) {
+func TestCriticalPathFollowsDependencies(t *testing.T) {
 	j := Job{Steps: []Step{
 		{Tasks: 1, Estimate: 2 * time.Second},
 		{Tasks: 1, Estimate: time.Second},
@@ -15,7 +15,7 @@
 		{Tasks: 1, Estimate: time.Second, After: []int{0, 2}},
 	}}
 	require.NoError(t, j.Validate())
-	require.Equal(t, 5*time.Second, j.Chain())
+	require.Equal(t, 5*time.Second, j.CriticalPath())
 }
 
 // Symptom: a job of a longer task is refused as wrong.
--- a/internal/batch/vm.go
+++ b/internal/batch/vm.go
@@ -149,9 +149,9 @@
 	// RefusedOld: the run is not higher than one that ended there.
 	RefusedOld Refusal = "old"
 	// RefusedLate: the lease would be over already.
-	RefusedLate   Refusal = "late"
-	RefusedRoom   Refusal = "room"
-	RefusedTicket Refusal = "ticket"
+	RefusedLate     Refusal = "late"
+	RefusedCapacity Refusal = "room"
+	RefusedTicket   Refusal = "ticket"
 	// RefusedBusy: the instance is unhealthy and has done nothing.
 	RefusedBusy Refusal = "busy"
 	// RefusedUnreached: the instance was not reached; the order never left.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -161,14 +161,14 @@
 	}
 	e.election.OnLeaderSeen = func(leader.Record) { e.relayOfferer.trigger() }
 	e.operatorFollower = &follow.Follower{
-		Store: p.Store, Prefix: p.OperatorPrefix, Wait: configWatchTimeout, ReadEvery: configReadInterval, Handle: e.applyOperatorItems,
-		Read:   e.config.recordStoreRead,
-		Failed: func(err error) { log.Warn("config_watch_failed", err, nil) },
+		Store: p.Store, Prefix: p.OperatorPrefix, Wait: configWatchTimeout, PollInterval: configReadInterval, Handle: e.applyOperatorItems,
+		OnRead:  e.config.recordStoreRead,
+		OnError: func(err error) { log.Warn("config_watch_failed", err, nil) },
 	}
 	e.leaderClient = &leaderClient{self: s.Peers, election: e.election, local: local, client: p.PeerClient}
 	e.entry = &entry.Entry{
 		Store: p.Store, InForce: e.config.inForce.Load, ConfirmedAge: e.config.inForceConfirmedAge, ConfirmConfig: e.confirmConfig, Accepting: e.ready, WallMS: wallMS, Log: log,
-		Observe: e.metrics.recordRequest, StoreRespondedAt: e.operatorFollower.HeardAt, LeaderReachable: e.leaderReachable,
+		Observe: e.metrics.recordRequest, StoreRespondedAt: e.operatorFollower.LastResponseAt, LeaderReachable: e.leaderReachable,
 		Peers: e.leaderClient,
 	}
 	callers, ready := p.CallerHandlers(e.entry)
@@ -325,7 +325,7 @@
 	if ok {
 		return true
 	}
-	e.operatorFollower.ReadSoon()
+	e.operatorFollower.PollNow()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for !ok {
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -56,8 +56,8 @@
 	Internal        Kind = "internal"
 )
 
-// statusCallerGone is answered to nobody; it only shows in logs and metrics.
-const statusCallerGone = 499
+// statusClientClosedRequest is answered to nobody; it only shows in logs and metrics.
+const statusClientClosedRequest = 499
 
 // Answer is how a kind is told.
 type Answer struct {
@@ -100,7 +100,7 @@
 	AnswerMismatch:  {http.StatusBadGateway, Unknown, false, 0, "the target answered another request; check the service's X-Request-Id"},
 	AnswerUnbounded: {http.StatusBadGateway, Unknown, false, 0, "the target's answer had no length, so a cut-off could not be told"},
 	StoreUnknown:    {http.StatusServiceUnavailable, Unknown, true, 2 * time.Second, "the store's answer was lost; repeat the same call, it is recognised"},
-	CallerGone:      {statusCallerGone, Unknown, false, 0, "the caller closed its connection first"},
+	CallerGone:      {statusClientClosedRequest, Unknown, false, 0, "the caller closed its connection first"},
 	Internal:        {http.StatusInternalServerError, Unknown, false, 0, "see the node's log under the request id"},
 }
 
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// buffered is how many lines may wait for the writer.
-	buffered = 4096
-	// perSecond and burst bound the lines of one event name: a busy leader
+	// maxBufferedLines is how many lines may wait for the writer.
+	maxBufferedLines = 4096
+	// maxLinesPerSecond and burst bound the lines of one event name: a busy leader
 	// starts some 900 tasks a second, of which this keeps a fair sample.
-	perSecond = 400
-	burst     = 800
-	// sweepEvery is how often the count of omitted lines is told.
-	sweepEvery = 5 * time.Second
+	maxLinesPerSecond = 400
+	maxBurstLines     = 800
+	// omittedReportInterval is how often the count of omitted lines is told.
+	omittedReportInterval = 5 * time.Second
 )
 
 // Fields are the inputs and the outcome of an event.
@@ -35,21 +35,21 @@
 }
 
 type bucket struct {
-	tokens  float64
-	at      time.Time
-	omitted int
+	tokens     float64
+	refilledAt time.Time
+	omitted    int
 }
 
 // New returns a log that writes to w, with node in each line.
 func New(w io.Writer, level logrus.Level) *Log {
-	out := &asyncWriter{lines: make(chan []byte, buffered), w: w}
+	out := &asyncWriter{lines: make(chan []byte, maxBufferedLines), w: w}
 	logger := logrus.New()
 	logger.SetOutput(out)
 	logger.SetLevel(level)
 	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 	go out.run()
 	l := &Log{logger: logger, out: out, buckets: map[string]*bucket{}}
-	go l.sweep()
+	go l.reportOmitted()
 	return l
 }
 
@@ -86,11 +86,11 @@
 	b := l.buckets[name]
 	now := time.Now()
 	if b == nil {
-		b = &bucket{tokens: burst, at: now}
+		b = &bucket{tokens: maxBurstLines, refilledAt: now}
 		l.buckets[name] = b
 	}
-	b.tokens = min(burst, b.tokens+now.Sub(b.at).Seconds()*perSecond)
-	b.at = now
+	b.tokens = min(maxBurstLines, b.tokens+now.Sub(b.refilledAt).Seconds()*maxLinesPerSecond)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		b.omitted++
 		return false
@@ -99,9 +99,9 @@
 	return true
 }
 
-// sweep tells what was left out.
-func (l *Log) sweep() {
-	for range time.Tick(sweepEvery) {
+// reportOmitted tells what was left out.
+func (l *Log) reportOmitted() {
+	for range time.Tick(omittedReportInterval) {
 		l.mu.Lock()
 		omitted := Fields{}
 		for name, b := range l.buckets {
@@ -150,13 +150,13 @@
 	return n
 }
 
-// maxWrite bounds the bytes that are joined into one write: a system call a
+// maxWriteBytes bounds the bytes that are joined into one write: a system call a
 // line costs more than the line.
-const maxWrite = 4 << 10
+const maxWriteBytes = 4 << 10
 
 func (a *asyncWriter) run() {
 	for line := range a.lines {
-		for more := true; more && len(line) < maxWrite; {
+		for more := true; more && len(line) < maxWriteBytes; {
 			select {
 			case next := <-a.lines:
 				line = append(line, next...)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -18,34 +18,34 @@
 // changes; an empty answer carries the newest revision; then the history goes.
 // Cause it guards against: going on from that revision at once, so that nothing
 // ever tells that something was missed.
-func TestEmptyAnswersMoveOnSlowly(t *testing.T) {
+func TestEmptyWatchesAdvanceSlowly(t *testing.T) {
 	p := position{after: 10}
-	p.moved(0, 20, false)
+	p.advance(0, 20, false)
 	require.EqualValues(t, 10, p.after)
-	p.moved(time.Second, 30, false)
+	p.advance(time.Second, 30, false)
 	require.EqualValues(t, 10, p.after)
-	p.moved(settle, 40, false)
+	p.advance(settleDelay, 40, false)
 	require.EqualValues(t, 20, p.after, "the revision seen long enough ago")
-	p.moved(settle+time.Second, 50, true)
+	p.advance(settleDelay+time.Second, 50, true)
 	require.EqualValues(t, 50, p.after, "events tell where they end")
 }
 
-// scripted answers watches in turn, then waits.
-type scripted struct {
+// scriptedStore answers watches in turn, then waits.
+type scriptedStore struct {
 	durable.Store
 	mu      sync.Mutex
 	ranges  int
 	watches []func() ([]durable.Item, int64, error)
 }
 
-func (s *scripted) Range(context.Context, string) ([]durable.Item, int64, error) {
+func (s *scriptedStore) Range(context.Context, string) ([]durable.Item, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ranges++
 	return []durable.Item{{Key: "k", Revision: int64(s.ranges)}}, int64(s.ranges), nil
 }
 
-func (s *scripted) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) ([]durable.Item, int64, error) {
+func (s *scriptedStore) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) ([]durable.Item, int64, error) {
 	s.mu.Lock()
 	if len(s.watches) == 0 {
 		s.mu.Unlock()
@@ -60,8 +60,8 @@
 
 // After lost history the whole prefix is read again; after a failed call the same
 // watch is tried again, and the failure is told.
-func TestHistoryLostAndCallsFailed(t *testing.T) {
-	s := &scripted{watches: []func() ([]durable.Item, int64, error){
+func TestLostHistoryAndFailedCalls(t *testing.T) {
+	s := &scriptedStore{watches: []func() ([]durable.Item, int64, error){
 		func() ([]durable.Item, int64, error) { return nil, 0, durable.ErrUnknown },
 		func() ([]durable.Item, int64, error) { return []durable.Item{{Key: "k", Revision: 5}}, 5, nil },
 		func() ([]durable.Item, int64, error) { return nil, 0, durable.ErrCompacted },
@@ -70,7 +70,7 @@
 	failures := 0
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &Follower{
-		Store: s, Prefix: "k", Wait: time.Second, Failed: func(error) { failures++ },
+		Store: s, Prefix: "k", Wait: time.Second, OnError: func(error) { failures++ },
 		Handle: func(items []durable.Item, _ bool) {
 			seen = append(seen, items[0].Revision)
 			if len(seen) == 3 {
@@ -83,21 +83,21 @@
 	require.Equal(t, 1, failures)
 }
 
-// readable is a store whose watches hear nothing, while its prefix changes.
-type readable struct {
+// silentWatchStore is a store whose watches hear nothing, while its prefix changes.
+type silentWatchStore struct {
 	durable.Store
 	revision atomic.Int64
-	// failNext fails so many readings; hang leaves one without an answer.
-	failNext, hang atomic.Int32
-	ranges         atomic.Int64
+	// failingReads fails so many readings; hang leaves one without an answer.
+	failingReads, hangingReads atomic.Int32
+	ranges                     atomic.Int64
 }
 
-func (s *readable) Range(ctx context.Context, _ string) ([]durable.Item, int64, error) {
+func (s *silentWatchStore) Range(ctx context.Context, _ string) ([]durable.Item, int64, error) {
 	s.ranges.Add(1)
-	if s.failNext.Add(-1) >= 0 {
+	if s.failingReads.Add(-1) >= 0 {
 		return nil, 0, durable.ErrRefused
 	}
-	if s.hang.Add(-1) >= 0 {
+	if s.hangingReads.Add(-1) >= 0 {
 		<-ctx.Done()
 		return nil, 0, durable.ErrUnknown
 	}
@@ -105,7 +105,7 @@
 	return []durable.Item{{Key: "k", Revision: n}}, n, nil
 }
 
-func (s *readable) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) ([]durable.Item, int64, error) {
+func (s *silentWatchStore) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) ([]durable.Item, int64, error) {
 	<-ctx.Done()
 	return nil, 0, durable.ErrUnknown
 }
@@ -114,12 +114,12 @@
 // lost.
 func TestChangesAreReadWhileTheWatchHearsNothing(t *testing.T) {
 	const period, bound = time.Second, 2 * time.Second
-	s := &readable{}
+	s := &silentWatchStore{}
 	s.revision.Store(1)
 	var seen, readAt atomic.Int64
 	f := &Follower{
-		Store: s, Prefix: "k", Wait: time.Minute, ReadEvery: period,
-		Read:   func(began time.Duration) { readAt.Store(int64(began)) },
+		Store: s, Prefix: "k", Wait: time.Minute, PollInterval: period,
+		OnRead: func(began time.Duration) { readAt.Store(int64(began)) },
 		Handle: func(items []durable.Item, _ bool) { seen.Store(items[0].Revision) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -130,14 +130,14 @@
 		require.Eventually(t, func() bool { return seen.Load() == want }, within, 5*time.Millisecond)
 	}
 	awaitRevision(1, bound)
-	for i, disturb := range []func(){func() {}, func() { s.failNext.Store(2) }, func() { s.hang.Store(1) }} {
+	for i, disturb := range []func(){func() {}, func() { s.failingReads.Store(2) }, func() { s.hangingReads.Store(1) }} {
 		disturb()
 		s.revision.Add(1)
 		awaitRevision(int64(i+2), bound)
 	}
 	before := s.ranges.Load()
 	s.revision.Add(1)
-	f.ReadSoon()
+	f.PollNow()
 	awaitRevision(5, period/2)
 	require.Equal(t, before+1, s.ranges.Load())
 	require.Eventually(t, func() bool { return steady.Now()-time.Duration(readAt.Load()) < period/2 }, period/2, time.Millisecond)
@@ -147,18 +147,18 @@
 
 // What is older than what was handled already, by the watch or by a reading, is not handled
 // again: a configuration, or a leader, would come back.
-func TestOvertakenChangesAreNotHandled(t *testing.T) {
+func TestStaleChangesAreIgnored(t *testing.T) {
 	var seen []int64
 	f := &Follower{Handle: func(items []durable.Item, _ bool) { seen = append(seen, items[0].Revision) }}
-	require.True(t, f.handleWhole([]durable.Item{{Revision: 4}}, 10, 0))
+	require.True(t, f.handleSnapshot([]durable.Item{{Revision: 4}}, 10, 0))
 	f.handleEvents([]durable.Item{{Revision: 9}})
 	f.handleEvents([]durable.Item{{Revision: 9}, {Revision: 12}})
-	require.False(t, f.handleWhole([]durable.Item{{Revision: 4}}, 11, 1), "begun before the watch told of 12")
-	require.True(t, f.handleWhole([]durable.Item{{Revision: 12}}, 13, 2))
+	require.False(t, f.handleSnapshot([]durable.Item{{Revision: 4}}, 11, 1), "begun before the watch told of 12")
+	require.True(t, f.handleSnapshot([]durable.Item{{Revision: 12}}, 13, 2))
 	require.Equal(t, []int64{4, 12, 12}, seen)
-	f.Known(20)
+	f.MarkKnown(20)
 	f.handleEvents([]durable.Item{{Revision: 19}})
-	require.False(t, f.handleWhole([]durable.Item{{Revision: 12}}, 19, 3), "begun before 20 was written")
-	require.True(t, f.handleWhole([]durable.Item{{Revision: 20}}, 20, 4))
+	require.False(t, f.handleSnapshot([]durable.Item{{Revision: 12}}, 19, 3), "begun before 20 was written")
+	require.True(t, f.handleSnapshot([]durable.Item{{Revision: 20}}, 20, 4))
 	require.Equal(t, []int64{4, 12, 12, 20}, seen)
 }
--- a/internal/follow/list.go
+++ b/internal/follow/list.go
@@ -19,59 +19,59 @@
 	Store  durable.Store
 	Prefix string
 	Decode func(durable.Item) (T, error)
-	// Unreadable is told of each entry that can't be decoded; it is left out.
-	Unreadable func(error)
+	// OnDecodeError is told of each entry that can't be decoded; it is left out.
+	OnDecodeError func(error)
 	// Unchanged, where set, is told of each value that is returned for how long its entry
 	// has been unchanged at most; for an entry that was there at the first look that is
 	// not known, and counts from long ago. It is not told before an entry has changed
 	// twice: where those who live do not write all the time, it would mean nothing.
-	Unchanged func(value *T, since time.Duration)
+	OnUnchanged func(value *T, since time.Duration)
 
 	mu      sync.Mutex
 	entries map[string]listEntry[T]
 	// order holds the keys in the order in which they came.
 	order []string
 	after int64
-	// changesOften is set once an entry has changed twice.
-	changesOften bool
-	// readAt is when the whole list was read, changedAt when a change was last told,
-	// lookedAt when the list was last looked at.
-	readAt, changedAt, lookedAt time.Duration
+	// hasRepeatedChanges is set once an entry has changed twice.
+	hasRepeatedChanges bool
+	// lastReadAt is when the whole list was read, lastChangeAt when a change was last told,
+	// lastLoadAt when the list was last looked at.
+	lastReadAt, lastChangeAt, lastLoadAt time.Duration
 }
 
 type listEntry[T any] struct {
-	value    T
-	readable bool
-	revision int64
-	// changedAfter is the last look at which the entry had not changed yet, 0 for none.
-	changedAfter time.Duration
-	// changes counts its changes since it was first read.
-	changes int
+	value     T
+	isDecoded bool
+	revision  int64
+	// lastUnchangedAt is the last look at which the entry had not changed yet, 0 for none.
+	lastUnchangedAt time.Duration
+	// changeCount counts its changes since it was first read.
+	changeCount int
 }
 
-// longAgo is how long an entry counts as unchanged of which it is not known.
-const longAgo = time.Hour
+// unknownUnchangedDuration is how long an entry counts as unchanged of which it is not known.
+const unknownUnchangedDuration = time.Hour
 
 const (
-	// wholeEvery is how often the whole list is read all the same: nothing is to be
+	// fullReadInterval is how often the whole list is read all the same: nothing is to be
 	// missed for good.
-	wholeEvery = 5 * time.Second
-	// unheardAfter is how long a list may go without changes, or without being looked
+	fullReadInterval = 5 * time.Second
+	// maxQuietDuration is how long a list may go without changes, or without being looked
 	// at, and be gone on from: a store that loses its history may tell of no changes
 	// for a second although there are some.
-	unheardAfter = 1500 * time.Millisecond
-	// changesWait is how long the store may wait for a change.
-	changesWait = 10 * time.Millisecond
+	maxQuietDuration = 1500 * time.Millisecond
+	// watchTimeout is how long the store may wait for a change.
+	watchTimeout = 10 * time.Millisecond
 )
 
-// Look returns the list as it is now.
-func (l *List[T]) Look(ctx context.Context) ([]T, error) {
+// Load returns the list as it is now.
+func (l *List[T]) Load(ctx context.Context) ([]T, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := steady.Now()
 	err := durable.ErrCompacted
-	if l.after > 0 && now-l.readAt < wholeEvery && now-max(l.changedAt, l.readAt) < unheardAfter && now-l.lookedAt < unheardAfter {
-		err = l.change(ctx)
+	if l.after > 0 && now-l.lastReadAt < fullReadInterval && now-max(l.lastChangeAt, l.lastReadAt) < maxQuietDuration && now-l.lastLoadAt < maxQuietDuration {
+		err = l.applyChanges(ctx)
 	}
 	if errors.Is(err, durable.ErrCompacted) {
 		err = l.read(ctx)
@@ -79,24 +79,24 @@
 	if err != nil {
 		return nil, err
 	}
-	l.lookedAt = now
+	l.lastLoadAt = now
 	list := make([]T, 0, len(l.order))
 	for _, key := range l.order {
-		if e := l.entries[key]; e.readable {
+		if e := l.entries[key]; e.isDecoded {
 			list = append(list, e.value)
-			l.tellUnchanged(&list[len(list)-1], now, e.changedAfter)
+			l.reportUnchanged(&list[len(list)-1], now, e.lastUnchangedAt)
 		}
 	}
 	return list, nil
 }
 
-func (l *List[T]) tellUnchanged(value *T, now, changedAfter time.Duration) {
+func (l *List[T]) reportUnchanged(value *T, now, changedAfter time.Duration) {
 	switch {
-	case l.Unchanged == nil, !l.changesOften:
+	case l.OnUnchanged == nil, !l.hasRepeatedChanges:
 	case changedAfter == 0:
-		l.Unchanged(value, longAgo)
+		l.OnUnchanged(value, unknownUnchangedDuration)
 	default:
-		l.Unchanged(value, now-changedAfter)
+		l.OnUnchanged(value, now-changedAfter)
 	}
 }
 
@@ -117,13 +117,13 @@
 		}
 		l.order = append(l.order, key)
 	}
-	l.after, l.readAt = revision, steady.Now()
+	l.after, l.lastReadAt = revision, steady.Now()
 	return nil
 }
 
-// change takes the changes over that came since the last look.
-func (l *List[T]) change(ctx context.Context) error {
-	events, revision, err := l.Store.Watch(ctx, l.Prefix, l.after, changesWait)
+// applyChanges takes the changes over that came since the last look.
+func (l *List[T]) applyChanges(ctx context.Context) error {
+	events, revision, err := l.Store.Watch(ctx, l.Prefix, l.after, watchTimeout)
 	if err != nil || len(events) == 0 {
 		return err
 	}
@@ -141,7 +141,7 @@
 			l.entries[item.Key] = l.decode(item, known, listed)
 		}
 	}
-	l.after, l.changedAt = revision, steady.Now()
+	l.after, l.lastChangeAt = revision, steady.Now()
 	return nil
 }
 
@@ -158,12 +158,12 @@
 func (l *List[T]) decode(item *durable.Item, before listEntry[T], listed bool) listEntry[T] {
 	value, err := l.Decode(*item)
 	if err != nil {
-		l.Unreadable(err)
+		l.OnDecodeError(err)
 	}
 	changes := 0
 	if listed {
-		changes = before.changes + 1
+		changes = before.changeCount + 1
 	}
-	l.changesOften = l.changesOften || changes > 1
-	return listEntry[T]{value: value, readable: err == nil, revision: item.Revision, changedAfter: l.lookedAt, changes: changes}
+	l.hasRepeatedChanges = l.hasRepeatedChanges || changes > 1
+	return listEntry[T]{value: value, isDecoded: err == nil, revision: item.Revision, lastUnchangedAt: l.lastLoadAt, changeCount: changes}
 }
--- a/internal/graceful/graceful.go
+++ b/internal/graceful/graceful.go
@@ -21,20 +21,20 @@
 	mu       sync.Mutex
 	listener net.Listener
 	stopping bool
-	// awaited are connections whose first request is to come, or whose request is
+	// pendingConns are connections whose first request is to come, or whose request is
 	// under way.
-	awaited map[net.Conn]struct{}
-	// answered is told when awaited becomes empty.
-	answered chan struct{}
-	// accepting is held while a listener is served.
-	accepting sync.Mutex
+	pendingConns map[net.Conn]struct{}
+	// drained is told when awaited becomes empty.
+	drained chan struct{}
+	// serveMu is held while a listener is served.
+	serveMu sync.Mutex
 }
 
 // New wraps a server, whose ConnState must be free and whose ReadHeaderTimeout bounds
 // how long a stop waits for a connection that sends nothing.
 func New(s *http.Server) *Server {
-	g := &Server{http: s, awaited: map[net.Conn]struct{}{}, answered: make(chan struct{}, 1)}
-	s.ConnState = g.observe
+	g := &Server{http: s, pendingConns: map[net.Conn]struct{}{}, drained: make(chan struct{}, 1)}
+	s.ConnState = g.trackConn
 	return g
 }
 
@@ -47,8 +47,8 @@
 // Serve takes connections until the listener fails. It returns [http.ErrServerClosed]
 // once Stop or Close has been called, also when it is called after them.
 func (s *Server) Serve(ln net.Listener) error {
-	s.accepting.Lock()
-	defer s.accepting.Unlock()
+	s.serveMu.Lock()
+	defer s.serveMu.Unlock()
 	s.mu.Lock()
 	s.listener = ln
 	stopping := s.stopping
@@ -77,11 +77,11 @@
 	}
 	s.mu.Unlock()
 	// Once the accept loop has returned, each connection it took has been observed.
-	s.accepting.Lock()
-	defer s.accepting.Unlock()
-	for s.awaits() {
+	s.serveMu.Lock()
+	defer s.serveMu.Unlock()
+	for s.hasPending() {
 		select {
-		case <-s.answered:
+		case <-s.drained:
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "requests are under way")
 		}
@@ -97,24 +97,24 @@
 	return s.http.Close()
 }
 
-func (s *Server) awaits() bool {
+func (s *Server) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.awaited) > 0
+	return len(s.pendingConns) > 0
 }
 
-// observe is told of each change of a connection.
-func (s *Server) observe(conn net.Conn, state http.ConnState) {
+// trackConn is told of each change of a connection.
+func (s *Server) trackConn(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew, http.StateActive:
-		s.awaited[conn] = struct{}{}
+		s.pendingConns[conn] = struct{}{}
 	case http.StateIdle, http.StateHijacked, http.StateClosed:
-		delete(s.awaited, conn)
-		if len(s.awaited) == 0 {
+		delete(s.pendingConns, conn)
+		if len(s.pendingConns) == 0 {
 			select {
-			case s.answered <- struct{}{}:
+			case s.drained <- struct{}{}:
 			default:
 			}
 		}
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// held makes a server whose handler waits until the channel is closed.
-func held(hold chan struct{}) *Server {
+// newBlockingServer makes a server whose handler waits until the channel is closed.
+func newBlockingServer(hold chan struct{}) *Server {
 	return New(&http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		<-hold
 		w.WriteHeader(http.StatusTeapot)
@@ -41,13 +41,13 @@
 	return conn
 }
 
-func ask(t *testing.T, conn net.Conn) {
+func sendRequest(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
 }
 
-func requireAnswer(t *testing.T, conn net.Conn) *http.Response {
+func requireResponse(t *testing.T, conn net.Conn) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
@@ -56,8 +56,8 @@
 	return resp
 }
 
-// stop begins a stop and returns once the listener is closed.
-func stop(t *testing.T, s *Server, address string, limit time.Duration) chan error {
+// beginStop begins a stop and returns once the listener is closed.
+func beginStop(t *testing.T, s *Server, address string, limit time.Duration) chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -73,51 +73,51 @@
 	return done
 }
 
-func open(hold chan struct{}) chan struct{} {
+func closeChan(hold chan struct{}) chan struct{} {
 	close(hold)
 	return hold
 }
 
 func TestRequestUnderWayIsAnswered(t *testing.T) {
 	hold := make(chan struct{})
-	s := held(hold)
+	s := newBlockingServer(hold)
 	address, ended := serve(t, s)
 	conn := dial(t, address)
-	ask(t, conn)
-	require.Eventually(t, s.awaits, time.Second, time.Millisecond)
-	done := stop(t, s, address, 5*time.Second)
+	sendRequest(t, conn)
+	require.Eventually(t, s.hasPending, time.Second, time.Millisecond)
+	done := beginStop(t, s, address, 5*time.Second)
 	select {
 	case err := <-done:
 		require.Fail(t, "the stop does not wait", "%v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(hold)
-	require.True(t, requireAnswer(t, conn).Close)
+	require.True(t, requireResponse(t, conn).Close)
 	require.NoError(t, <-done)
 	require.ErrorIs(t, <-ended, http.ErrServerClosed)
 }
 
 // A connection that was made before the stop sends its first request during it.
 func TestFirstRequestDuringTheStopIsAnswered(t *testing.T) {
-	s := held(open(make(chan struct{})))
+	s := newBlockingServer(closeChan(make(chan struct{})))
 	address, _ := serve(t, s)
 	conn := dial(t, address)
-	require.Eventually(t, s.awaits, time.Second, time.Millisecond)
-	done := stop(t, s, address, 5*time.Second)
-	ask(t, conn)
-	require.True(t, requireAnswer(t, conn).Close)
+	require.Eventually(t, s.hasPending, time.Second, time.Millisecond)
+	done := beginStop(t, s, address, 5*time.Second)
+	sendRequest(t, conn)
+	require.True(t, requireResponse(t, conn).Close)
 	require.NoError(t, <-done)
 }
 
 // Many connections are made and used as the stop begins: each that was taken is
 // answered, and one that was not read was refused or reset.
-func TestNoRequestIsReadAndLeftAtTheStop(t *testing.T) {
+func TestStopAnswersEachRequestRead(t *testing.T) {
 	for range 20 {
-		s := held(open(make(chan struct{})))
+		s := newBlockingServer(closeChan(make(chan struct{})))
 		var read, answered int
 		var mu sync.Mutex
 		s.http.ConnState = func(c net.Conn, state http.ConnState) {
-			s.observe(c, state)
+			s.trackConn(c, state)
 			if state == http.StateActive {
 				mu.Lock()
 				read++
@@ -155,11 +155,11 @@
 }
 
 // A client that sends nothing holds the stop up for no longer than the time for headers.
-func TestSilentConnectionHoldsTheStopUpForABoundedTime(t *testing.T) {
-	s := held(open(make(chan struct{})))
+func TestIdleConnectionDelaysStopForBoundedTime(t *testing.T) {
+	s := newBlockingServer(closeChan(make(chan struct{})))
 	address, _ := serve(t, s)
 	dial(t, address)
-	require.Eventually(t, s.awaits, time.Second, time.Millisecond)
+	require.Eventually(t, s.hasPending, time.Second, time.Millisecond)
 	began := time.Now()
 	require.NoError(t, s.Stop(t.Context()))
 	require.Less(t, time.Since(began), 3*time.Second)
@@ -168,15 +168,15 @@
 func TestStopEndsWithItsContext(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	s := held(hold)
+	s := newBlockingServer(hold)
 	address, _ := serve(t, s)
-	ask(t, dial(t, address))
-	require.Eventually(t, s.awaits, time.Second, time.Millisecond)
-	require.ErrorIs(t, <-stop(t, s, address, 50*time.Millisecond), context.DeadlineExceeded)
+	sendRequest(t, dial(t, address))
+	require.Eventually(t, s.hasPending, time.Second, time.Millisecond)
+	require.ErrorIs(t, <-beginStop(t, s, address, 50*time.Millisecond), context.DeadlineExceeded)
 }
 
 func TestListenerAfterTheStopIsRefused(t *testing.T) {
-	s := held(nil)
+	s := newBlockingServer(nil)
 	_, ended := serve(t, s)
 	require.NoError(t, s.Stop(t.Context()))
 	require.ErrorIs(t, <-ended, http.ErrServerClosed)
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -130,7 +130,7 @@
 // context ends.
 func NewElection(store durable.Store, self Record, processor float64, log *eventlog.Log, lead func(context.Context, *Tenure)) *Election {
 	e := &Election{store: store, self: self, processor: processor, log: log, lead: lead, wake: make(chan struct{}, 1)}
-	e.follower = &follow.Follower{Store: store, Prefix: leaderKey, Wait: leaderWatchTimeout, ReadEvery: leaderReadInterval, Handle: e.observe}
+	e.follower = &follow.Follower{Store: store, Prefix: leaderKey, Wait: leaderWatchTimeout, PollInterval: leaderReadInterval, Handle: e.observe}
 	return e
 }
 
@@ -212,7 +212,7 @@
 	}
 	e.reportLeader(peer)
 	e.mu.Unlock()
-	e.follower.Known(fence)
+	e.follower.MarkKnown(fence)
 	e.notify()
 }
 
@@ -379,7 +379,7 @@
 	e.leader, e.fence = e.self, t.Fence
 	e.mu.Unlock()
 	// A read that began before the key was written would report it as absent.
-	e.follower.Known(t.Fence)
+	e.follower.MarkKnown(t.Fence)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -217,7 +217,7 @@
 
 // run starts the loops of the tenure and plans until it ends.
 func (t *term) run(ctx context.Context, revision int64) {
-	jobs := &follow.Follower{Store: t.Store, Prefix: jobsPrefix, Wait: jobsWatchTimeout, Handle: t.observeJobs, After: revision}
+	jobs := &follow.Follower{Store: t.Store, Prefix: jobsPrefix, Wait: jobsWatchTimeout, Handle: t.observeJobs, StartRevision: revision}
 	for _, loop := range []func(context.Context){
 		func(ctx context.Context) { _ = jobs.Serve(ctx) }, t.listLoop, t.flushLoop, t.unknownJobsLoop, t.predecessorsLoop, t.newJobsRevisionLoop, t.livenessLoop, t.forgetLoop, t.modelLoop, t.wavesLoop, t.tokenLoop,
 	} {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -42,7 +42,7 @@
 	j := &job{
 		spec: sub.Job, queue: sub.Queue, pool: sub.Pool, submittedAt: now - sub.Age, state: batch.Queued,
 		predatesLeader: sub.PredatesLeader || s.mayPredateTenure(sub.CreatedRevision), occs: map[int]*occurrence{}, doneOccs: map[int]bool{}, recordRevision: sub.RecordRevision,
-		criticalPath: sub.Job.Chain(), work: sub.Job.Work(), maxAttempts: 1,
+		criticalPath: sub.Job.CriticalPath(), work: sub.Job.Work(), maxAttempts: 1,
 	}
 	j.objective = j.criticalPath
 	if sub.AcceptedQueue != nil {
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -304,7 +304,7 @@
 
 // endedWithin reports whether a filler job ended within a multiple of its objective.
 func (j *simulatedJob) endedWithin(factor float64) bool {
-	objective := time.Duration(float64(2*j.job.Chain()+time.Second) * factor)
+	objective := time.Duration(float64(2*j.job.CriticalPath()+time.Second) * factor)
 	return j.ended > 0 && j.ended-j.at <= objective
 }
 
