--- a/internal/scheduler/explore_determinism_test.go
+++ b/internal/scheduler/explore_determinism_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// firstDifference returns the first line in which two traces differ.
+// firstDifference returns the index of the first line in which two traces differ, or -1, and both lines.
 func firstDifference(a, b []string) (int, string, string) {
 	for i := range max(len(a), len(b)) {
-		var x, y string
+		var lineA, lineB string
 		if i < len(a) {
-			x = a[i]
+			lineA = a[i]
 		}
 		if i < len(b) {
-			y = b[i]
+			lineB = b[i]
 		}
-		if x != y {
-			return i, x, y
+		if lineA != lineB {
+			return i, lineA, lineB
 		}
 	}
 	return -1, "", ""
 }
 
-// Guards against decisions that follow the order of a map: a seed that broke would pass
-// when it is played again, and the other way round.
+// Guards against decisions that depend on map iteration order: a failed seed would then pass when
+// it is repeated, and the other way round.
 func TestExploreSeedIsOneRun(t *testing.T) {
 	const seeds = 10
 	for _, c := range exploreProfiles() {
@@ -37,8 +37,8 @@
 					explore(seed, c.faults, mutations{}, func(line string) { traces[i] = append(traces[i], line) })
 				}
 				require.NotEmpty(t, traces[0])
-				line, first, second := firstDifference(traces[0], traces[1])
-				assert.Equal(t, -1, line, "seed %d, line %d:\n%s\n%s", seed, line, first, second)
+				index, first, second := firstDifference(traces[0], traces[1])
+				assert.Equal(t, -1, index, "seed %d, line %d:\n%s\n%s", seed, index, first, second)
 			}
 		})
 	}
--- a/internal/scheduler/explore_mix_test.go
+++ b/internal/scheduler/explore_mix_test.go
@@ -13,17 +13,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Flags that play any mix of faults from any seed, for a hunt or to read a trace:
+// Flags of TestExploreMix, which runs any combination of faults from any seed, to search for
+// violations or to read a trace:
 //
 //	go test ./internal/scheduler -run TestExploreMix -explore.mix crashes,list -explore.first 216 -explore.seeds 1 -v
 var (
-	exploreMix       = flag.String("explore.mix", "", "faults of TestExploreMix, separated by commas; 'everything' for all but carried, lapses, latewrites, slowcrashes, successions and wakes, 'none' for none beside leaders and messages")
+	exploreMix       = flag.String("explore.mix", "", "faults of TestExploreMix, separated by commas; 'everything' for all but carried, lapses, latewrites, slowcrashes, successions and wakes, 'none' for only those of leaders and messages")
 	exploreFirst     = flag.Uint64("explore.first", 0, "first seed of TestExploreMix")
 	exploreSeedCount = flag.Uint64("explore.seeds", 1000, "seeds of TestExploreMix")
-	exploreTask      = flag.String("explore.task", "", "job or task whose lines TestExploreMix shows, where it plays one seed; empty for what broke, all for all")
+	exploreTask      = flag.String("explore.task", "", "job or task whose trace TestExploreMix prints with a single seed; empty for the task of the violation, all for all")
 )
 
-// faultNames are the faults by the names that the flags take.
+// byName returns the faults by their names in -explore.mix.
 func (f *faults) byName() map[string]*bool {
 	return map[string]*bool{
 		"alone": &f.splitLeaders, "list": &f.unlistedVMs, "late": &f.lateWatches, "timed": &f.scheduledJobs, "attempts": &f.attemptLimits,
@@ -32,27 +33,27 @@
 	}
 }
 
-// excludedFromEverything are the faults that "everything" leaves out: those that break rules as yet, and
-// those that would change what the seeds of it show.
+// excludedFromEverything lists the faults that "everything" leaves out: some still cause violations,
+// and others would change the course of its known seeds.
 var excludedFromEverything = []string{"carried", "lapses", "latewrites", "slowcrashes", "successions", "wakes"}
 
-// parseMix reads faults by their names.
+// parseMix parses the value of -explore.mix.
 func parseMix(mix string) (faults, error) {
 	var f faults
-	named := f.byName()
+	byName := f.byName()
 	switch mix {
 	case "none":
 		return f, nil
 	case "everything":
-		for name, on := range named {
+		for name, on := range byName {
 			*on = !slices.Contains(excludedFromEverything, name)
 		}
 		return f, nil
 	}
 	for name := range strings.SplitSeq(mix, ",") {
-		on, known := named[strings.TrimSpace(name)]
-		if !known {
-			return f, fmt.Errorf("no fault %q; there are: everything, none, %s", name, strings.Join(faultNames(), ", "))
+		on, exists := byName[strings.TrimSpace(name)]
+		if !exists {
+			return f, fmt.Errorf("no fault %q; the faults are: everything, none, %s", name, strings.Join(faultNames(), ", "))
 		}
 		*on = true
 	}
@@ -69,41 +70,41 @@
 	return names
 }
 
-// findBrokenSeeds plays seeds, some at once, and returns all that broke, by seed.
+// findBrokenSeeds simulates seeds in parallel and returns those with violations, ordered by seed.
 func findBrokenSeeds(first, seeds uint64, f faults) []seedResult {
 	var next atomic.Uint64
 	var mu sync.Mutex
-	var work sync.WaitGroup
-	var broken []seedResult
+	var wg sync.WaitGroup
+	var failed []seedResult
 	for range runtime.GOMAXPROCS(0) {
-		work.Go(func() {
+		wg.Go(func() {
 			for i := next.Add(1) - 1; i < seeds; i = next.Add(1) - 1 {
 				w := explore(first+i, f, mutations{}, nil)
 				if w.violation != "" {
 					mu.Lock()
-					broken = append(broken, seedResult{seed: first + i, violation: w.violation})
+					failed = append(failed, seedResult{seed: first + i, violation: w.violation})
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	work.Wait()
-	slices.SortFunc(broken, func(a, b seedResult) int { return int(a.seed) - int(b.seed) })
-	return broken
+	wg.Wait()
+	slices.SortFunc(failed, func(a, b seedResult) int { return int(a.seed) - int(b.seed) })
+	return failed
 }
 
-// Plays the mix that the flags name and tells each seed that breaks a rule.
+// Runs the faults that the flags select and reports each seed with a violation.
 func TestExploreMix(t *testing.T) {
 	if *exploreMix == "" {
-		t.Skip("played by hand: -explore.mix")
+		t.Skip("run manually with -explore.mix")
 	}
 	f, err := parseMix(*exploreMix)
 	require.NoError(t, err)
-	broken := findBrokenSeeds(*exploreFirst, *exploreSeedCount, f)
-	for _, o := range broken {
-		t.Errorf("seed %d: %s", o.seed, o.violation)
+	failed := findBrokenSeeds(*exploreFirst, *exploreSeedCount, f)
+	for _, result := range failed {
+		t.Errorf("seed %d: %s", result.seed, result.violation)
 	}
-	t.Logf("%s: %d of %d seeds from %d broken", *exploreMix, len(broken), *exploreSeedCount, *exploreFirst)
+	t.Logf("%s: %d of %d seeds have violations, first seed %d", *exploreMix, len(failed), *exploreSeedCount, *exploreFirst)
 	if *exploreSeedCount == 1 {
 		t.Log(filteredTrace(*exploreFirst, f, mutations{}, *exploreTask))
 	}
--- a/internal/scheduler/explore_test.go
+++ b/internal/scheduler/explore_test.go
@@ -13,97 +13,98 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The explorer runs the scheduler of production against VMs of a model, with
-// leaders that die, are frozen, cut off or deposed without knowing, messages that
-// are lost, late or carried out after newer ones, and clocks that are 2 % slow.
-// What the VMs see is judged. faults says what may go wrong beside.
+// faults selects what the explorer injects beside its basic faults.
+//
+// The explorer runs the production scheduler against simulated VMs and a simulated store.
+// Leaders crash, freeze, lose connections or are deposed without noticing; messages are
+// lost, delayed or processed after newer ones; clocks run 2 % slow. The checks use what
+// the VMs observe.
 type faults struct {
-	// splitLeaders: leaders without the store are left with some of the VMs, which nobody else
-	// reaches.
+	// splitLeaders isolates leaders from the store, together with some VMs that no other
+	// process reaches.
 	splitLeaders bool
-	// unlistedVMs: zones and VMs are cut off, from the store, its leader or both, so that
-	// VMs that live go off the list and come back; others drain, crash, and begin a
-	// new life.
+	// unlistedVMs cuts zones and VMs off from the store, the leader or both, so that living
+	// VMs leave the list and return; other VMs drain or crash and are replaced.
 	unlistedVMs bool
-	// lateWatches: leaders learn jobs and cancels seconds late.
+	// lateWatches delays the watch events of jobs and cancellations by seconds.
 	lateWatches bool
-	// scheduledJobs: jobs have occurrences, which leaders open late and by clocks that differ.
+	// scheduledJobs adds jobs with occurrences, which leaders open late and by differing clocks.
 	scheduledJobs bool
-	// attemptLimits: queues bound how often a task may fail.
+	// attemptLimits adds queues that limit how often a task may fail.
 	attemptLimits bool
-	// revokedKeys: the key is taken from leaders that have just renewed it, and that are cut
-	// off from the store and left with some of the VMs.
+	// revokedKeys revokes the key of leaders that have just renewed it and are then cut off
+	// from the store, connected to some VMs only.
 	revokedKeys bool
-	// crashingTasks: some tasks end each VM that begins them.
+	// crashingTasks adds tasks that crash each VM that starts them.
 	crashingTasks bool
-	// resizes: VMs do not guard their capacity, which shrinks and grows.
+	// resizes lets VMs accept starts beyond their capacity, which shrinks and grows.
 	resizes bool
-	// predecessorQueries: new leaders ask their predecessors how long leases may last.
+	// predecessorQueries lets new leaders ask their predecessors how long leases may last.
 	predecessorQueries bool
-	// restarts: VMs start again under the IDs that they had, many at once.
+	// restarts lets VMs restart under their old IDs, many at once.
 	restarts bool
-	// staleOrders: an order that a VM has taken and carries out late is carried out by its next
-	// start, where it has started again meanwhile.
+	// staleOrders lets a VM's next incarnation carry out a delayed order that the previous
+	// incarnation accepted.
 	staleOrders bool
-	// entryExpiry: the entries of VMs that have ended go, as they do with list and restarts.
+	// entryExpiry expires the store entries of ended VMs, as unlistedVMs and restarts do.
 	entryExpiry bool
-	// wakeRestarts: VMs start again within a second before a frozen leader wakes.
+	// wakeRestarts restarts VMs within a second before a frozen leader resumes.
 	wakeRestarts bool
-	// quickSuccessions: leaders follow each other within seconds while one is left alone, which no
-	// other process reaches; leases are shorter than it may act.
+	// quickSuccessions lets leaders follow each other within seconds while one is isolated
+	// from all other processes; leases are shorter than it may act without the store.
 	quickSuccessions bool
-	// lateWrites: writes to the log of starts are carried out seconds late, without an answer.
+	// lateWrites applies some writes to the start log seconds late, without a response.
 	lateWrites bool
-	// slowCrashes: tasks end their VMs as late as a second and a half after they began.
+	// slowCrashes lets tasks crash their VMs 1.5 s after their start.
 	slowCrashes bool
 }
 
-// mutations leave a safeguard out; each has to be found.
+// mutations disable safeguards of the scheduler or of the VMs. The explorer has to detect each.
 type mutations struct {
-	// noExpect: a new leader starts old tasks without hearing the VMs.
+	// noExpect: a new leader starts old tasks before the VMs have reported.
 	noExpect bool
 	// ackBeforeWrite: ends are acknowledged before their record is written.
 	ackBeforeWrite bool
-	// shortWait: a new leader waits a second for VMs that it does not reach.
+	// shortWait: a new leader waits only a second for unreachable VMs.
 	shortWait bool
-	// dropUnansweredStarts: a start without an answer is taken not to have happened.
+	// dropUnansweredStarts: a start without a response counts as not carried out.
 	dropUnansweredStarts bool
-	// noFencing: VMs do not look at fencing tokens.
+	// noFencing: VMs ignore fencing tokens.
 	noFencing bool
-	// ignoreRecordedVMs: a new leader knows of no VMs but those on the list.
+	// ignoreRecordedVMs: a new leader only considers the VMs on the list.
 	ignoreRecordedVMs bool
-	// actWithoutStore: a leader without the store goes on giving orders.
+	// actWithoutStore: a leader without the store keeps giving orders.
 	actWithoutStore bool
-	// acceptUnconfirmed: a leader takes new jobs up that may no longer lead.
+	// acceptUnconfirmed: a leader that may have been deposed accepts new jobs.
 	acceptUnconfirmed bool
-	// expireUnconfirmed: a leader that may no longer lead takes leases to be over by time.
+	// expireUnconfirmed: a leader that may have been deposed expires leases by time.
 	expireUnconfirmed bool
-	// keepPredecessorActive: a predecessor that is asked goes on.
+	// keepPredecessorActive: a predecessor keeps leading after it was queried.
 	keepPredecessorActive bool
-	// skipCrashCounts: nobody counts the VMs that ended under a task.
+	// skipCrashCounts: VM ends are not counted against tasks.
 	skipCrashCounts bool
-	// skipStartLog: a successor is not told of starts whose VMs' ends nobody has noted.
+	// skipStartLog: starts are not logged, so a successor can't attribute VM ends to them.
 	skipStartLog bool
-	// ignoreResizes: a VM's capacity is taken for what it was at first.
+	// ignoreResizes: the initial capacity of a VM is used throughout.
 	ignoreResizes bool
-	// ackUnanswered: ends are acknowledged after holds that had no answer.
+	// ackUnanswered: ends are acknowledged after holds without a response.
 	ackUnanswered bool
-	// ignoreIncarnations: a VM's next start is taken for the one before.
+	// ignoreIncarnations: a VM's new incarnation is treated as the previous one.
 	ignoreIncarnations bool
 }
 
-// exploreScale runs more seeds of everything, for a hunt: -explore.scale 10.
-var exploreScale = flag.Uint64("explore.scale", 1, "times as many seeds of the explorer")
+// exploreScale multiplies the number of seeds, for a longer search: -explore.scale 10.
+var exploreScale = flag.Uint64("explore.scale", 1, "factor for the number of seeds that the explorer runs")
 
 const (
 	exploreSteps = 700
-	// maxTraceLines bounds what is shown of a seed that broke.
+	// maxTraceLines limits the trace that is printed for a failed seed.
 	maxTraceLines = 80
 )
 
-// explore runs one seed and returns what broke.
-func explore(seed uint64, f faults, b mutations, traced func(string)) *world {
-	w := newWorld(seed, f, b, traced)
+// explore simulates one seed, up to the first violation.
+func explore(seed uint64, f faults, m mutations, trace func(string)) *world {
+	w := newWorld(seed, f, m, trace)
 	for range exploreSteps {
 		w.step()
 		if w.violation != "" {
@@ -114,7 +115,7 @@
 	return w
 }
 
-// seedResult is what is kept of a seed.
+// seedResult summarizes the simulation of a seed.
 type seedResult struct {
 	seed                                uint64
 	violation                           string
@@ -122,104 +123,105 @@
 	saturated                           bool
 }
 
-// exploreSeeds runs seeds from first on, some at once, up to the first that breaks, which comes last.
-func exploreSeeds(first, seeds uint64, f faults, b mutations) []seedResult {
-	outcomes := make([]seedResult, seeds)
-	var next, broken atomic.Uint64
-	broken.Store(seeds)
-	var work sync.WaitGroup
+// exploreSeeds simulates seeds in parallel, starting with first. It returns the results up to
+// and including the first violation.
+func exploreSeeds(first, seeds uint64, f faults, m mutations) []seedResult {
+	results := make([]seedResult, seeds)
+	var next, firstFailed atomic.Uint64
+	firstFailed.Store(seeds)
+	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		work.Go(func() {
-			for seed := next.Add(1) - 1; seed < broken.Load(); seed = next.Add(1) - 1 {
-				w := explore(first+seed, f, b, nil)
-				outcomes[seed] = seedResult{first + seed, w.violation, w.starts, w.leaderChanges, w.withheldAcks, w.saturated}
-				for least := broken.Load(); w.violation != "" && seed < least && !broken.CompareAndSwap(least, seed); {
-					least = broken.Load()
+		wg.Go(func() {
+			for seed := next.Add(1) - 1; seed < firstFailed.Load(); seed = next.Add(1) - 1 {
+				w := explore(first+seed, f, m, nil)
+				results[seed] = seedResult{first + seed, w.violation, w.starts, w.leaderChanges, w.withheldAcks, w.saturated}
+				for lowest := firstFailed.Load(); w.violation != "" && seed < lowest && !firstFailed.CompareAndSwap(lowest, seed); {
+					lowest = firstFailed.Load()
 				}
 			}
 		})
 	}
-	work.Wait()
-	return outcomes[:min(broken.Load()+1, seeds)]
+	wg.Wait()
+	return results[:min(firstFailed.Load()+1, seeds)]
 }
 
-// taskPattern finds the task in a line of a trace.
+// taskPattern matches a task ID in a trace line.
 var taskPattern = regexp.MustCompile(`\bj\d+\.\d+\.\d+\.\d+\b`)
 
-// failureTrace returns the last lines of what a seed that broke shows of it.
-func failureTrace(seed uint64, f faults, b mutations) string {
-	lines := strings.Split(filteredTrace(seed, f, b, ""), "\n")
+// failureTrace returns the last trace lines that concern the violation of a seed.
+func failureTrace(seed uint64, f faults, m mutations) string {
+	lines := strings.Split(filteredTrace(seed, f, m, ""), "\n")
 	return strings.Join(lines[max(0, len(lines)-maxTraceLines):], "\n")
 }
 
-// allTasks has filteredTrace show everything.
+// allTasks makes filteredTrace return every line.
 const allTasks = "all"
 
-// filteredTrace returns what a seed shows of a task, of a job, or of what broke where about is "",
-// with all that tells of no task.
-func filteredTrace(seed uint64, f faults, b mutations, about string) string {
+// filteredTrace returns the trace lines of a seed that concern the task or job named by filter,
+// and the lines without a task. An empty filter selects the task of the violation.
+func filteredTrace(seed uint64, f faults, m mutations, filter string) string {
 	var lines []string
-	w := explore(seed, f, b, func(line string) { lines = append(lines, line) })
-	if about == "" && w.violationTask.Job != "" {
-		about = w.violationTask.String()
+	w := explore(seed, f, m, func(line string) { lines = append(lines, line) })
+	if filter == "" && w.violationTask.Job != "" {
+		filter = w.violationTask.String()
 	}
-	var shown []string
+	var selected []string
 	for _, line := range lines {
-		ofTask := taskPattern.FindString(line)
-		of := about == "" || ofTask == about || strings.HasPrefix(ofTask, about+".")
-		if of || about == allTasks || (ofTask == "" && !strings.Contains(line, "job_")) {
-			shown = append(shown, line)
+		task := taskPattern.FindString(line)
+		matches := filter == "" || task == filter || strings.HasPrefix(task, filter+".")
+		if matches || filter == allTasks || (task == "" && !strings.Contains(line, "job_")) {
+			selected = append(selected, line)
 		}
 	}
-	return strings.Join(shown, "\n")
+	return strings.Join(selected, "\n")
 }
 
-// exploreProfile is some seeds of some faults.
+// exploreProfile is a combination of faults and the number of seeds to run with it.
 type exploreProfile struct {
 	name   string
 	faults faults
 	seeds  uint64
 }
 
-// ownershipProfiles are the faults of VMs that have a new ID each time they start.
+// ownershipProfiles are the profiles in which VMs get a new ID with each start.
 var ownershipProfiles = []exploreProfile{
 	{"leaders and messages", faults{}, 120},
-	{"leaders alone with some VMs", faults{splitLeaders: true}, 120},
-	{"VMs off the list", faults{unlistedVMs: true}, 160},
-	{"jobs learned late", faults{lateWatches: true}, 120},
-	{"timed jobs", faults{scheduledJobs: true}, 120},
+	{"leaders isolated with some VMs", faults{splitLeaders: true}, 120},
+	{"unlisted VMs", faults{unlistedVMs: true}, 160},
+	{"late watches", faults{lateWatches: true}, 120},
+	{"scheduled jobs", faults{scheduledJobs: true}, 120},
 	{"attempts", faults{attemptLimits: true}, 120},
-	{"tasks that end their VMs", faults{crashingTasks: true}, 120},
-	{"tasks that end their VMs, log written late", faults{crashingTasks: true, lateWrites: true, attemptLimits: true}, 120},
-	{"tasks that end their VMs, VMs off the list", faults{crashingTasks: true, unlistedVMs: true, splitLeaders: true, predecessorQueries: true}, 120},
-	{"capacities that shrink", faults{resizes: true}, 120},
-	{"capacities that shrink, VMs off the list", faults{resizes: true, unlistedVMs: true, splitLeaders: true, predecessorQueries: true, crashingTasks: true}, 120},
-	{"keys taken away", faults{splitLeaders: true, revokedKeys: true}, 120},
-	{"predecessors asked", faults{splitLeaders: true, predecessorQueries: true}, 160},
-	{"predecessors asked, leaders that follow each other", faults{splitLeaders: true, predecessorQueries: true, quickSuccessions: true}, 160},
-	{"predecessors asked, VMs off the list", faults{splitLeaders: true, unlistedVMs: true, revokedKeys: true, predecessorQueries: true}, 160},
-	{"all, predecessors asked", faults{splitLeaders: true, unlistedVMs: true, lateWatches: true, scheduledJobs: true, attemptLimits: true, revokedKeys: true, predecessorQueries: true}, 160},
+	{"crashing tasks", faults{crashingTasks: true}, 120},
+	{"crashing tasks, late log writes", faults{crashingTasks: true, lateWrites: true, attemptLimits: true}, 120},
+	{"crashing tasks, unlisted VMs", faults{crashingTasks: true, unlistedVMs: true, splitLeaders: true, predecessorQueries: true}, 120},
+	{"shrinking capacities", faults{resizes: true}, 120},
+	{"shrinking capacities, unlisted VMs", faults{resizes: true, unlistedVMs: true, splitLeaders: true, predecessorQueries: true, crashingTasks: true}, 120},
+	{"revoked keys", faults{splitLeaders: true, revokedKeys: true}, 120},
+	{"predecessor queries", faults{splitLeaders: true, predecessorQueries: true}, 160},
+	{"predecessor queries, quick successions", faults{splitLeaders: true, predecessorQueries: true, quickSuccessions: true}, 160},
+	{"predecessor queries, unlisted VMs", faults{splitLeaders: true, unlistedVMs: true, revokedKeys: true, predecessorQueries: true}, 160},
+	{"all, predecessor queries", faults{splitLeaders: true, unlistedVMs: true, lateWatches: true, scheduledJobs: true, attemptLimits: true, revokedKeys: true, predecessorQueries: true}, 160},
 	{"all", faults{splitLeaders: true, unlistedVMs: true, lateWatches: true, scheduledJobs: true, attemptLimits: true, revokedKeys: true}, 120},
 }
 
-// restartProfiles are those of VMs that start again under the IDs that they had.
+// restartProfiles are the profiles in which VMs restart under their old IDs.
 var restartProfiles = []exploreProfile{
 	{"restarts", faults{restarts: true}, 160},
-	{"restarts, attempts, timed jobs", faults{restarts: true, attemptLimits: true, scheduledJobs: true}, 160},
-	{"restarts, VMs off the list", faults{restarts: true, unlistedVMs: true}, 160},
-	{"restarts, leaders alone with some VMs", faults{restarts: true, splitLeaders: true, revokedKeys: true}, 160},
-	{"restarts, tasks that end their VMs", faults{restarts: true, crashingTasks: true}, 160},
-	{"restarts, capacities that shrink", faults{restarts: true, resizes: true, unlistedVMs: true}, 120},
-	{"restarts, predecessors asked", faults{restarts: true, splitLeaders: true, unlistedVMs: true, revokedKeys: true, predecessorQueries: true}, 160},
-	{"restarts, VMs that start as a frozen leader wakes", faults{restarts: true, wakeRestarts: true}, 160},
+	{"restarts, attempts, scheduled jobs", faults{restarts: true, attemptLimits: true, scheduledJobs: true}, 160},
+	{"restarts, unlisted VMs", faults{restarts: true, unlistedVMs: true}, 160},
+	{"restarts, leaders isolated with some VMs", faults{restarts: true, splitLeaders: true, revokedKeys: true}, 160},
+	{"restarts, crashing tasks", faults{restarts: true, crashingTasks: true}, 160},
+	{"restarts, shrinking capacities", faults{restarts: true, resizes: true, unlistedVMs: true}, 120},
+	{"restarts, predecessor queries", faults{restarts: true, splitLeaders: true, unlistedVMs: true, revokedKeys: true, predecessorQueries: true}, 160},
+	{"restarts as a frozen leader resumes", faults{restarts: true, wakeRestarts: true}, 160},
 	{"all with restarts", faults{splitLeaders: true, unlistedVMs: true, lateWatches: true, scheduledJobs: true, attemptLimits: true, revokedKeys: true, predecessorQueries: true, restarts: true}, 160},
 }
 
 func exploreProfiles() []exploreProfile { return slices.Concat(ownershipProfiles, restartProfiles) }
 
-// No task runs in two places, and none starts after its end was acknowledged or
-// is acknowledged later, whatever happens to leaders, messages, clocks and VMs; and
-// once nothing happens any more, all that can end has ended.
+// Guards against tasks that run on two VMs, start after their end was acknowledged, or end with an
+// acknowledgement after a later start, whatever faults occur in leaders, messages, clocks and VMs.
+// Guards also against jobs that have not ended after the faults are over, although they could.
 func TestExploreOwnership(t *testing.T) {
 	for _, c := range ownershipProfiles {
 		t.Run(c.name, c.run)
@@ -231,59 +233,59 @@
 	if testing.Short() {
 		seeds /= 10
 	}
-	starts, changes, cautious, full := 0, 0, 0, 0
-	for _, o := range exploreSeeds(0, seeds, c.faults, mutations{}) {
-		if o.violation != "" {
-			t.Fatalf("seed %d: %s\n%s", o.seed, o.violation, failureTrace(o.seed, c.faults, mutations{}))
+	starts, leaderChanges, withheldSeeds, saturatedSeeds := 0, 0, 0, 0
+	for _, result := range exploreSeeds(0, seeds, c.faults, mutations{}) {
+		if result.violation != "" {
+			t.Fatalf("seed %d: %s\n%s", result.seed, result.violation, failureTrace(result.seed, c.faults, mutations{}))
 		}
-		starts += o.starts
-		changes += o.leaderChanges
-		cautious += min(o.withheldAcks, 1)
-		if o.saturated {
-			full++
+		starts += result.starts
+		leaderChanges += result.leaderChanges
+		withheldSeeds += min(result.withheldAcks, 1)
+		if result.saturated {
+			saturatedSeeds++
 		}
 	}
-	t.Logf("%d seeds: %d starts, %d leaders, nothing broken; %d with ends withheld though their lease had lapsed, %d with all VMs withheld", seeds, starts, changes, cautious, full)
+	t.Logf("%d seeds: %d starts, %d leaders, no violations; %d with ends withheld although their lease had expired, %d with ends withheld on all VMs", seeds, starts, leaderChanges, withheldSeeds, saturatedSeeds)
 	require.Greater(t, starts, int(seeds)*20)
 }
 
-// The same where VMs start again under the IDs that they had: of all that is kept per VM it
-// has to be clear which start was meant.
+// Guards against the same violations when VMs restart under their old IDs: state that is kept per
+// VM may then be applied to the wrong incarnation.
 func TestExploreRestarts(t *testing.T) {
 	for _, c := range restartProfiles {
 		t.Run(c.name, c.run)
 	}
 }
 
-// Each safeguard is needed: without it the explorer finds a double run.
+// Guards against an explorer that misses violations, and against safeguards without effect: it has to
+// find a violation with each safeguard disabled.
 func TestExploreDetectsMutations(t *testing.T) {
 	for name, c := range map[string]struct {
-		breaks mutations
-		faults faults
-		// first is the first of the seeds.
-		first uint64
+		mutations mutations
+		faults    faults
+		firstSeed uint64
 	}{
-		"starts without hearing the VMs":     {breaks: mutations{noExpect: true}},
-		"acknowledges before it writes":      {breaks: mutations{ackBeforeWrite: true}},
-		"waits a second for silent VMs":      {breaks: mutations{shortWait: true}},
-		"forgets unanswered starts":          {breaks: mutations{dropUnansweredStarts: true}},
-		"VMs without fencing":                {breaks: mutations{noFencing: true}},
-		"acts without the store for ever":    {breaks: mutations{actWithoutStore: true}, faults: faults{splitLeaders: true}},
-		"takes jobs up without the lead":     {breaks: mutations{acceptUnconfirmed: true}, faults: faults{splitLeaders: true}},
-		"gives up VMs without the lead":      {breaks: mutations{expireUnconfirmed: true}, faults: faults{splitLeaders: true}},
-		"a predecessor goes on":              {breaks: mutations{keepPredecessorActive: true}, faults: faults{splitLeaders: true, predecessorQueries: true}},
-		"does not count crashes":             {breaks: mutations{skipCrashCounts: true}, faults: faults{crashingTasks: true}},
-		"does not log its starts":            {breaks: mutations{skipStartLog: true}, faults: faults{crashingTasks: true, attemptLimits: true}},
-		"overlooks that capacities shrink":   {breaks: mutations{ignoreResizes: true}, faults: faults{resizes: true}},
-		"acknowledges after silence":         {breaks: mutations{ackUnanswered: true}, faults: faults{restarts: true}, first: 9600},
-		"takes a new start for the old":      {breaks: mutations{ignoreIncarnations: true}, faults: faults{restarts: true}},
-		"knows no VMs that are off the list": {breaks: mutations{ignoreRecordedVMs: true}, faults: faults{unlistedVMs: true}},
+		"starts before VMs report":            {mutations: mutations{noExpect: true}},
+		"acknowledges before writing":         {mutations: mutations{ackBeforeWrite: true}},
+		"waits a second for unresponsive VMs": {mutations: mutations{shortWait: true}},
+		"drops unanswered starts":             {mutations: mutations{dropUnansweredStarts: true}},
+		"VMs without fencing":                 {mutations: mutations{noFencing: true}},
+		"acts without the store indefinitely": {mutations: mutations{actWithoutStore: true}, faults: faults{splitLeaders: true}},
+		"accepts jobs without the lead":       {mutations: mutations{acceptUnconfirmed: true}, faults: faults{splitLeaders: true}},
+		"expires leases without the lead":     {mutations: mutations{expireUnconfirmed: true}, faults: faults{splitLeaders: true}},
+		"predecessor keeps leading":           {mutations: mutations{keepPredecessorActive: true}, faults: faults{splitLeaders: true, predecessorQueries: true}},
+		"does not count crashes":              {mutations: mutations{skipCrashCounts: true}, faults: faults{crashingTasks: true}},
+		"does not log starts":                 {mutations: mutations{skipStartLog: true}, faults: faults{crashingTasks: true, attemptLimits: true}},
+		"ignores shrinking capacities":        {mutations: mutations{ignoreResizes: true}, faults: faults{resizes: true}},
+		"acknowledges unanswered holds":       {mutations: mutations{ackUnanswered: true}, faults: faults{restarts: true}, firstSeed: 9600},
+		"ignores new incarnations":            {mutations: mutations{ignoreIncarnations: true}, faults: faults{restarts: true}},
+		"ignores recorded VMs":                {mutations: mutations{ignoreRecordedVMs: true}, faults: faults{unlistedVMs: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const seeds = 400
-			outcomes := exploreSeeds(c.first, seeds, c.faults, c.breaks)
-			last := outcomes[len(outcomes)-1]
-			require.NotEmpty(t, last.violation, "not found")
+			results := exploreSeeds(c.firstSeed, seeds, c.faults, c.mutations)
+			last := results[len(results)-1]
+			require.NotEmpty(t, last.violation, "no violation found")
 			t.Logf("seed %d: %s", last.seed, last.violation)
 		})
 	}
