--- a/internal/scheduler/explore_forced_test.go
+++ b/internal/scheduler/explore_forced_test.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// forcedLeaders lead one after the other, each until so long after a VM began its first run
-	// of the task; each case is played with forcedSeeds, which draw how long messages travel.
+	// forcedLeaders is the number of consecutive leaders; the tenure of each ends at a given
+	// delay after a VM starts its first run of the task. forcedSeeds is the number of seeds per
+	// delay, which vary the message delays.
 	forcedLeaders = 3
 	forcedSeeds   = 20
-	// storeCutLeadTime is how long before that start a leader is cut off from the store.
+	// storeCutLeadTime is how long before that start a leader loses the store.
 	storeCutLeadTime = 100 * time.Millisecond
 	farFuture        = Time(1 << 62)
 )
 
-// tenureEndDelays are how long after the start a leader's end comes, in milliseconds: immediateEndDelays are those
-// that leave no time for a write.
+// tenureEndDelays and immediateEndDelays are delays from a start to the end of the leader's tenure,
+// in milliseconds. The immediate ones leave no time for a write.
 var (
 	tenureEndDelays    = []time.Duration{50, 100, 200, 300, 400}
 	immediateEndDelays = []time.Duration{0, 10}
 )
 
-// forcedScenario is how leaders end, and what happens beside.
+// forcedScenario describes how tenures end and which other events occur.
 type forcedScenario struct {
-	faults faults
-	// endTenure ends a leader's tenure.
+	faults    faults
 	endTenure func(w *world, l *modelLeader)
-	// onCrash happens as the VM ends.
+	// onCrash runs as the task crashes its VM; it may be nil.
 	onCrash func(w *world)
-	// storeless: each leader is cut off from the store before the start.
+	// storeless cuts each leader off from the store before the start.
 	storeless bool
 }
 
-// forcedRun is a play in which a task ends its VMs and leaders end at moments of the script.
+// forcedRun simulates a task that crashes its VMs while tenures end at scripted times.
 type forcedRun struct {
 	*world
 	task batch.TaskID
-	// breakpoints are moments that no step passes by.
+	// breakpoints are times at which a simulation step has to end.
 	breakpoints []Time
-	// startedAt is when each leader's first run of the task began, 0 where none did; read is
-	// whether the next leader found that run in the record, with its VM.
+	// startedAt is when each leader's first run of the task started, or 0. recordSeen is whether
+	// the next leader found that run in the job's record, with its VM.
 	startedAt  [forcedLeaders]Time
 	recordSeen [forcedLeaders]bool
-	// lateStarts counts the starts since the third VM's end.
+	// lateStarts counts the starts after the third crash.
 	lateStarts int
 	traceLines []string
 	lastRecord string
@@ -64,7 +64,7 @@
 	return p
 }
 
-// addTrace keeps the trace, and counts starts.
+// addTrace appends a trace line and counts late starts.
 func (p *forcedRun) addTrace(line string) {
 	p.traceLines = append(p.traceLines, line)
 	if strings.Contains(line, p.task.String()+" run ") && strings.Contains(line, " starts on ") && p.history(p.task).crashes >= crashLimit {
@@ -72,7 +72,7 @@
 	}
 }
 
-// advance is a step of the world that passes no moment of the script, and disturbs nothing.
+// advance simulates a step up to the next breakpoint at most, without random faults.
 func (p *forcedRun) advance() {
 	before := p.now
 	p.now += time.Duration(5+p.rng.IntN(100)) * time.Millisecond
@@ -95,11 +95,11 @@
 	}
 	if record := string(p.store.records[p.task.Job]); record != p.lastRecord {
 		p.lastRecord = record
-		p.tracef("%s is written: %s", p.task, record)
+		p.tracef("%s: record written: %s", p.task, record)
 	}
 }
 
-// isRunRecorded reports whether the store has a run of the task with its VM.
+// isRunRecorded reports whether the job's record has the run with its VM, or a final state.
 func (p *forcedRun) isRunRecorded(number int64) bool {
 	var record Progress
 	if value := p.store.records[p.task.Job]; value == nil || json.Unmarshal(value, &record) != nil {
@@ -117,70 +117,70 @@
 	return record.State.Final()
 }
 
-// runTenure lets the leader start the task, and ends its tenure so long after. From cut on, if it is
-// not 0, it does not reach the store.
-func (p *forcedRun) runTenure(k int, f *forcedScenario, d time.Duration, cut Time) {
+// runTenure waits until leader k starts the task, and ends its tenure at the given delay after the start.
+// If cut is not 0, the leader does not reach the store from then on.
+func (p *forcedRun) runTenure(k int, f *forcedScenario, delay time.Duration, cut Time) {
 	l, h := p.store.holder, p.history(p.task)
-	known := len(h.starts)
+	earlierStarts := len(h.starts)
 	p.breakpoints = []Time{cut}
 	for until := p.now + 20*time.Second; p.now < until && p.store.holder == l && !l.ended && !p.isFinal(p.store.jobs[0]); p.advance() {
 		if cut > 0 && p.now >= cut {
 			l.storelessUntil = farFuture
 		}
-		if len(h.starts) > known {
+		if len(h.starts) > earlierStarts {
 			p.startedAt[k] = p.now
 			break
 		}
 	}
 	if p.startedAt[k] == 0 {
-		// One that is cut off may not start the task at all, and loses its key.
+		// A leader without the store may not start the task at all and then loses its key.
 		return
 	}
-	number := h.starts[known].run
-	p.breakpoints = []Time{p.startedAt[k] + taskCrashDelay, p.startedAt[k] + d}
+	number := h.starts[earlierStarts].run
+	p.breakpoints = []Time{p.startedAt[k] + taskCrashDelay, p.startedAt[k] + delay}
 	if f.onCrash != nil {
 		p.world.after(taskCrashDelay, func() { f.onCrash(p.world) })
 	}
-	for p.now < p.startedAt[k]+d {
+	for p.now < p.startedAt[k]+delay {
 		p.advance()
 	}
 	p.electAt = p.now
-	p.tracef("the tenure of leader %d ends", l.fence)
+	p.tracef("tenure of leader %d ends", l.fence)
 	f.endTenure(p.world, l)
 	if k == forcedLeaders-1 {
-		// runLastTenure waits for the next one.
+		// runLastTenure elects the next leader.
 		return
 	}
 	for p.store.holder == l {
 		p.advance()
 	}
 	p.recordSeen[k] = p.isRunRecorded(number)
-	p.tracef("leader %d reads: %s", p.store.holder.fence, p.lastRecord)
+	p.tracef("leader %d reads the record: %s", p.store.holder.fence, p.lastRecord)
 }
 
-// runForced plays a script up to the calm in which a last leader leads.
-func runForced(seed uint64, f *forcedScenario, d time.Duration) *forcedRun {
+// runForced simulates a scenario, followed by a fault-free tenure of a last leader.
+func runForced(seed uint64, f *forcedScenario, delay time.Duration) *forcedRun {
 	var cuts [forcedLeaders]Time
 	for k := range forcedLeaders {
 		if !f.storeless {
 			break
 		}
-		// Plays are alike up to the cut: one without it tells when the start comes.
+		// Simulations are identical up to the cut: one without this cut yields the start time.
 		p := newForced(seed, f.faults)
 		for i := range k + 1 {
-			p.runTenure(i, f, d, cuts[i])
+			p.runTenure(i, f, delay, cuts[i])
 		}
 		cuts[k] = max(1, p.startedAt[k]-storeCutLeadTime)
 	}
 	p := newForced(seed, f.faults)
 	for k := range forcedLeaders {
-		p.runTenure(k, f, d, cuts[k])
+		p.runTenure(k, f, delay, cuts[k])
 	}
 	p.runLastTenure()
 	return p
 }
 
-// runLastTenure lets another leader lead in calm. It is elected once the explorer judges each start.
+// runLastTenure elects another leader without faults, once the checks count each start.
 func (p *forcedRun) runLastTenure() {
 	p.faultFreeSince, p.electAt, p.breakpoints = p.now, p.now+stableDuration, nil
 	for _, l := range p.leaders {
@@ -197,68 +197,69 @@
 	}
 }
 
-// testScenario plays a script with each of the times, and judges as the explorer does. Starts
-// before the last leader count as well.
-func testScenario(t *testing.T, f forcedScenario, ends []time.Duration) {
-	for _, d := range ends {
-		d *= time.Millisecond
-		t.Run(d.String(), func(t *testing.T) {
-			testScenarioAt(t, &f, d)
+// testScenario runs a scenario with each delay and applies the explorer's checks. Unlike these, it
+// also limits the starts before the last leader.
+func testScenario(t *testing.T, f forcedScenario, delays []time.Duration) {
+	for _, delay := range delays {
+		delay *= time.Millisecond
+		t.Run(delay.String(), func(t *testing.T) {
+			testScenarioAt(t, &f, delay)
 		})
 	}
 }
 
-func testScenarioAt(t *testing.T, f *forcedScenario, d time.Duration) {
-	var began, read [forcedLeaders]int
-	var broken *forcedRun
-	broke, judged, after := 0, 0, []int{}
+func testScenarioAt(t *testing.T, f *forcedScenario, delay time.Duration) {
+	var startedBy, recordSeenBy [forcedLeaders]int
+	var firstFailed *forcedRun
+	failures, violations, lateStarts := 0, 0, []int{}
 	for seed := range uint64(forcedSeeds) {
-		p := runForced(seed, f, d)
+		p := runForced(seed, f, delay)
 		for k := range forcedLeaders {
 			if p.startedAt[k] > 0 {
-				began[k]++
+				startedBy[k]++
 			}
 			if p.recordSeen[k] {
-				read[k]++
+				recordSeenBy[k]++
 			}
 		}
-		after = append(after, p.lateStarts)
+		lateStarts = append(lateStarts, p.lateStarts)
 		if p.violation != "" {
-			judged++
+			violations++
 		}
 		if p.violation != "" || p.lateStarts >= excessStartLimit {
-			broke++
-			if broken == nil {
-				broken = p
+			failures++
+			if firstFailed == nil {
+				firstFailed = p
 			}
 		}
 	}
-	t.Logf("%d of %d break, %d by the explorer's judgement; starts after the third end %v; leaders that started it %v, whose next leader read that run %v",
-		broke, forcedSeeds, judged, after, began, read[:forcedLeaders-1])
-	if broken != nil {
-		t.Errorf("started a third time after its third VM: %s\n%s", broken.violation, strings.Join(broken.traceLines, "\n"))
+	t.Logf("%d of %d seeds fail, %d by the explorer's checks; starts after the third crash %v; seeds in which each leader started the task %v, and in which the next leader read that run %v",
+		failures, forcedSeeds, violations, lateStarts, startedBy, recordSeenBy[:forcedLeaders-1])
+	if firstFailed != nil {
+		t.Errorf("task started again after it crashed its third VM: %s\n%s", firstFailed.violation, strings.Join(firstFailed.traceLines, "\n"))
 	}
 }
 
-// killLeader ends a leader's process; its next life takes the key over at once.
+// killLeader ends a leader's process, which restarts and frees the key at once.
 func killLeader(w *world, l *modelLeader) {
 	l.ended, l.died, l.restartAt = true, true, w.now
 	w.store.keyUntil = w.now
 }
 
-// Guards against a task that is started on and on, since each leader dies as the VM ends.
+// Guards against a crashing task that is started without limit, as each leader dies just when the
+// task's VM ends.
 func TestForcedThirdStartWhereLeadersDie(t *testing.T) {
 	testScenario(t, forcedScenario{endTenure: killLeader}, tenureEndDelays)
 }
 
-// Guards against the same where leaders are frozen, and wake when another one leads.
+// Guards against the same failure when leaders freeze and resume after another one was elected.
 func TestForcedThirdStartWhereLeadersFreeze(t *testing.T) {
 	testScenario(t, forcedScenario{endTenure: freezeLeader}, append(immediateEndDelays, tenureEndDelays...))
 }
 
 func freezeLeader(w *world, l *modelLeader) { l.frozenUntil = w.now + 5*time.Second }
 
-// Guards against the same where two VMs end with the task's by themselves.
+// Guards against the same failure when two unrelated VMs end together with the task's VM.
 func TestForcedThirdStartWithUnrelatedVMEnds(t *testing.T) {
 	testScenario(t, forcedScenario{endTenure: killLeader, onCrash: killTwoVMs}, tenureEndDelays)
 }
@@ -269,24 +270,25 @@
 	}
 }
 
-// Guards against the same where VMs start again under their IDs.
+// Guards against the same failure when VMs restart under their old IDs.
 func TestForcedThirdStartWithNewIncarnations(t *testing.T) {
 	testScenario(t, forcedScenario{faults: faults{restarts: true}, endTenure: killLeader}, tenureEndDelays)
 }
 
 func deposeLeader(w *world, _ *modelLeader) { w.store.keyUntil = w.now }
 
-// Guards against the same where leaders that can't write are deposed, and are asked.
+// Guards against the same failure when leaders without the store are deposed and their successors
+// query them.
 func TestForcedThirdStartWhereCutOffLeadersAreQueried(t *testing.T) {
 	testScenario(t, forcedScenario{faults: faults{predecessorQueries: true}, storeless: true, endTenure: deposeLeader}, append(immediateEndDelays, tenureEndDelays...))
 }
 
-// Guards against the same where leaders that can't write are deposed, and nobody can ask them.
+// Guards against the same failure when leaders without the store are deposed and can't be queried.
 func TestForcedThirdStartWhereLeadersAreCutOff(t *testing.T) {
 	testScenario(t, forcedScenario{storeless: true, endTenure: deposeLeader}, append(immediateEndDelays, tenureEndDelays...))
 }
 
-// Guards against the same where leaders end before what they start can be written.
+// Guards against the same failure when tenures end before the start can be written.
 func TestForcedThirdStartWhereLeadersEndAtOnce(t *testing.T) {
 	for name, f := range map[string]forcedScenario{
 		"dead":            {endTenure: killLeader},
--- a/internal/scheduler/explore_judge_test.go
+++ b/internal/scheduler/explore_judge_test.go
@@ -7,16 +7,16 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// taskHistory is what the VMs saw of a task.
+// taskHistory holds what the VMs observed of a task.
 type taskHistory struct {
-	// starts are all runs that a VM began, with their place in the order of things.
+	// starts are all runs that a VM started, with their ticks.
 	starts []modelStart
-	// failedTicks are the ends of failed runs that were acknowledged.
+	// failedTicks are the ticks of the acknowledged ends of failed runs.
 	failedTicks []int64
-	// doneAcked is set once an end `done` was acknowledged, before its VM's lease lapsed.
+	// doneAcked is set when an end `done` is acknowledged before its VM's lease has expired.
 	doneAcked bool
-	// crashes counts the VMs that the task has ended, excessStarts its starts since the
-	// third while nothing else went wrong.
+	// crashes counts the VMs that the task has crashed, excessStarts its starts after the
+	// third crash in the stable, fault-free phase.
 	crashes, excessStarts int
 }
 
@@ -35,16 +35,16 @@
 	return h
 }
 
-// fail keeps the first thing that broke.
+// fail records a violation unless there is an earlier one.
 func (w *world) fail(task batch.TaskID, format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...)
 		w.violationTask = task
-		w.tracef("%s broken", task)
+		w.tracef("%s: violation", task)
 	}
 }
 
-// checkStart looks at a run as it begins on a VM.
+// checkStart checks that the task runs nowhere else and may be started, as a VM starts it.
 func (w *world) checkStart(v *modelVM, o Order) {
 	w.starts++
 	w.tick++
@@ -55,7 +55,7 @@
 		}
 		w.enforceLease(other)
 		if run := other.runNumber(o.Task); run != 0 {
-			w.fail(o.Task, "%s run %s started on %s while run %s is on %s", o.Task, runLabel(o.Run), v.id, runLabel(run), other.id)
+			w.fail(o.Task, "%s run %s started on %s while run %s is running on %s", o.Task, runLabel(o.Run), v.id, runLabel(run), other.id)
 		}
 	}
 	h := w.history(o.Task)
@@ -68,27 +68,27 @@
 	w.checkAttempts(o.Task, h)
 }
 
-// evaluateCrashes looks at the start of a task that ends its VMs.
+// checkCrashLimit checks how often a task is started after its third crash.
 func (w *world) checkCrashLimit(v *modelVM, o Order, h *taskHistory) {
 	if h.crashes < crashLimit || !w.faultFree || w.now < w.faultFreeSince+stableDuration {
 		return
 	}
 	if h.excessStarts++; h.excessStarts >= excessStartLimit {
-		w.fail(o.Task, "%s run %s started on %s after it had ended %d VMs", o.Task, runLabel(o.Run), v.id, h.crashes)
+		w.fail(o.Task, "%s run %s started on %s after the task had crashed %d VMs", o.Task, runLabel(o.Run), v.id, h.crashes)
 	}
 }
 
-// checkCapacity looks whether a VM that begins all it is told to has room for one run more.
+// checkCapacity checks that a VM that accepts each start has capacity for one more run.
 func (w *world) checkCapacity(v *modelVM, o Order) {
 	if !w.faults.resizes || w.lateDelivery {
 		return
 	}
 	if used := int64(len(v.running)+1) * taskSize; used > w.maxRecentSize(v) {
-		w.fail(o.Task, "%s run %s started on %s, which has %dm, beside %d others", o.Task, runLabel(o.Run), v.id, v.milliCPU, len(v.running))
+		w.fail(o.Task, "%s run %s started on %s, which has %dm, in addition to %d others", o.Task, runLabel(o.Run), v.id, v.milliCPU, len(v.running))
 	}
 }
 
-// checkFailedJob looks at the record of a job that a leader gives up.
+// checkFailedJob checks that a job which fails for crashes has a task that crashed VMs.
 func (w *world) checkFailedJob(id string, p *Progress) {
 	j := w.jobs[id]
 	if p.State != batch.Failed || j.attempts < unlimitedAttempts {
@@ -99,12 +99,12 @@
 			return
 		}
 	}
-	w.fail(batch.TaskID{Job: id}, "job %s is given up, and no task of it has ended %d VMs", id, isolatedCrashLimit)
+	w.fail(batch.TaskID{Job: id}, "job %s failed although none of its tasks has crashed %d VMs", id, isolatedCrashLimit)
 }
 
-// ackViolation says what the acknowledgement of an end would break: whoever notes
-// that a run is done must not have started the task again meanwhile, unless the
-// VM's lease lapsed before it was noted.
+// ackViolation describes the rule that acknowledging the end would violate, or returns "". A task
+// must not have been started again between the end of its run and the acknowledgement, unless the
+// VM's lease has expired before the acknowledgement.
 func (w *world) ackViolation(e *modelEnd) string {
 	if e.leaseExpired {
 		return ""
@@ -114,30 +114,30 @@
 	case batch.EndDone:
 		for _, s := range h.starts {
 			if s.tick > e.tick {
-				return fmt.Sprintf("the end done of run %s, before run %s was started on %s", runLabel(e.Run), runLabel(s.run), s.vm)
+				return fmt.Sprintf("the end done of run %s, which precedes the start of run %s on %s", runLabel(e.Run), runLabel(s.run), s.vm)
 			}
 		}
 	case batch.EndFailed:
 		if s := w.startBeyondAttempts(e.Task, h, append(h.failedTicks[:len(h.failedTicks):len(h.failedTicks)], e.tick)); s != nil {
-			return fmt.Sprintf("as many failed ends as are allowed, before run %s was started on %s", runLabel(s.run), s.vm)
+			return fmt.Sprintf("the last allowed failed end, which precedes the start of run %s on %s", runLabel(s.run), s.vm)
 		}
 	case batch.EndStopped, batch.EndLapsed, batch.EndBroken, batch.EndAlone:
 	}
 	return ""
 }
 
-// checkAck judges an end that a leader has noted.
+// checkAck checks that an end may be acknowledged.
 func (w *world) checkAck(v *modelVM, e *modelEnd) {
-	w.tracef("%s run %s: its end on %s is acknowledged", e.Task, runLabel(e.Run), v.id)
-	if what := w.ackViolation(e); what != "" {
-		w.fail(e.Task, "%s: %s acknowledged %s", e.Task, v.id, what)
+	w.tracef("%s run %s: end on %s acknowledged", e.Task, runLabel(e.Run), v.id)
+	if violation := w.ackViolation(e); violation != "" {
+		w.fail(e.Task, "%s: %s acknowledged %s", e.Task, v.id, violation)
 	}
 	h := w.history(e.Task)
 	switch e.Kind {
 	case batch.EndDone:
-		// Where VMs are unreached for longer than their lease, a leader that has waited
-		// one out may start its task while the next one hears the VM: that is lawful,
-		// since what it told had lapsed.
+		// If a VM is unreachable for longer than its lease, a leader that waited for the lease
+		// to expire may start the task while the next leader receives the VM's report. That is
+		// allowed, because the reported lease had expired.
 		h.doneAcked = h.doneAcked || !e.leaseExpired || (!w.faults.unlistedVMs && !w.faults.splitLeaders)
 	case batch.EndFailed:
 		if !e.leaseExpired {
@@ -147,17 +147,17 @@
 	}
 }
 
-// startBeyondAttempts returns a start that came after as many failed ends as are allowed.
+// startBeyondAttempts returns a start that follows the last allowed failed end, or nil.
 func (w *world) startBeyondAttempts(task batch.TaskID, h *taskHistory, failed []int64) *modelStart {
 	allowed := w.jobs[task.Job].attempts
 	for i := range h.starts {
-		before := 0
+		failures := 0
 		for _, tick := range failed {
 			if tick < h.starts[i].tick {
-				before++
+				failures++
 			}
 		}
-		if before >= allowed {
+		if failures >= allowed {
 			return &h.starts[i]
 		}
 	}
@@ -166,14 +166,14 @@
 
 func (w *world) checkAttempts(task batch.TaskID, h *taskHistory) {
 	if s := w.startBeyondAttempts(task, h, h.failedTicks); s != nil {
-		w.fail(task, "%s run %s started on %s after as many failed ends as are allowed", task, runLabel(s.run), s.vm)
+		w.fail(task, "%s run %s started on %s after the last allowed failed end", task, runLabel(s.run), s.vm)
 	}
 }
 
-// unfinished says what has not come to its end though nothing was in its way: ""
-// when there is nothing of the kind.
+// unfinished describes an end that was not acknowledged or a job that has not ended although
+// nothing prevented it. It returns "" if there is none.
 func (w *world) unfinished() string {
-	room := false
+	hasCapacity := false
 	for _, v := range w.living() {
 		withheld := false
 		for _, e := range v.ended {
@@ -184,12 +184,12 @@
 		if len(v.ended) > 0 && !withheld {
 			e := v.ended[0]
 			w.violationTask = e.Task
-			return fmt.Sprintf("%s: the end %s of run %s on %s is not acknowledged, nor are %d more", e.Task, e.Kind, runLabel(e.Run), v.id, len(v.ended)-1)
+			return fmt.Sprintf("%s: the end %s of run %s on %s and %d more are not acknowledged", e.Task, e.Kind, runLabel(e.Run), v.id, len(v.ended)-1)
 		}
-		room = room || (!withheld && !v.draining)
+		hasCapacity = hasCapacity || (!withheld && !v.draining)
 	}
-	if !room {
-		// Nothing can be started any more.
+	if !hasCapacity {
+		// No VM can start anything.
 		w.saturated = true
 		return ""
 	}
@@ -201,19 +201,19 @@
 	return ""
 }
 
-// mayWithholdAck reports whether a leader that does not know that the VM's lease has
-// lapsed would break the rule by acknowledging the end.
+// mayWithholdAck reports whether acknowledging the end would violate a rule from the view of a
+// leader that is not aware of the expiry of the VM's lease.
 func (w *world) mayWithholdAck(e *modelEnd) bool {
-	sure := *e
-	sure.leaseExpired = false
-	if w.ackViolation(&sure) == "" {
+	unexpired := *e
+	unexpired.leaseExpired = false
+	if w.ackViolation(&unexpired) == "" {
 		return false
 	}
 	w.withheldAcks++
 	return true
 }
 
-// isFinal reports whether the store says that a job has ended.
+// isFinal reports whether a job was cancelled or its record has a final state.
 func (w *world) isFinal(j *modelJob) bool {
 	var p Progress
 	record := w.store.records[j.spec.ID]
--- a/internal/scheduler/explore_leader_test.go
+++ b/internal/scheduler/explore_leader_test.go
@@ -9,8 +9,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// The times of an election and of what a leader does beside planning, as package
-// leader has them.
+// Times of elections and of a leader's periodic work, as in package leader.
 const (
 	keyTTL              = 1300 * time.Millisecond
 	keyConfirmedTimeout = keyTTL - 150*time.Millisecond
@@ -20,44 +19,44 @@
 	callTimeout         = 500 * time.Millisecond
 )
 
-// modelLeader is one tenure.
+// modelLeader is the tenure of a simulated leader.
 type modelLeader struct {
 	s     *Scheduler
 	fence int64
 	zone  int
-	// ended: the process died, or learned that another leads.
+	// ended is set when the process has died or has learned that it was deposed.
 	ended       bool
 	frozenUntil Time
-	// storelessUntil is when it reaches the store again.
+	// storelessUntil is when the leader reaches the store again.
 	storelessUntil                   Time
 	renewedAt, nextRenewal, nextList Time
-	// newSinceRead is set once the leader has read from when on jobs are new.
+	// newSinceRead is set when the leader has read the revision from which jobs are new.
 	newSinceRead  bool
 	watchedEvents int
-	// readyAt is when it has read what earlier leaders left, nextWatch when its watch
-	// tells it something, nextOpen when it looks at the time of day.
+	// readyAt is when the leader has restored its state, nextWatch when its watch delivers
+	// events, nextOpen when it starts to open due occurrences.
 	readyAt, nextWatch, nextOpen Time
 	wallOffset                   time.Duration
 	logWritePending              bool
 	flushPending                 bool
-	// openedUntil is the time of day up to which it has opened the occurrences of the
-	// jobs that it knows.
+	// openedUntil is the time of day up to which the leader has opened occurrences of its jobs.
 	openedUntil  int64
 	recordedVMs  map[string]string
 	pendingHolds map[string]bool
 	cutUntil     map[string]Time
-	// predecessors are the tenures that it has to ask, said what they told, closed is set once
-	// it has told its own leases.
+	// predecessors are the tenures still to be queried. leaseEnds are the ends of leases that
+	// predecessors have reported. leasesReported is set when the leader has reported its own
+	// leases to a successor.
 	predecessors   []*modelLeader
 	leaseEnds      map[string]Time
 	nextQuery      Time
 	queryPending   bool
 	leasesReported bool
-	// died is set where the process died; its next life answers from restartAt on.
+	// died is set when the process has died; it responds again from restartAt on.
 	died          bool
 	restartAt     Time
 	tenuresPruned bool
-	// leasesKnown is set once its predecessors have told of all their leases.
+	// leasesKnown is set when the predecessors have reported all their leases.
 	leasesKnown bool
 }
 
@@ -65,24 +64,24 @@
 	return w.now >= w.store.downUntil && w.now >= l.storelessUntil && w.now >= w.zoneCut[l.zone]
 }
 
-// canAct reports whether a leader may give orders now.
+// canAct reports whether a leader may give orders.
 func (w *world) canAct(l *modelLeader) bool {
-	unseen := storelessTimeout
+	timeout := storelessTimeout
 	if w.mutations.actWithoutStore {
-		unseen = time.Minute
+		timeout = time.Minute
 	}
-	return !l.ended && w.now >= l.frozenUntil && w.now-l.renewedAt < unseen
+	return !l.ended && w.now >= l.frozenUntil && w.now-l.renewedAt < timeout
 }
 
-// isConfirmed reports whether nobody else can lead by now.
+// isConfirmed reports whether no other leader can have been elected yet.
 func (w *world) isConfirmed(l *modelLeader) bool {
 	return w.canAct(l) && (w.now-l.renewedAt < keyConfirmedTimeout || w.mutations.acceptUnconfirmed)
 }
 
-// holdsKey reports whether the key in the store is the leader's.
+// holdsKey reports whether the leader holds an unexpired key in the store.
 func (w *world) holdsKey(l *modelLeader) bool { return w.store.holder == l && w.now < w.store.keyUntil }
 
-// elect makes a new leader once the key is free, from what is durable.
+// elect creates a new leader from the stored state when the key is free.
 func (w *world) elect() {
 	if w.now < w.store.downUntil || (w.store.holder != nil && w.now < w.store.keyUntil) || w.now < w.electAt {
 		return
@@ -115,7 +114,7 @@
 	}
 }
 
-// restoreState reads what earlier leaders left, as package leader does.
+// restoreState restores the state that earlier leaders have stored, as package leader does.
 func (w *world) restoreState(l *modelLeader) {
 	l.s.SetConfig(&batch.Config{Pools: map[string]batch.Pool{"pool": {Name: "pool", GuardsCapacity: !w.faults.resizes}}, Queues: []batch.Queue{
 		{Name: "many", Pool: "pool", Attempts: unlimitedAttempts, Stretch: 2},
@@ -159,8 +158,8 @@
 	w.restoreStartLog(l)
 }
 
-// recordInstances makes sure that the store names every instance before it may be given
-// work. It returns false when it can't.
+// recordInstances stores every instance before it may be given work. It returns false if the
+// leader has been deposed.
 func (w *world) recordInstances(l *modelLeader, list []batch.Instance, earlier map[string]string) bool {
 	next := map[string]string{}
 	for _, id := range l.s.AwaitedInstances() {
@@ -173,19 +172,19 @@
 	for i := range list {
 		next[list[i].ID] = list[i].Address
 	}
-	lapsed := l.s.ExpiredLeases()
-	if maps.Equal(next, l.recordedVMs) && maps.Equal(lapsed, w.store.expiredRuns) {
+	expired := l.s.ExpiredLeases()
+	if maps.Equal(next, l.recordedVMs) && maps.Equal(expired, w.store.expiredRuns) {
 		return true
 	}
 	if !w.holdsKey(l) {
 		l.ended = true
 		return false
 	}
-	w.store.instances, l.recordedVMs, w.store.expiredRuns = next, next, lapsed
+	w.store.instances, l.recordedVMs, w.store.expiredRuns = next, next, expired
 	return true
 }
 
-// stepLeader does what a leader does beside planning.
+// stepLeader does a leader's periodic work other than planning.
 func (w *world) stepLeader(l *modelLeader) {
 	if l.ended || w.now < l.frozenUntil {
 		return
@@ -199,7 +198,7 @@
 			l.renewedAt, w.store.keyUntil = w.now, w.now+keyTTL
 		default:
 			l.ended = true
-			w.tracef("leader %d learns that it does not lead", l.fence)
+			w.tracef("leader %d learns that it was deposed", l.fence)
 		}
 	}
 	if !w.canAct(l) {
@@ -228,7 +227,7 @@
 	}
 }
 
-// deliverWatch brings a leader the jobs and cancels that came.
+// deliverWatch delivers submitted jobs and cancellations to a leader.
 func (w *world) deliverWatch(l *modelLeader) {
 	if w.faults.lateWatches && !w.faultFree && w.chance(1) {
 		l.nextWatch = max(l.nextWatch, w.now+w.upTo(6*time.Second))
@@ -250,7 +249,7 @@
 	l.openedUntil = 0
 }
 
-// flush writes what is pending, and takes the answer over if it comes.
+// flush writes pending records and applies the response if it arrives.
 func (w *world) flush(l *modelLeader) {
 	if l.flushPending || !w.chance(50) {
 		return
@@ -272,7 +271,7 @@
 		values[i] = value
 		w.checkFailedJob(f.Records[i].Job, f.Records[i].Progress)
 	}
-	// Many records take several calls, of which some may fail.
+	// Many records take several calls, some of which may fail.
 	written, answered := len(f.Records), w.faultFree || !w.chance(4)
 	if !w.faultFree && w.chance(4) {
 		written = w.rng.IntN(written)
@@ -305,7 +304,7 @@
 	})
 }
 
-// runLeader lets a leader talk to the VMs and plan.
+// runLeader lets a leader send holds, plan, and send the planned orders.
 func (w *world) runLeader(l *modelLeader) {
 	if !w.canAct(l) || w.now < l.readyAt || l.leasesReported {
 		return
@@ -336,8 +335,8 @@
 	w.writeStartLog(l)
 }
 
-// openDue opens what is due by the leader's clock, one after the other: occurrences
-// of one job that are opened at one moment have the same place in the queue.
+// openDue opens the occurrences that are due by the leader's clock, each at another time:
+// occurrences of a job that are opened at the same time have the same place in the queue.
 func (w *world) openDue(l *modelLeader) {
 	var due []int64
 	wall := w.wallMS() + l.wallOffset.Milliseconds()
@@ -358,16 +357,16 @@
 	}
 }
 
-// reportReplaced tells a leader that another life answers at a VM's address.
+// reportReplaced reports to a leader that another VM responds at a VM's address.
 func (w *world) reportReplaced(l *modelLeader, inst *batch.Instance) { l.s.RemoveReplaced(w.now, inst) }
 
-// fenceLeader ends the tenure of a leader whose successor a VM has seen.
+// fenceLeader ends the tenure of a leader that a VM refused with a newer fencing token.
 func (w *world) fenceLeader(l *modelLeader) {
 	w.tracef("leader %d is fenced", l.fence)
 	l.ended = true
 }
 
-// clearAllCrashes takes back what was counted.
+// clearAllCrashes resets the crash counts of all tasks.
 func (s *Scheduler) clearAllCrashes() {
 	for _, j := range s.jobs {
 		for _, o := range j.occs {
@@ -434,7 +433,7 @@
 	}
 	sentAt := w.now
 	if v.latest().born != o.Start.Born {
-		// A connection leads to the start that accepted it.
+		// A connection ends at the incarnation that accepted it.
 		w.after(2*w.messageDelay(), func() {
 			w.deliver(l, func() { l.s.Started(w.now, sentAt, o, 0, batch.RefusedRestarted, false) })
 		})
@@ -468,10 +467,10 @@
 	if !w.canAct(l) {
 		return
 	}
-	known := true
+	accepted := true
 	token := l.s.Token(v.id)
-	w.call(l, v, func(v *modelVM) { known = w.handleStop(v, token, o) }, func() {
-		if !known {
+	w.call(l, v, func(v *modelVM) { accepted = w.handleStop(v, token, o) }, func() {
+		if !accepted {
 			if token >= l.s.Token(v.id) {
 				w.fenceLeader(l)
 				return
