--- a/internal/scheduler/explore_forced_test.go
+++ b/internal/scheduler/explore_forced_test.go
@@ -192,8 +192,8 @@
 			return
 		}
 	}
-	if what := p.unfinished(); what != "" {
-		p.fail(p.violationTask, "after %v without faults: %s", settleTimeout, what)
+	if reason := p.unfinished(); reason != "" {
+		p.fail(p.violationTask, "after %v without faults: %s", settleTimeout, reason)
 	}
 }
 
--- a/internal/scheduler/explore_model_test.go
+++ b/internal/scheduler/explore_model_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// zoneCount is the number of availability zones of the model.
+	// zoneCount is the number of simulated availability zones.
 	zoneCount = 2
-	// unlimitedAttempts stands for no bound.
+	// unlimitedAttempts is more than any simulated task uses.
 	unlimitedAttempts = 1 << 20
-	// settleTimeout is how long after the last fault everything has to have come to an end.
+	// settleTimeout is how long after the last fault all jobs and ends may take to finish.
 	settleTimeout = 40 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	do func()
 }
 
-// world is the VMs, the store and the leaders of one seed.
+// world is the simulation of one seed: its VMs, store and leaders.
 type world struct {
 	rng       *rand.Rand
 	mutations mutations
@@ -33,7 +33,7 @@
 	tick      int64
 	vms       []*modelVM
 	zoneCut   [zoneCount]Time
-	// splitUntil is when the last leader that was left alone with some VMs is no more.
+	// splitUntil is when the latest isolation of a leader with some VMs ends.
 	splitUntil Time
 	store      modelStore
 	leaders    []*modelLeader
@@ -42,29 +42,31 @@
 	jobs       map[string]*modelJob
 	tasks      map[batch.TaskID]*taskHistory
 	messages   []message
-	// logRng and logged are those of writes to the log of starts, which leave the rest of a
-	// seed as it was.
+	// logRng and logMessages serve writes to the start log, so that these don't change the
+	// other random draws of a seed.
 	logRng      *rand.Rand
 	logMessages []message
-	// movedVMs counts the lives that began at another address than the last, births those
-	// that tell when they began.
+	// movedVMs counts the replacements at a new address, births the incarnations that report
+	// a start time.
 	movedVMs int
 	births   int64
-	// faultFree is set for the end of a seed, at faultFreeSince: nothing is lost, late or cut off any
-	// more. late is set while a VM carries an order out that is seconds old.
+	// faultFree is set at faultFreeSince, for the last phase of a seed: no message is lost or
+	// delayed, and nothing is cut off. lateDelivery is set while a VM carries out an order that
+	// is seconds old.
 	faultFree, lateDelivery bool
 	faultFreeSince          Time
 	violation               string
 	violationTask           batch.TaskID
-	// starts, changes, overcautious and full count what happened.
+	// starts counts runs started, leaderChanges elections, and withheldAcks unacknowledged ends
+	// whose lease expiry the leader may have missed. saturated is set if no VM could start a run.
 	starts, leaderChanges, withheldAcks int
 	saturated                           bool
 	trace                               func(string)
 }
 
-func newWorld(seed uint64, f faults, b mutations, traced func(string)) *world {
+func newWorld(seed uint64, f faults, m mutations, trace func(string)) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), logRng: rand.New(rand.NewPCG(seed, 8)), mutations: b, faults: f, now: time.Second, trace: traced,
+		rng: rand.New(rand.NewPCG(seed, 7)), logRng: rand.New(rand.NewPCG(seed, 8)), mutations: m, faults: f, now: time.Second, trace: trace,
 		jobs: map[string]*modelJob{}, tasks: map[batch.TaskID]*taskHistory{},
 	}
 	w.store.records, w.store.starts = map[string][]byte{}, map[SegmentID][]byte{}
@@ -75,14 +77,14 @@
 	return w
 }
 
-// tracef notes what happens, where a seed is played again to be read.
+// tracef adds a trace line if the seed is traced.
 func (w *world) tracef(format string, args ...any) {
 	if w.trace != nil {
 		w.trace(fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(format, args...))
 	}
 }
 
-// traceDecisions traces what a leader decides.
+// traceDecisions returns a function that traces a leader's decisions, or nil.
 func (w *world) traceDecisions(l *modelLeader) func(Decision) {
 	if w.trace == nil {
 		return nil
@@ -96,7 +98,7 @@
 	}
 }
 
-// describeDecision names what a decision is about.
+// describeDecision returns the subject and reason of a decision.
 func describeDecision(d Decision) string {
 	var parts []string
 	if d.Task.Job != "" {
@@ -116,7 +118,7 @@
 
 func (w *world) chance(percent int) bool { return w.rng.IntN(100) < percent }
 
-// upTo draws a time below d.
+// upTo draws a duration below d, in whole milliseconds.
 func (w *world) upTo(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d/time.Millisecond))) * time.Millisecond
 }
@@ -125,13 +127,13 @@
 	w.messages = append(w.messages, message{w.now + d, do})
 }
 
-// messageDelay is the time of one message.
+// messageDelay draws the delay of a message.
 func (w *world) messageDelay() time.Duration { return time.Millisecond + w.upTo(30*time.Millisecond) }
 
-// call carries a message to a VM and its answer back: lost on either way, late,
-// or carried out seconds after without an answer. Another VM at the address
-// tells that it is another; another start of the same VM takes the message.
-func (w *world) call(l *modelLeader, v *modelVM, do func(*modelVM), answer, silence func()) {
+// call sends a message to a VM and returns its response. The message or the response may be lost,
+// or the message may be processed seconds late without a response. Another VM at the address
+// reports that it is another one; with staleOrders, a late message goes to the VM's latest incarnation.
+func (w *world) call(l *modelLeader, v *modelVM, do func(*modelVM), onResponse, onTimeout func()) {
 	v = v.latest()
 	arrive := func() bool {
 		if !v.dead {
@@ -146,9 +148,9 @@
 			return arrive()
 		}
 	}
-	lost := func() { w.after(callTimeout, func() { w.deliver(l, silence) }) }
-	// Nobody is there any more: the connection is closed at once.
-	closed := func() { w.after(w.messageDelay(), func() { w.deliver(l, silence) }) }
+	lost := func() { w.after(callTimeout, func() { w.deliver(l, onTimeout) }) }
+	// The process has ended: the connection is closed at once.
+	closed := func() { w.after(w.messageDelay(), func() { w.deliver(l, onTimeout) }) }
 	switch {
 	case !w.reaches(l, v) || (!w.faultFree && w.chance(4)):
 		lost()
@@ -179,12 +181,12 @@
 				closed()
 				return
 			}
-			w.after(w.messageDelay(), func() { w.deliver(l, answer) })
+			w.after(w.messageDelay(), func() { w.deliver(l, onResponse) })
 		})
 	}
 }
 
-// deliver hands an answer to a leader, once it is not frozen.
+// deliver passes a response to a leader when it is not frozen, unless its tenure has ended.
 func (w *world) deliver(l *modelLeader, do func()) {
 	if l.ended {
 		return
@@ -196,7 +198,7 @@
 	do()
 }
 
-// popDue takes what arrives by now off a queue.
+// popDue removes the messages that are due from a queue and returns them.
 func popDue(queue *[]message, now Time) []message {
 	var due, rest []message
 	for _, m := range *queue {
@@ -210,7 +212,7 @@
 	return due
 }
 
-// step lets one random thing happen, and what is due.
+// step advances the simulation by a random time and processes what is due.
 func (w *world) step() {
 	w.now += time.Duration(5+w.rng.IntN(100)) * time.Millisecond
 	due := popDue(&w.messages, w.now)
@@ -232,24 +234,24 @@
 	}
 }
 
-// injectFaults lets jobs come, and something go wrong now and then.
+// injectFaults submits and cancels jobs and injects faults, each with some probability.
 func (w *world) injectFaults() {
-	jobs := 6
+	submitPercent := 6
 	switch {
 	case w.now < w.splitUntil:
-		// The VMs that are left have room for what ran on the others.
-		jobs = 2
+		// The remaining VMs need capacity for the runs of the others.
+		submitPercent = 2
 	case w.faults.splitLeaders:
-		// Their tasks run longer.
-		jobs = 4
+		// With this fault tasks run longer.
+		submitPercent = 4
 	}
-	if w.chance(jobs) {
+	if w.chance(submitPercent) {
 		w.submit()
 	}
 	if w.rng.IntN(1000) < 3 {
 		w.cancelRecentJob()
 	}
-	// While a leader is alone, the next one mostly lives long enough to wait it out.
+	// While a leader is isolated, the next one mostly lives until the isolated one stops acting.
 	if w.rng.IntN(1000) < 15 && (w.now >= w.splitUntil || w.chance(20)) {
 		w.injectLeaderFault()
 	}
@@ -260,7 +262,7 @@
 		w.injectVMFault()
 	}
 	if w.faults.restarts && !w.faults.crashingTasks && w.rng.IntN(1000) < 5 {
-		// Beside tasks that end their VMs nobody could tell which VMs they have ended.
+		// With crashing tasks, mass ends would make it impossible to attribute VM ends to them.
 		w.killManyVMs()
 	}
 	if w.faults.resizes && w.rng.IntN(1000) < 15 {
@@ -268,8 +270,8 @@
 	}
 }
 
-// injectLeaderFault takes the lead away: the process dies, is frozen or cut off, or the
-// store is down or takes the key away.
+// injectLeaderFault kills, freezes or cuts off the leader's process, stops the store, or revokes
+// the leader's key.
 func (w *world) injectLeaderFault() {
 	l := w.store.holder
 	w.electAt = w.now + w.upTo(300*time.Millisecond)
@@ -283,13 +285,13 @@
 		l.ended = true
 		l.died, l.restartAt = true, w.now
 		if w.chance(40) {
-			// Its next life takes the key over at once.
+			// The restarted process frees the key at once.
 			w.store.keyUntil = w.now
 		} else if w.faults.predecessorQueries {
 			l.restartAt = w.now + time.Second + w.upTo(20*time.Second)
 		}
 	case n < 11:
-		w.tracef("the key of leader %d is taken away", l.fence)
+		w.tracef("key of leader %d revoked", l.fence)
 		w.store.keyUntil = w.now
 		if w.faults.lateWatches {
 			w.overlapLeaders(l)
@@ -314,7 +316,7 @@
 	}
 }
 
-// replaceLeader has the leader's process die and begin anew at once, or takes the key away from it.
+// replaceLeader restarts the leader's process or revokes its key.
 func (w *world) replaceLeader() {
 	l := w.store.holder
 	if l.ended {
@@ -322,14 +324,14 @@
 	}
 	w.electAt, w.store.keyUntil = w.now, w.now
 	if w.chance(50) {
-		w.tracef("the key of leader %d is taken away", l.fence)
+		w.tracef("key of leader %d revoked", l.fence)
 		return
 	}
-	w.tracef("leader %d dies and begins anew", l.fence)
+	w.tracef("leader %d dies and restarts", l.fence)
 	l.ended, l.died, l.restartAt = true, true, w.now
 }
 
-// restartVMsBefore ends VMs so that most have started again just before a moment.
+// restartVMsBefore ends VMs so that most of them have restarted just before the given time.
 func (w *world) restartVMsBefore(until Time) {
 	for _, v := range w.living() {
 		w.after(until-w.now-500*time.Millisecond-w.upTo(time.Second), func() {
@@ -341,32 +343,32 @@
 }
 
 // cutFromStore cuts a leader off from the store.
-func (w *world) cutFromStore(l *modelLeader, least time.Duration) {
-	l.storelessUntil = w.now + least + w.upTo(8*time.Second)
-	w.tracef("leader %d is without the store until %v", l.fence, l.storelessUntil)
+func (w *world) cutFromStore(l *modelLeader, minDuration time.Duration) {
+	l.storelessUntil = w.now + minDuration + w.upTo(8*time.Second)
+	w.tracef("leader %d does not reach the store until %v", l.fence, l.storelessUntil)
 }
 
-// overlapLeaders lets jobs come while a leader whose key was taken away has not heard of it,
-// since renewals of its are lost, and another one leads.
+// overlapLeaders submits jobs while a leader whose key was revoked is not aware of it, because its
+// renewals are lost, and another one leads.
 func (w *world) overlapLeaders(l *modelLeader) {
 	w.electAt = w.now + w.upTo(100*time.Millisecond)
 	l.nextRenewal = w.now + w.upTo(keyConfirmedTimeout)
 	for range 4 {
 		w.after(w.upTo(keyConfirmedTimeout), w.submit)
 	}
-	// The next one does not reach all VMs that it reaches.
+	// Some VMs remain reachable only for the deposed leader.
 	until := w.now + 2*time.Second + w.upTo(12*time.Second)
 	for _, v := range w.living() {
 		if w.chance(25) {
 			v.onlyLeader, v.onlyLeaderUntil = l, until
-			w.tracef("%s reaches nobody but leader %d until %v", v.id, l.fence, until)
+			w.tracef("%s reaches only leader %d until %v", v.id, l.fence, until)
 		}
 	}
 }
 
-// splitLeader leaves a leader alone with some of the VMs, while no other reaches those:
-// from the others it is cut off up to so long before it is from the store.
-func (w *world) splitLeader(l *modelLeader, before time.Duration) {
+// splitLeader isolates a leader with some of the VMs, which no other leader reaches. It loses the
+// other VMs at once, and the store up to maxStoreDelay later.
+func (w *world) splitLeader(l *modelLeader, maxStoreDelay time.Duration) {
 	until := w.now + 6*time.Second + w.upTo(20*time.Second)
 	w.splitUntil = until
 	for _, v := range w.living() {
@@ -375,15 +377,16 @@
 			continue
 		}
 		v.onlyLeader, v.onlyLeaderUntil = l, until
-		w.tracef("%s reaches nobody but leader %d until %v", v.id, l.fence, until)
+		w.tracef("%s reaches only leader %d until %v", v.id, l.fence, until)
 	}
-	w.after(w.upTo(before+time.Millisecond), func() {
+	w.after(w.upTo(maxStoreDelay+time.Millisecond), func() {
 		l.storelessUntil = until
-		w.tracef("leader %d is without the store until %v", l.fence, until)
+		w.tracef("leader %d does not reach the store until %v", l.fence, until)
 	})
 }
 
-// stopStore stops the store. What expires by time may do so meanwhile, or not.
+// stopStore stops the store for a duration. Keys and entries either expire meanwhile or are extended
+// by that duration.
 func (w *world) stopStore(d time.Duration) {
 	w.store.downUntil = w.now + d
 	w.tracef("the store is down until %v", w.store.downUntil)
@@ -395,7 +398,7 @@
 	}
 }
 
-// injectVMFault cuts VMs off, or ends their lives.
+// injectVMFault cuts off a zone or a VM, or kills or drains a VM.
 func (w *world) injectVMFault() {
 	living := slices.DeleteFunc(w.living(), func(v *modelVM) bool { return v.draining })
 	if len(living) == 0 {
@@ -419,7 +422,7 @@
 		w.tracef("%s is cut off until %v", v.id, until)
 	case n < 12:
 		v.storelessUntil = until
-		w.tracef("%s is without the store until %v", v.id, until)
+		w.tracef("%s does not reach the store until %v", v.id, until)
 	case len(living) <= minLivingVMs:
 	case n < 13:
 		w.killVM(v, false)
@@ -429,12 +432,12 @@
 		w.drainVM(v)
 		w.after(w.upTo(3*time.Second), func() {
 			v.cutUntil = w.now + 3*time.Second + w.upTo(14*time.Second)
-			w.tracef("%s, which drains, is cut off until %v", v.id, v.cutUntil)
+			w.tracef("draining %s is cut off until %v", v.id, v.cutUntil)
 		})
 	}
 }
 
-// settle ends all faults and waits until everything has come to its end.
+// settle ends all faults and waits until all jobs have ended and all ends are acknowledged.
 func (w *world) settle() {
 	w.faultFree, w.faultFreeSince = true, w.now
 	w.zoneCut = [zoneCount]Time{}
@@ -456,7 +459,7 @@
 			return
 		}
 	}
-	if what := w.unfinished(); what != "" {
-		w.fail(w.violationTask, "after %v without faults: %s", settleTimeout, what)
+	if reason := w.unfinished(); reason != "" {
+		w.fail(w.violationTask, "after %v without faults: %s", settleTimeout, reason)
 	}
 }
--- a/internal/scheduler/explore_predecessors_test.go
+++ b/internal/scheduler/explore_predecessors_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// queryInterval is the pause between questions to predecessors.
+// queryInterval is the interval between queries to predecessors.
 const queryInterval = 400 * time.Millisecond
 
-// predecessorReply is what the process of a tenure says.
+// predecessorReply is the response of a predecessor's process. leaseLeft is the remaining lease of
+// each VM.
 type predecessorReply struct {
 	leaseLeft   map[string]time.Duration
 	leasesKnown bool
@@ -31,46 +32,46 @@
 		return
 	}
 	l.queryPending = true
-	answers := map[*modelLeader]predecessorReply{}
+	replies := map[*modelLeader]predecessorReply{}
 	for _, p := range l.predecessors {
-		if a, ok := w.queryPredecessor(l, p, vms); ok {
-			answers[p] = a
+		if reply, ok := w.queryPredecessor(l, p, vms); ok {
+			replies[p] = reply
 		}
 	}
 	w.after(w.messageDelay(), func() {
-		w.deliver(l, func() { w.applyReplies(l, vms, answers) })
+		w.deliver(l, func() { w.applyReplies(l, vms, replies) })
 		l.queryPending = false
 	})
 }
 
-// applyReplies takes the answers over.
-func (w *world) applyReplies(l *modelLeader, vms []string, answers map[*modelLeader]predecessorReply) {
-	remembered := int64(0)
+// applyReplies applies the replies of predecessors.
+func (w *world) applyReplies(l *modelLeader, vms []string, replies map[*modelLeader]predecessorReply) {
+	newestKnown := int64(0)
 	for _, p := range l.predecessors {
-		a, answered := answers[p]
+		reply, answered := replies[p]
 		if !answered {
 			continue
 		}
 		for _, id := range vms {
-			l.leaseEnds[id] = max(l.leaseEnds[id], w.now+a.leaseLeft[id])
+			l.leaseEnds[id] = max(l.leaseEnds[id], w.now+reply.leaseLeft[id])
 		}
-		l.s.AcceptCrashReports(w.now, a.crashes)
-		if a.leasesKnown {
-			remembered = max(remembered, p.fence)
+		l.s.AcceptCrashReports(w.now, reply.crashes)
+		if reply.leasesKnown {
+			newestKnown = max(newestKnown, p.fence)
 		}
 	}
 	l.predecessors = slices.DeleteFunc(l.predecessors, func(p *modelLeader) bool {
-		_, answered := answers[p]
-		return answered || p.fence < remembered
+		_, answered := replies[p]
+		return answered || p.fence < newestKnown
 	})
 	if len(l.predecessors) == 0 {
-		w.tracef("leader %d knows of its predecessors' leases", l.fence)
+		w.tracef("leader %d has its predecessors' leases", l.fence)
 		l.s.ShortenWaits(l.leaseEnds)
 		l.leasesKnown = true
 	}
 }
 
-// pruneTenures takes the earlier tenures off the record.
+// pruneTenures removes earlier tenures from the store.
 func (w *world) pruneTenures(l *modelLeader) {
 	if w.reachesStore(l) && w.holdsKey(l) {
 		w.store.tenures = []*modelLeader{l}
@@ -78,38 +79,38 @@
 	}
 }
 
-// queryPredecessor is the side of the process that is asked.
+// queryPredecessor returns the reply of predecessor p, or false if it does not respond.
 func (w *world) queryPredecessor(l, p *modelLeader, vms []string) (predecessorReply, bool) {
-	// One that is left alone with some VMs reaches no other process either.
-	alone := w.faults.quickSuccessions && w.now < p.storelessUntil
-	apart := alone || (l.zone != p.zone && (w.now < w.zoneCut[l.zone] || w.now < w.zoneCut[p.zone]))
+	// A leader that is isolated with some VMs reaches no other process.
+	isolated := w.faults.quickSuccessions && w.now < p.storelessUntil
+	unreachable := isolated || (l.zone != p.zone && (w.now < w.zoneCut[l.zone] || w.now < w.zoneCut[p.zone]))
 	switch {
-	case apart, w.now < p.frozenUntil, !w.faultFree && w.chance(30), p.died && w.now < p.restartAt:
+	case unreachable, w.now < p.frozenUntil, !w.faultFree && w.chance(30), p.died && w.now < p.restartAt:
 		return predecessorReply{}, false
 	}
-	a := predecessorReply{leaseLeft: map[string]time.Duration{}}
+	reply := predecessorReply{leaseLeft: map[string]time.Duration{}}
 	if p.died {
 		for _, id := range vms {
-			a.leaseLeft[id] = max(0, p.s.settings.TakeoverWait(0)-(w.now-p.restartAt))
+			reply.leaseLeft[id] = max(0, p.s.settings.TakeoverWait(0)-(w.now-p.restartAt))
 		}
-		return a, true
+		return reply, true
 	}
 	if !w.mutations.keepPredecessorActive {
 		p.ended = true
 		p.leasesReported = true
 	}
-	w.tracef("leader %d is asked by leader %d", p.fence, l.fence)
+	w.tracef("leader %d is queried by leader %d", p.fence, l.fence)
 	if w.now < p.readyAt {
 		for _, id := range vms {
-			a.leaseLeft[id] = max(0, p.s.settings.TakeoverWait(0)-w.now)
+			reply.leaseLeft[id] = max(0, p.s.settings.TakeoverWait(0)-w.now)
 		}
-		return a, true
+		return reply, true
 	}
-	a.leasesKnown = true
-	a.crashes = p.s.UnrecordedCrashes()
-	over := p.s.LeaseDeadlines()
+	reply.leasesKnown = true
+	reply.crashes = p.s.UnrecordedCrashes()
+	deadlines := p.s.LeaseDeadlines()
 	for _, id := range vms {
-		a.leaseLeft[id] = max(0, over[id]-w.now)
+		reply.leaseLeft[id] = max(0, deadlines[id]-w.now)
 	}
-	return a, true
+	return reply, true
 }
--- a/internal/scheduler/explore_store_test.go
+++ b/internal/scheduler/explore_store_test.go
@@ -14,21 +14,21 @@
 	attempts   int
 	acceptedAt Time
 	cancelled  bool
-	// crashes: the first task of each step ends its VMs.
+	// crashes is set if the first task of each step crashes its VMs.
 	crashes bool
 }
 
-// jobEvent is what a watch of the jobs tells.
+// jobEvent is an event of a watch of the jobs.
 type jobEvent struct {
 	at     Time
 	job    *modelJob
 	cancel bool
 }
 
-// modelStore is the durable store.
+// modelStore simulates the durable store.
 type modelStore struct {
 	downUntil Time
-	// holder has the leader's key until keyUntil.
+	// holder is the leader that holds the key until keyUntil.
 	holder      *modelLeader
 	keyUntil    Time
 	jobs        []*modelJob
@@ -44,19 +44,18 @@
 	return Submission{Job: j.spec, Queue: j.queue, Pool: "pool", Age: now - j.acceptedAt, CreatedRevision: int64(j.acceptedAt)}
 }
 
-// listedInstances is the store's list of VMs.
+// listedInstances returns the VMs that have an entry in the store.
 func (w *world) listedInstances() []batch.Instance {
-	var out []batch.Instance
+	var listed []batch.Instance
 	for _, v := range w.vms {
 		if v.listed {
-			out = append(out, w.instance(v))
+			listed = append(listed, w.instance(v))
 		}
 	}
-	return out
+	return listed
 }
 
-// submit accepts a job; a leader whose own process accepts it need not wait for
-// its watch.
+// submit adds a random job to the store.
 func (w *world) submit() {
 	if w.now < w.store.downUntil {
 		return
@@ -67,8 +66,8 @@
 		j.spec.Steps = append(j.spec.Steps, tasks(1, taskSize))
 		j.spec.Steps[1].After = []int{0}
 	}
-	// No two jobs have the same work, so that no two have the same place in the queue:
-	// such would start in the order of a map.
+	// Distinct estimates give each job its own place in the queue: jobs with equal places would
+	// start in map iteration order.
 	for i := range j.spec.Steps {
 		j.spec.Steps[i].Estimate += time.Duration(len(w.store.jobs)) * time.Millisecond
 	}
@@ -87,6 +86,8 @@
 	w.publish(jobEvent{at: w.now, job: j})
 }
 
+// publish adds an event to the watch. A leader whose own process accepted the request applies the
+// event at once.
 func (w *world) publish(e jobEvent) {
 	w.store.events = append(w.store.events, e)
 	for _, l := range w.leaders {
@@ -96,7 +97,7 @@
 	}
 }
 
-// cancelRecentJob cancels a job of late.
+// cancelRecentJob cancels one of the last five jobs.
 func (w *world) cancelRecentJob() {
 	n := len(w.store.jobs)
 	if n == 0 || w.now < w.store.downUntil {
