--- a/internal/scheduler/explore_vm_test.go
+++ b/internal/scheduler/explore_vm_test.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	// heartbeatInterval is how often a VM writes to the store, entryTTL how long its entry
-	// outlives the last such write.
+	// heartbeatInterval is the interval of a VM's writes to the store, entryTTL how long its
+	// entry stays after the last one.
 	heartbeatInterval = 1500 * time.Millisecond
 	entryTTL          = 3 * heartbeatInterval
-	// minDrainDuration is the least time from the announcement of a drain to the VM's exit.
+	// minDrainDuration is the minimum time between the announcement of a drain and the VM's exit.
 	minDrainDuration = 2 * time.Second
-	// minLivingVMs is how many VMs are left alone by crashes and drains.
+	// minLivingVMs is the number of VMs that injected crashes and drains leave running.
 	minLivingVMs = 3
 )
 
-// modelRun is something that runs on a VM of the model.
+// modelRun is a run on a simulated VM, which ends at until.
 type modelRun struct {
 	task   batch.TaskID
 	number int64
 	until  Time
 }
 
-// modelEnd is an end that a VM tells until it is acknowledged.
+// modelEnd is the end of a run that a VM reports until it is acknowledged.
 type modelEnd struct {
 	batch.RunEnd
-	// tick is when it came, in the world's order of things.
+	// tick is its place in the order of starts and ends.
 	tick int64
-	// leaseExpired is set once the VM's lease ran out after it.
+	// leaseExpired is set when the VM's lease has expired since the end.
 	leaseExpired bool
 }
 
-// modelVM is one life of a VM.
+// modelVM is an incarnation of a simulated VM.
 type modelVM struct {
 	id, address string
-	// born tells the starts under an ID apart, bornAt is when this one began. before and
-	// next are the starts before and after it under the same ID.
+	// born distinguishes the incarnations of an ID, bornAt is when this one started. previous
+	// and next are the adjacent incarnations of the ID.
 	born           int64
 	bornAt         Time
 	previous, next *modelVM
-	// noReset: what is sent to it after its end is left in silence.
+	// noReset is set if connections to the ended VM time out instead of being reset.
 	noReset  bool
 	zone     int
 	fence    int64
@@ -51,46 +51,46 @@
 	lastRuns map[batch.TaskID]int64
 	ended    []*modelEnd
 	seq      int64
-	// reportedSeq is the highest end that it has told.
+	// reportedSeq is the highest sequence number of an end that it has reported.
 	reportedSeq int64
-	// lease is on the VM's clock, which runs at rate.
+	// lease is the end of the lease by the VM's clock, which runs at rate.
 	lease time.Duration
 	rate  float64
 
-	// cutUntil is when the VM reaches anybody again, storelessUntil the store.
+	// cutUntil is when the VM can communicate again, storelessUntil when it reaches the store.
 	cutUntil, storelessUntil Time
-	// onlyLeader is the only leader that reaches it until onlyLeaderUntil.
+	// onlyLeader is the only leader that reaches the VM until onlyLeaderUntil.
 	onlyLeader      *modelLeader
 	onlyLeaderUntil Time
-	// listed is whether the store has its entry, announced whether that says that
-	// it drains; its heartbeats are at nextHeartbeat, the last one to arrive was at lastHeartbeat.
+	// listed is whether the store has the VM's entry, drainAnnounced whether the entry announces
+	// a drain. lastHeartbeat is the time of the last successful heartbeat, from which the entry
+	// expires; it moves on with some outages of the store.
 	listed, drainAnnounced       bool
 	nextHeartbeat, lastHeartbeat Time
-	// entryWrittenAt is when it last wrote its entry, while lastHeartbeat stands still with a store
-	// that is down.
+	// entryWrittenAt is when the VM last wrote its entry, unaffected by outages of the store.
 	entryWrittenAt Time
 	draining, dead bool
 	exitAt         Time
-	// milliCPU is what it has, shown what its entry says, sizes what it had of late.
+	// milliCPU is the capacity, listedMilliCPU the one in the entry, pastSizes earlier ones.
 	milliCPU, listedMilliCPU int64
 	pastSizes                []modelSize
 }
 
-// modelSize is what a VM had until a moment.
+// modelSize is a capacity that a VM had until a given time.
 type modelSize struct {
 	until    Time
 	milliCPU int64
 }
 
-// fullSize and smallSize are what VMs have, in thousandths of a processor; a task takes
-// taskSize.
+// fullSize and smallSize are the capacities of VMs, and taskSize is the demand of a task, in
+// thousandths of a CPU.
 const (
 	fullSize  = 2000
 	smallSize = 1000
 	taskSize  = 900
 )
 
-// resizeVM lets a VM's capacity shrink, or grow again.
+// resizeVM switches the capacity of a random VM between fullSize and smallSize.
 func (w *world) resizeVM() {
 	living := w.living()
 	if len(living) == 0 {
@@ -99,22 +99,22 @@
 	v := living[w.rng.IntN(len(living))]
 	v.pastSizes = append(v.pastSizes, modelSize{until: w.now, milliCPU: v.milliCPU})
 	v.milliCPU = fullSize + smallSize - v.milliCPU
-	w.tracef("%s has %dm now", v.id, v.milliCPU)
+	w.tracef("%s is resized to %dm", v.id, v.milliCPU)
 }
 
-// maxRecentSize is the most that a VM had since its heartbeats, and a leader that is not
-// disturbed, have told it for certain.
+// maxRecentSize returns the largest capacity of a VM that a leader may still assume: earlier ones
+// count until a heartbeat has been written and a leader has been stable long enough to read it.
 func (w *world) maxRecentSize(v *modelVM) int64 {
-	most := v.milliCPU
+	largest := v.milliCPU
 	for _, s := range v.pastSizes {
 		if w.now-s.until < stableDuration+heartbeatInterval {
-			most = max(most, s.milliCPU)
+			largest = max(largest, s.milliCPU)
 		}
 	}
-	return most
+	return largest
 }
 
-// stableDuration is how long nothing has to go wrong for bounds in time to hold.
+// stableDuration is how long there have to be no faults before time limits apply.
 const stableDuration = 3 * time.Second
 
 func (v *modelVM) clock(now Time) time.Duration {
@@ -124,7 +124,7 @@
 	return time.Hour + time.Duration(float64(now)*v.rate)
 }
 
-// latest is the last start under the VM's ID.
+// latest returns the latest incarnation of the VM's ID.
 func (v *modelVM) latest() *modelVM {
 	for v.next != nil {
 		v = v.next
@@ -132,7 +132,7 @@
 	return v
 }
 
-// extendLease prolongs the lease: never beyond the longest that VMs grant.
+// extendLease extends the lease, to at most the maximum lease if the VM reports its incarnation.
 func (w *world) extendLease(v *modelVM, until time.Duration) {
 	if v.born != 0 {
 		until = min(until, v.clock(w.now)+w.maxLease())
@@ -140,8 +140,8 @@
 	v.lease = max(v.lease, until)
 }
 
-// modelMaxLease is the longest lease that VMs grant, modelShortMaxLease that where leaders follow each other
-// quickly: shorter than a leader acts without the store.
+// modelMaxLease is the maximum lease that VMs accept. modelShortMaxLease is the one with
+// quickSuccessions: shorter than a leader may act without the store.
 const (
 	modelMaxLease      = 10 * time.Second
 	modelShortMaxLease = 3 * time.Second
@@ -154,7 +154,7 @@
 	return modelMaxLease
 }
 
-// runNumber returns the number of the run of a task, or 0.
+// runNumber returns the number of the running run of a task, or 0.
 func (v *modelVM) runNumber(task batch.TaskID) int64 {
 	for _, r := range v.running {
 		if r.task == task {
@@ -172,7 +172,7 @@
 	}
 }
 
-// machines is the machine service's list.
+// machines returns the machine service's list, which has the living VMs.
 func (w *world) machines() []batch.Machine {
 	var list []batch.Machine
 	for _, v := range w.living() {
@@ -181,7 +181,7 @@
 	return list
 }
 
-// addVM begins a new life at an address.
+// addVM starts a VM with a new ID.
 func (w *world) addVM(address string, zone int) {
 	rate := 1.0
 	if w.rng.IntN(2) == 0 {
@@ -195,49 +195,50 @@
 		v.born = w.newBorn()
 	}
 	w.vms = append(w.vms, v)
-	w.tracef("%s begins at %s in zone %d", v.id, address, zone)
+	w.tracef("%s starts at %s in zone %d", v.id, address, zone)
 	w.heartbeat(v)
 }
 
-// newBorn draws the time of day of a start by a clock that jumps: a later one may be less.
+// newBorn draws the start time of an incarnation from a time-of-day clock that jumps: a later
+// incarnation may have a smaller value.
 func (w *world) newBorn() int64 {
 	w.births++
 	return (w.wallMS()+w.upTo(8*time.Second).Milliseconds())<<10 + w.births
 }
 
-// restartVM begins a new start under the ID of a VM that has ended. It may be behind the same
-// cut, and of another size.
-func (w *world) restartVM(old *modelVM, address string) {
-	w.addVM(address, old.zone)
+// restartVM starts a new incarnation under the ID of an ended VM. It may be cut off like the
+// previous one and differ in capacity.
+func (w *world) restartVM(previous *modelVM, address string) {
+	w.addVM(address, previous.zone)
 	v := w.vms[len(w.vms)-1]
-	v.id, v.previous, old.next = old.id, old, v
+	v.id, v.previous, previous.next = previous.id, previous, v
 	if w.chance(50) {
-		v.cutUntil, v.storelessUntil = old.cutUntil, old.storelessUntil
+		v.cutUntil, v.storelessUntil = previous.cutUntil, previous.storelessUntil
 	}
-	w.tracef("%s is that start, born %d", v.id, v.born)
+	w.tracef("that is a new incarnation of %s, born %d", v.id, v.born)
 	if v.listed {
 		w.unlistPrevious(v)
 	}
 }
 
-// unlistPrevious takes the entries of earlier starts off: they have the same key.
+// unlistPrevious removes the entries of earlier incarnations, as they have the same key.
 func (w *world) unlistPrevious(v *modelVM) {
-	for old := v.previous; old != nil; old = old.previous {
-		old.listed = false
+	for previous := v.previous; previous != nil; previous = previous.previous {
+		previous.listed = false
 	}
 }
 
 func (w *world) living() []*modelVM {
-	var out []*modelVM
+	var living []*modelVM
 	for _, v := range w.vms {
 		if !v.dead {
-			out = append(out, v)
+			living = append(living, v)
 		}
 	}
-	return out
+	return living
 }
 
-// reaches reports whether a leader and a VM can talk.
+// reaches reports whether a leader and a VM can communicate.
 func (w *world) reaches(l *modelLeader, v *modelVM) bool {
 	if w.now < v.cutUntil || w.now < l.cutUntil[v.id] || (w.now < v.onlyLeaderUntil && v.onlyLeader != l) {
 		return false
@@ -245,7 +246,7 @@
 	return l.zone == v.zone || (w.now >= w.zoneCut[l.zone] && w.now >= w.zoneCut[v.zone])
 }
 
-// tickVM does what is due on a VM, and in the store's list with its entry.
+// stepVM processes what is due on a VM, and the expiry of its entry in the store.
 func (w *world) stepVM(v *modelVM) {
 	if !v.dead {
 		w.enforceLease(v)
@@ -266,7 +267,7 @@
 	}
 	if v.listed && w.now-v.lastHeartbeat > entryTTL && (w.faults.unlistedVMs || w.faults.restarts || w.faults.entryExpiry) && w.now >= w.store.downUntil {
 		v.listed = false
-		w.tracef("entry of %s goes", v.id)
+		w.tracef("entry of %s expires", v.id)
 	}
 }
 
@@ -280,7 +281,7 @@
 	}
 	v.lastHeartbeat, v.entryWrittenAt = w.now, w.now
 	if !v.listed {
-		w.tracef("entry of %s is there", v.id)
+		w.tracef("entry of %s added", v.id)
 	}
 	v.listed = true
 	w.unlistPrevious(v)
@@ -289,24 +290,24 @@
 	}
 	if v.draining && !v.drainAnnounced {
 		v.drainAnnounced = true
-		// Some take many seconds longer than they must.
-		longest := time.Second
+		// Some drains take many seconds longer than the minimum.
+		maxExtra := time.Second
 		if w.chance(60) {
-			longest = 10 * time.Second
+			maxExtra = 10 * time.Second
 		}
-		v.exitAt = w.now + minDrainDuration + w.upTo(longest)
-		w.tracef("%s says that it drains", v.id)
+		v.exitAt = w.now + minDrainDuration + w.upTo(maxExtra)
+		w.tracef("%s announces its drain", v.id)
 	}
 }
 
-// drainVM lets a VM announce its end.
+// drainVM lets a VM announce a drain with an immediate heartbeat.
 func (w *world) drainVM(v *modelVM) {
 	v.draining = true
 	v.nextHeartbeat = w.now
 }
 
-// killVM ends a VM's life, and with it all that runs there; a new one begins, often at
-// the same address. The entry goes at once only if the VM could take it off.
+// killVM ends a VM and its runs and schedules a replacement, often at the same address. The entry
+// is removed at once only if the exit is clean and the VM reaches the store.
 func (w *world) killVM(v *modelVM, clean bool) {
 	w.tracef("%s dies", v.id)
 	v.dead = true
@@ -321,17 +322,17 @@
 	}
 	if w.faults.restarts && w.chance(70) {
 		v.noReset = w.chance(50)
-		longest := time.Second
+		maxDelay := time.Second
 		if w.chance(30) {
-			longest = 10 * time.Second
+			maxDelay = 10 * time.Second
 		}
-		w.after(500*time.Millisecond+w.upTo(longest), func() { w.restartVM(v, address) })
+		w.after(500*time.Millisecond+w.upTo(maxDelay), func() { w.restartVM(v, address) })
 		return
 	}
 	w.after(500*time.Millisecond+w.upTo(4*time.Second), func() { w.addVM(address, v.zone) })
 }
 
-// killManyVMs ends so many VMs at once that their end has a cause of its own.
+// killManyVMs ends so many VMs at once that the scheduler has to treat them as a mass failure.
 func (w *world) killManyVMs() {
 	living := slices.DeleteFunc(w.living(), func(v *modelVM) bool { return v.draining })
 	if len(living) <= minMassEnds {
@@ -343,7 +344,7 @@
 	}
 }
 
-// handleHold is the VM's side of a hold.
+// handleHold processes a hold on a VM. It returns true if the leader is fenced.
 func (w *world) handleHold(v *modelVM, o batch.HoldOrder) (batch.Report, bool) {
 	w.enforceLease(v)
 	if o.Fence < v.fence && !w.mutations.noFencing {
@@ -352,24 +353,24 @@
 	v.fence = max(v.fence, o.Fence)
 	w.extendLease(v, o.LeaseUntil)
 	if o.Acked > v.reportedSeq {
-		w.fail(batch.TaskID{}, "%s is to forget its ends up to %d, and has told those up to %d", v.id, o.Acked, v.reportedSeq)
+		w.fail(batch.TaskID{}, "%s received an acknowledgement of ends up to %d, and has reported ends up to %d", v.id, o.Acked, v.reportedSeq)
 	}
 	for len(v.ended) > 0 && v.ended[0].Seq <= o.Acked {
 		w.checkAck(v, v.ended[0])
 		v.ended = v.ended[1:]
 	}
 	v.reportedSeq = v.seq
-	rep := batch.Report{Born: v.born, Clock: v.clock(w.now)}
+	report := batch.Report{Born: v.born, Clock: v.clock(w.now)}
 	for _, e := range v.ended {
-		rep.Ended = append(rep.Ended, e.RunEnd)
+		report.Ended = append(report.Ended, e.RunEnd)
 	}
 	for _, r := range v.running {
-		rep.Running = append(rep.Running, batch.RunStatus{Task: r.task, Run: r.number, Progress: w.rng.IntN(100)})
+		report.Running = append(report.Running, batch.RunStatus{Task: r.task, Run: r.number, Progress: w.rng.IntN(100)})
 	}
-	return rep, false
+	return report, false
 }
 
-// enforceLease kills everything on a VM whose lease is over.
+// enforceLease ends all runs on a VM whose lease has expired.
 func (w *world) enforceLease(v *modelVM) {
 	if v.clock(w.now) <= v.lease {
 		return
@@ -391,8 +392,8 @@
 	w.tracef("%s run %s ends on %s: %s", r.task, runLabel(r.number), v.id, kind)
 }
 
-// runDuration draws how long a run takes: most are short, some outlive a change
-// of leader, and a few the wait for VMs that are not reached.
+// runDuration draws the duration of a run: most are short, some outlast a change of leader, and a
+// few outlast the wait for unreachable VMs.
 func (w *world) runDuration() time.Duration {
 	switch n := w.rng.IntN(20); {
 	case n < 12, w.faultFree:
@@ -405,7 +406,7 @@
 	return 8*time.Second + w.upTo(12*time.Second)
 }
 
-// handleStart is the VM's side of a start.
+// handleStart processes a start on a VM. An empty refusal means that the run is running.
 func (w *world) handleStart(v *modelVM, o Order) batch.Refusal {
 	w.enforceLease(v)
 	switch {
@@ -416,11 +417,11 @@
 	}
 	v.fence = max(v.fence, o.Start.Fence)
 	w.extendLease(v, o.Start.LeaseUntil)
-	there := v.runNumber(o.Task)
-	if there == o.Run {
+	running := v.runNumber(o.Task)
+	if running == o.Run {
 		return ""
 	}
-	if o.Run <= v.lastRuns[o.Task] || there != 0 {
+	if o.Run <= v.lastRuns[o.Task] || running != 0 {
 		return batch.RefusedOld
 	}
 	w.checkStart(v, o)
@@ -439,25 +440,25 @@
 	return ""
 }
 
-// taskCrashDelay is how long after its start a task ends its VM.
+// Delays from the start of a crashing task to the crash of its VM.
 const (
 	taskCrashDelay     = 10 * time.Millisecond
 	slowTaskCrashDelay = 1500 * time.Millisecond
 )
 
-// crashVM ends a VM under a task that ends its VMs.
+// crashVM ends the VM of a crashing task if the run is still running.
 func (w *world) crashVM(v *modelVM, o Order) {
 	if v.dead || v.runNumber(o.Task) != o.Run {
 		return
 	}
-	w.tracef("%s ends %s", o.Task, v.id)
+	w.tracef("%s crashes %s", o.Task, v.id)
 	w.history(o.Task).crashes++
 	w.killVM(v, false)
-	// The process has ended, not its machine: connections are closed.
+	// Only the process has ended, not its machine, so connections are reset.
 	v.noReset = false
 }
 
-// handleStop is the VM's side of a stop. It returns false for a leader that is fenced.
+// handleStop processes a stop on a VM. It returns false if the leader is fenced.
 func (w *world) handleStop(v *modelVM, fence int64, o Order) bool {
 	w.enforceLease(v)
 	if fence < v.fence && !w.mutations.noFencing {
@@ -470,7 +471,7 @@
 	return true
 }
 
-// runLabel is a run's number as its leader's and its place there.
+// runLabel formats a run number as the leader's fencing token and the number within its tenure.
 type runLabel int64
 
 func (r runLabel) String() string {
