--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -12,14 +12,13 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Tasks were started again and again, every two seconds for the rest of the day, each
-// time on another VM, and each VM ended some 10 ms after it had begun the task. The log
-// had run_started for a task, then vm_unanswered with EOF of its VM 13 ms later, then
-// vm_gone and run_lost for all that ran there, and the same task's run_started again.
-// What ended with a VM was taken off "without blame for the tasks", and nothing counted
-// how many VMs had ended under one.
+// These tests guard against a task that crashes each VM that starts it and is started again on
+// another VM every two seconds, without limit. The VM ends some 10 ms after the start: the log has
+// run_started for the task, vm_unanswered with EOF 13 ms later, vm_gone, run_lost for all runs of the
+// VM, and run_started for the same task again. This happens if runs that end with their VM are
+// removed without counting how many VMs have ended under each task.
 
-// crashSeeds are n seeds, and half as many of polled fleets.
+// crashSeeds returns n seeds, and n/2 seeds of fleets with pollsMachines, both times exploreScale.
 func crashSeeds(n uint64) []uint64 {
 	var seeds []uint64
 	for seed := range n * *exploreScale {
@@ -31,7 +30,7 @@
 	return seeds
 }
 
-// crashingJobs are a job of each kind whose first task ends its VMs.
+// crashingJobs are the steps of a job of each kind. The first task of its last step crashes its VMs.
 var crashingJobs = map[string][]batch.Step{
 	"plain":       {tasks(3, 1000)},
 	"second step": {tasks(2, 1000), {Tasks: 2, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, After: []int{0}}},
@@ -41,10 +40,10 @@
 	"filler":      {{Tasks: 3, Need: batch.Resources{MilliCPU: 1000, MemoryMB: 10}, Estimate: time.Second, Filler: true}},
 }
 
-// crashingKinds are their names, in a fixed order.
+// crashingKinds are the kinds of crashingJobs, sorted.
 var crashingKinds = slices.Sorted(maps.Keys(crashingJobs))
 
-// submitCrashing hands in one of them, and returns the task that ends its VMs.
+// submitCrashing submits the job of a kind from crashingJobs and returns its crashing task.
 func (c *crashFleet) submitCrashing(kind string) batch.TaskID {
 	steps := crashingJobs[kind]
 	id := batch.TaskID{Job: "bad-" + kind, Step: len(steps) - 1}
@@ -56,26 +55,26 @@
 	return id
 }
 
-// submitHarmless hands in harmless jobs now and then while time passes.
-func (c *crashFleet) submitHarmless(n int, every time.Duration) {
+// submitHarmless submits n jobs that crash no VM, at the given interval.
+func (c *crashFleet) submitHarmless(n int, interval time.Duration) {
 	for range n {
 		id := fmt.Sprintf("good%d", c.harmlessJobs)
 		c.harmlessJobs++
 		c.runDurations[id] = time.Duration(200+c.rng.IntN(4000)) * time.Millisecond
 		c.submitJob(&batch.Job{ID: id, Payload: "p", Steps: []batch.Step{tasks(1+c.rng.IntN(4), 1000)}})
-		c.runFor(every)
+		c.runFor(interval)
 	}
 }
 
-// requireHarmlessCompleted fails where one of the harmless jobs did not complete.
+// requireHarmlessCompleted fails if one of the harmless jobs has not completed.
 func (c *crashFleet) requireHarmlessCompleted() {
 	for i := range c.harmlessJobs {
 		c.requireState(fmt.Sprintf("good%d", i), batch.Completed)
 	}
 }
 
-// runCrashing plays a job of a kind that ends its VMs among others: it has to be given up
-// in time, and all others kept. It returns the task.
+// runCrashing simulates a crashing job of a kind among harmless ones: it has to fail in time, and all
+// others have to complete. It returns the crashing task.
 func (c *crashFleet) runCrashing(kind string) batch.TaskID {
 	c.runFor(2 * time.Second)
 	task := c.submitCrashing(kind)
@@ -87,31 +86,33 @@
 	return task
 }
 
+// Guards against unlimited starts of a crashing task, with each kind of job and with holds that are
+// reset or time out.
 func TestTaskThatCrashesItsVMsFails(t *testing.T) {
 	t.Parallel()
-	forEachKind(t, "dark", func(t *testing.T, kind string, dark bool) {
+	forEachKind(t, "no resets", func(t *testing.T, kind string, noResets bool) {
 		for _, seed := range crashSeeds(20) {
 			c := newCrashFleet(t, 12, seed)
-			c.noResets = dark
+			c.noResets = noResets
 			task := c.runCrashing(kind)
-			require.GreaterOrEqual(t, len(c.crashTimes[task]), 2, "given up with too little evidence")
+			require.GreaterOrEqual(t, len(c.crashTimes[task]), 2, "failed after too few crashes")
 		}
 	})
 }
 
-// forEachKind runs a test for each kind of job, without and with what is named, beside each other.
-func forEachKind(t *testing.T, named string, test func(t *testing.T, kind string, with bool)) {
+// forEachKind runs a test in parallel for each kind of job, without and with the named option.
+func forEachKind(t *testing.T, option string, test func(t *testing.T, kind string, enabled bool)) {
 	for _, kind := range crashingKinds {
-		for _, with := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, %s %v", kind, named, with), func(t *testing.T) {
+		for _, enabled := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, %s %v", kind, option, enabled), func(t *testing.T) {
 				t.Parallel()
-				test(t, kind, with)
+				test(t, kind, enabled)
 			})
 		}
 	}
 }
 
-// A task may end its VM some time after it began.
+// Guards against unlimited starts of a task that crashes its VMs 600 ms after its start.
 func TestTaskThatCrashesItsVMsLaterFails(t *testing.T) {
 	t.Parallel()
 	for _, kind := range crashingKinds {
@@ -124,8 +125,8 @@
 	}
 }
 
-// Several such tasks that are started at the same moments end their VMs at the same
-// moments: that must not pass for the loss of a rack.
+// Guards against crashes that are classified as the loss of a rack: several crashing tasks that start
+// at the same time end their VMs at the same time.
 func TestTasksThatCrashSimultaneouslyFail(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(20) {
@@ -142,9 +143,9 @@
 	}
 }
 
-// New tasks that end their VMs come each second, so that others' VMs end about when a
-// suspect's does. A leader counted such ends as those of a rack, or as shared, and started
-// a task six times: its trials told it nothing.
+// Guards against inconclusive trials: new crashing tasks arrive each second, so other VMs end at about
+// the same time as a suspect's. A leader that classifies such ends as the loss of a rack, or as shared
+// with other tasks, starts a task six times.
 func TestCrashesOfManyTasksAreAttributed(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(10) {
@@ -167,8 +168,8 @@
 	}
 }
 
-// The count of a leader that dies is its successor's: without it each take-over gives a
-// task its VMs anew.
+// Guards against crash counts that are lost when the leader dies: a task could then crash as many VMs
+// again after each take-over.
 func TestCrashesAreCountedOverTakeOvers(t *testing.T) {
 	t.Parallel()
 	for _, kind := range crashingKinds {
@@ -190,7 +191,8 @@
 	}
 }
 
-// Writes whose answers are lost, and a store that is away, must not lose the count.
+// Guards against crash counts that are lost when responses to writes are lost or the store is
+// unavailable.
 func TestCrashesAreCountedOverLostWrites(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(40) {
@@ -211,8 +213,8 @@
 	}
 }
 
-// A task that is started beside one that ends its VMs is lost with each of them, and is
-// not to blame: placing puts what waits together to the same VM again and again.
+// Guards against the failure of tasks that start together with a crashing task and are lost with each
+// of its VMs: placement assigns tasks that wait together to the same VM repeatedly.
 func TestTasksBesideACrashAreKept(t *testing.T) {
 	t.Parallel()
 	for _, seed := range crashSeeds(40) {
@@ -236,11 +238,11 @@
 	}
 }
 
-// Racks and the power of all fail again and again, often while a task that was lost
-// before has just been started: nothing of that is the task's doing.
+// Guards against the failure of tasks that lose their VMs for other reasons: racks or the power of all
+// VMs fail repeatedly, often just after a lost task was started again.
 func TestTasksOnLostVMsAreKept(t *testing.T) {
 	t.Parallel()
-	for name, strike := range map[string]func(*crashFleet){
+	for name, endVMs := range map[string]func(*crashFleet){
 		"rack":  func(c *crashFleet) { c.killRack(fmt.Sprintf("r%d", c.rng.IntN(3))) },
 		"power": func(c *crashFleet) { c.killAll() },
 		"some": func(c *crashFleet) {
@@ -266,7 +268,7 @@
 				for range 10 {
 					c.submitHarmless(3, 20*time.Millisecond)
 					c.runFor(time.Duration(c.rng.IntN(3500)) * time.Millisecond)
-					strike(c)
+					endVMs(c)
 				}
 				c.runFor(60 * time.Second)
 				c.requireHarmlessCompleted()
@@ -278,16 +280,16 @@
 	}
 }
 
-// A suspect of a queue with an adviser waited for ever: the adviser was asked for other
-// tasks only, and the one VM that it had allowed was gone.
+// Guards against a suspect in a queue with an adviser that waits forever, because the adviser is asked
+// for other tasks only and the one VM that it allowed has ended.
 func TestAdviceIsRequestedForSuspect(t *testing.T) {
 	f := newFixture(t, 3)
-	c := *f.s.config
-	c.Queues = []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second, Advice: &batch.Advice{ValidFor: time.Minute}}}
-	f.s.SetConfig(&c)
+	config := *f.s.config
+	config.Queues = []batch.Queue{{Name: testQueue, Pool: "pool", Attempts: 3, Stretch: 2, Slack: time.Second, Advice: &batch.Advice{ValidFor: time.Minute}}}
+	f.s.SetConfig(&config)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 1000))
-	advised := func() Order {
+	nextAdvice := func() Order {
 		for _, o := range f.plan() {
 			if o.Kind == OrderAdvise {
 				return o
@@ -295,9 +297,9 @@
 		}
 		return Order{}
 	}
-	asked := advised()
-	require.NotEmpty(t, asked.Candidates)
-	f.s.Advised(f.now, f.now, asked, map[string]string{"vm00": "ticket"}, time.Minute, true)
+	request := nextAdvice()
+	require.NotEmpty(t, request.Candidates)
+	f.s.Advised(f.now, f.now, request, map[string]string{"vm00": "ticket"}, time.Minute, true)
 	f.plan()
 	f.confirm(f.last("j.0.0.0"))
 	f.s.HoldFailed(f.now, "vm00", true)
@@ -308,21 +310,21 @@
 	f.s.SetInstances(f.now, f.list)
 	f.advance(time.Second)
 	f.reportAll(nil)
-	// The other two were refused; a new life of the first VM may be allowed.
-	fresh := instance(0)
-	fresh.ID = "vm00-again"
-	f.list = append(f.list, fresh)
+	// The adviser refused the other two VMs; it may allow a replacement of the first one.
+	replacement := instance(0)
+	replacement.ID = "vm00-again"
+	f.list = append(f.list, replacement)
 	f.s.SetInstances(f.now, f.list)
-	f.report(fresh.ID, batch.Report{})
-	asked = advised()
-	require.Equal(t, []string{fresh.ID}, asked.Candidates)
-	f.s.Advised(f.now, f.now, asked, map[string]string{fresh.ID: "ticket"}, time.Minute, true)
+	f.report(replacement.ID, batch.Report{})
+	request = nextAdvice()
+	require.Equal(t, []string{replacement.ID}, request.Candidates)
+	f.s.Advised(f.now, f.now, request, map[string]string{replacement.ID: "ticket"}, time.Minute, true)
 	f.plan()
 	require.Len(t, f.started["j.0.0.0"], 2)
 }
 
-// The leases of a VM that was cut off ran out, and it came back: then it ended under a
-// task, and that counts.
+// Guards against a crash that is not counted, because the VM was cut off until its leases expired and
+// has returned since.
 func TestEndOfAVMThatCameBackCounts(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
@@ -347,9 +349,9 @@
 	require.Equal(t, crashKindNames[crashShared], last.Reason)
 }
 
-// A VM that was kept for a suspect ended before it was free. The suspect was started there
-// all the same, on a VM that nobody held any more: its run never ended, and the job waited
-// for ever (found by the explorer, seed 180 of VMs off the list with capacities that shrink).
+// Guards against the start of a suspect on a removed VM: the VM that is reserved for the suspect ends
+// before it is free, and the run there would never end. The explorer showed this with seed 180 of
+// unlisted VMs with shrinking capacities.
 func TestVMKeptForASuspectMayEnd(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -361,7 +363,7 @@
 	if other == first.Instance.ID {
 		other = f.list[1].ID
 	}
-	// Something new on the other VM: it has to be kept until that has lived.
+	// A recent run on the other VM: it is reserved until that run is no longer recent.
 	f.submit("k", tasks(1, 500))
 	f.plan()
 	require.Equal(t, other, f.last("k.0.0.0").Instance.ID)
@@ -378,8 +380,8 @@
 	require.Len(t, f.started["j.0.0.0"], 1, "no VM is left")
 }
 
-// A job was given up while its step was being started, and the tasks after the one that was
-// judged were started all the same: nobody stopped them.
+// Guards against starts of a failed job: if it fails while the tasks of a step are being started, the
+// remaining tasks would be started and never stopped.
 func TestFailedJobStartsNothing(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
@@ -393,25 +395,25 @@
 	require.Empty(t, f.started)
 }
 
-// A suspect that fills waited for ever in a fleet where every VM is pressed, where others
-// start beside what serves after a while.
+// Guards against a suspect filler that waits forever if every VM is under pressure, while other
+// fillers are started next to serving tasks after some time.
 func TestSuspectFillerDoesNotStarve(t *testing.T) {
 	f := newFixture(t, 1)
 	f.reportAll(nil)
 	serving := batch.Step{Tasks: 1, Need: batch.Resources{MilliCPU: 10_000, MemoryMB: 10}, Lasting: true, Image: "s", TailTarget: 20 * time.Millisecond}
 	f.submit("serving", serving)
 	f.plan()
-	at := f.last("serving.0.0.0")
-	f.confirm(at)
+	servingOrder := f.last("serving.0.0.0")
+	f.confirm(servingOrder)
 	filler := tasks(1, 9000)
 	filler.Filler, filler.Image = true, "f"
 	f.submit("j", filler)
 	f.s.jobs["j"].occs[0].steps[0].tasks[0].setCrash(crash{run: 1, kind: crashShared, vm: vmIncarnation{id: "gone"}})
 	for f.now < time.Minute && len(f.started["j.0.0.0"]) == 0 {
 		f.advance(200 * time.Millisecond)
-		rep := runningReport(at)
-		rep.Running[0].Progress, rep.Running[0].Usage, rep.Running[0].HasUsage = fullPace, 15, true
-		f.report("vm00", rep)
+		report := runningReport(servingOrder)
+		report.Running[0].Progress, report.Running[0].Usage, report.Running[0].HasUsage = fullPace, 15, true
+		f.report("vm00", report)
 		f.plan()
 	}
 	require.Len(t, f.started["j.0.0.0"], 1)
--- a/internal/scheduler/crashfleet_test.go
+++ b/internal/scheduler/crashfleet_test.go
@@ -15,27 +15,27 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// The times of a VM's end as a leader sees it, and of the fleet's steps.
+// Times of the simulated fleet, and limits for crashing tasks.
 const (
 	fleetStep = 20 * time.Millisecond
-	// vmGoneDelay is how long after its end the machine service says that a VM is gone,
-	// replacementDelay when its next life is listed.
+	// vmGoneDelay is the time from a VM's end until the machine service reports it,
+	// replacementDelay the time until its replacement is listed.
 	vmGoneDelay      = 2100 * time.Millisecond
 	replacementDelay = 3 * time.Second
 	holdInterval     = 600 * time.Millisecond
-	// crashLimit of a task may be followed by fewer than excessStartLimit further starts.
+	// After crashLimit crashes, a task may be started fewer than excessStartLimit more times.
 	crashLimit, excessStartLimit = 3, 3
-	// firstPolledSeed is the first seed of polled fleets.
+	// firstPolledSeed is the first seed of fleets with pollsMachines.
 	firstPolledSeed = 100_000
 )
 
-// fleetRun is a run on a VM of the fleet.
+// fleetRun is a run on a VM of the fleet. It ends at until, or not by itself if that is 0.
 type fleetRun struct {
 	number       int64
 	began, until Time
 }
 
-// progress is the share of its work that is done, in percent.
+// progress returns the completed share of the work, in percent.
 func (r *fleetRun) progress(now Time) int {
 	if r.until == 0 {
 		return fullPace
@@ -43,7 +43,7 @@
 	return int(fullPace * (now - r.began) / max(r.until-r.began, 1))
 }
 
-// fleetVM is one life of a VM.
+// fleetVM is an incarnation of a VM.
 type fleetVM struct {
 	inst       batch.Instance
 	runs       map[batch.TaskID]fleetRun
@@ -51,14 +51,14 @@
 	seq        int64
 	nextReport Time
 	crashAt    Time
-	// bornAt is when it began, where VMs start again under their IDs.
+	// bornAt is when it started, if VMs restart under their IDs.
 	bornAt Time
-	// crashingTask is the task that ends it.
+	// crashingTask is the task that crashes the VM at crashAt.
 	crashingTask batch.TaskID
 }
 
-// crashFleet plays a leader's scheduler against VMs of which some are ended by the tasks
-// that they start.
+// crashFleet simulates a leader's scheduler and VMs, some of which are crashed by tasks that they
+// start.
 type crashFleet struct {
 	*fixture
 	rng          *rand.Rand
@@ -66,31 +66,32 @@
 	living       map[string]*fleetVM
 	messages     []message
 	incarnations int
-	// harmlessJobs counts the harmless jobs.
+	// harmlessJobs is the number of submitted jobs that crash no VM.
 	harmlessJobs  int
 	crashingTasks map[batch.TaskID]bool
-	// crashDelay is how long after its start a crashing task ends its VM.
+	// crashDelay is the time from the start of a crashing task to the crash of its VM.
 	crashDelay time.Duration
-	// runDurations is how long runs of a job take; a second where it is not given.
+	// runDurations are the durations of runs by job: a second if not set, without end if 0.
 	runDurations map[string]time.Duration
-	// pollsMachines: the leader learns which VMs live from the machine service, and the entries
-	// of those that have ended are listed for some seconds more.
+	// pollsMachines is set if the leader polls the machine service for living VMs, and the entries
+	// of ended VMs stay listed for entryTTL.
 	pollsMachines bool
 	endedVMs      map[string]Time
 	nextPoll      Time
-	// noResets: VMs end without a sign, and holds time out.
+	// noResets is set if holds to ended VMs time out instead of being reset.
 	noResets bool
-	// restarts: VMs start again under their IDs. judge looks at what they see.
+	// restarts is set if VMs restart under their IDs.
 	restarts bool
-	checker  *restartChecker
-	// records is what the store has, by job; lost says whether a write's answer is lost,
-	// down whether the store can't be written.
+	// checker checks what the VMs observe; it may be nil.
+	checker *restartChecker
+	// records are the records in the store by job. isAnswerLost returns whether the response to a
+	// write is lost; it may be nil. storeDown is set if the store can't be written.
 	jobs         []*batch.Job
 	records      map[string][]byte
 	isAnswerLost func() bool
 	storeDown    bool
-	// startTimes and crashed are the moments of each task's starts and of the crashes that
-	// it brought about.
+	// startTimes and crashTimes are the times of each task's starts and of the crashes that it
+	// caused.
 	startTimes, crashTimes map[batch.TaskID][]Time
 	finalJobs              map[string]bool
 }
@@ -115,7 +116,7 @@
 	return s
 }
 
-// addVM begins a life at a place; four places share a rack.
+// addVM starts an incarnation at a place in the fleet; four places share a rack.
 func (c *crashFleet) addVM(place int) {
 	inst := instance(place)
 	c.incarnations++
@@ -126,7 +127,7 @@
 	c.s.SetInstances(c.now, c.list)
 }
 
-// livingIDs are the living VMs in a fixed order.
+// livingIDs returns the IDs of the living VMs, sorted.
 func (c *crashFleet) livingIDs() []string {
 	var ids []string
 	for id := range c.living {
@@ -136,7 +137,7 @@
 	return ids
 }
 
-// killVM ends a VM; the leader learns it as it would.
+// killVM ends a VM and schedules its replacement and what the leader learns of its end.
 func (c *crashFleet) killVM(id string) {
 	v := c.living[id]
 	delete(c.living, id)
@@ -167,8 +168,8 @@
 	delete(c.endedVMs, id)
 }
 
-// poll tells the leader what it looks at twice a second: the list of VMs, and which of
-// them live.
+// poll reports to the leader what it polls twice a second: the list of VMs, and which of them are
+// living.
 func (c *crashFleet) poll() {
 	if !c.pollsMachines || c.now < c.nextPoll {
 		return
@@ -181,15 +182,15 @@
 	if !c.s.NeedsLivenessCheck(c.now) {
 		return
 	}
-	var lives []batch.Machine
+	var machines []batch.Machine
 	for _, id := range c.livingIDs() {
-		lives = append(lives, batch.Machine{Name: id, State: batch.MachineUp, Instance: id})
+		machines = append(machines, batch.Machine{Name: id, State: batch.MachineUp, Instance: id})
 	}
-	c.s.SetLiveInstances(c.now, c.now, lives)
+	c.s.SetLiveInstances(c.now, c.now, machines)
 }
 
-// failHolds tells the leader of the holds that a VM which has ended leaves unanswered:
-// at once, where its connections are reset, or each when it has waited.
+// failHolds reports to the leader the failed holds of an ended VM: immediately if connections are
+// reset, otherwise after each timeout.
 func (c *crashFleet) failHolds(id string) {
 	first, pause := time.Duration(0), 100*time.Millisecond
 	if c.noResets {
@@ -200,7 +201,7 @@
 	}
 }
 
-// endBrokenGangs ends the runs of gangs elsewhere that had a member on a VM that has ended.
+// endBrokenGangs ends the runs on other VMs of gangs that had a member on an ended VM.
 func (c *crashFleet) endBrokenGangs(v *fleetVM) {
 	for _, task := range v.runningTasks() {
 		if !c.isGang(task) {
@@ -209,9 +210,9 @@
 		for _, id := range c.livingIDs() {
 			other := c.living[id]
 			for _, member := range other.runningTasks() {
-				o := other.runs[member]
-				if member.Job == task.Job && o.number == v.runs[task].number {
-					other.endRun(member, o.number, batch.EndBroken)
+				run := other.runs[member]
+				if member.Job == task.Job && run.number == v.runs[task].number {
+					other.endRun(member, run.number, batch.EndBroken)
 				}
 			}
 		}
@@ -252,7 +253,7 @@
 	c.s.Submit(c.now, Submission{Job: job, Queue: testQueue, Pool: "pool"})
 }
 
-// runFor lets time pass.
+// runFor simulates a span of time.
 func (c *crashFleet) runFor(d time.Duration) {
 	for until := c.now + d; c.now < until; {
 		c.advance(fleetStep)
@@ -303,7 +304,7 @@
 	v.nextReport = c.now + holdInterval
 	order, ok := c.s.Hold(c.now, id, holdInterval)
 	if !ok && c.restarts {
-		// It was given up, and is not listed anew yet.
+		// The leader has removed it, and its new entry is not listed yet.
 		return
 	}
 	require.True(c.t, ok, "unknown VM %s", id)
@@ -313,12 +314,12 @@
 		}
 	}
 	v.ended = slices.DeleteFunc(v.ended, func(e batch.RunEnd) bool { return e.Seq <= order.Acked })
-	rep := batch.Report{Born: v.inst.Born, Clock: v.clock(c.now), Ended: v.ended}
+	report := batch.Report{Born: v.inst.Born, Clock: v.clock(c.now), Ended: v.ended}
 	for _, task := range v.runningTasks() {
 		r := v.runs[task]
-		rep.Running = append(rep.Running, batch.RunStatus{Task: task, Run: r.number, Progress: r.progress(c.now)})
+		report.Running = append(report.Running, batch.RunStatus{Task: task, Run: r.number, Progress: r.progress(c.now)})
 	}
-	c.s.HandleReport(c.now, c.now, id, rep)
+	c.s.HandleReport(c.now, c.now, id, report)
 }
 
 func (v *fleetVM) clock(now Time) time.Duration {
@@ -328,7 +329,7 @@
 	return now + time.Hour
 }
 
-// runningTasks are those that run on the VM, in a fixed order.
+// runningTasks returns the tasks that run on the VM, sorted.
 func (v *fleetVM) runningTasks() []batch.TaskID {
 	var ids []batch.TaskID
 	for id := range v.runs {
@@ -340,7 +341,7 @@
 	return ids
 }
 
-// hasDueRun reports whether a run is to end.
+// hasDueRun reports whether a run is due to end.
 func (v *fleetVM) hasDueRun(now Time) bool {
 	for _, r := range v.runs {
 		if r.until > 0 && now >= r.until {
@@ -369,12 +370,12 @@
 		}
 		c.startTimes[o.Task] = append(c.startTimes[o.Task], c.now)
 		c.checker.started(c, o.Task)
-		lasts, given := c.runDurations[o.Task.Job]
-		if !given {
-			lasts = time.Second
+		duration, ok := c.runDurations[o.Task.Job]
+		if !ok {
+			duration = time.Second
 		}
-		until := c.now + lasts
-		if lasts == 0 {
+		until := c.now + duration
+		if duration == 0 {
 			until = 0
 		}
 		v.runs[o.Task] = fleetRun{number: o.Run, began: c.now, until: until}
@@ -394,7 +395,8 @@
 	}
 }
 
-// flush writes what is pending; an answer that is lost leaves the write done.
+// flush writes pending records. A write whose response is lost takes effect, but the leader doesn't
+// learn of it.
 func (c *crashFleet) flush() {
 	if c.s.NeedsToken() && !c.storeDown {
 		c.fence++
@@ -419,8 +421,8 @@
 	c.s.Flushed(f)
 }
 
-// takeOver lets another leader begin, from what the store has. It has to hear the VMs
-// that its predecessor used, or to learn that they are gone.
+// takeOver replaces the leader by one that restores its state from the store. The new leader awaits
+// the reports or the end of the VMs that its predecessor used.
 func (c *crashFleet) takeOver() {
 	used := c.s.RecordedInstances(c.now)
 	c.fence++
@@ -442,32 +444,32 @@
 	}
 }
 
-// requireStartsBounded fails where a task was started too often after its third crash.
+// requireStartsBounded fails if a task was started too often after its third crash.
 func (c *crashFleet) requireStartsBounded() {
-	for task, crashed := range c.crashTimes {
-		if len(crashed) < crashLimit {
+	for task, crashTimes := range c.crashTimes {
+		if len(crashTimes) < crashLimit {
 			continue
 		}
-		third := crashed[crashLimit-1]
+		third := crashTimes[crashLimit-1]
 		after := 0
 		for _, at := range c.startTimes[task] {
 			if at > third {
 				after++
 			}
 		}
-		require.Less(c.t, after, excessStartLimit, "%s was started %d times after %d VMs had crashed under it, seed %d, crashed %v, started %v: %s",
-			task, after, crashLimit, c.seed, crashed, c.startTimes[task], c.crashLog(task.Job))
+		require.Less(c.t, after, excessStartLimit, "%s was started %d times after it had crashed %d VMs, seed %d, crashes %v, starts %v: %s",
+			task, after, crashLimit, c.seed, crashTimes, c.startTimes[task], c.crashLog(task.Job))
 	}
 }
 
-// requireState fails unless callers are told the state.
+// requireState fails unless the scheduler returns this state of the job.
 func (c *crashFleet) requireState(job string, want batch.State) {
 	state, known := c.s.State(job)
 	require.True(c.t, known)
 	require.Equal(c.t, want, state, "job %s, seed %d: %s", job, c.seed, c.crashLog(job))
 }
 
-// crashLog is what was noted of a job's crashes, for a failure's message.
+// crashLog returns the logged crashes of a job, for failure messages.
 func (c *crashFleet) crashLog(job string) string {
 	var b strings.Builder
 	for _, d := range c.log {
