--- a/internal/scheduler/nextstart_test.go
+++ b/internal/scheduler/nextstart_test.go
@@ -10,7 +10,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// newIncarnationFixture is a fixture whose VMs tell that they were born at 1.
+// newIncarnationFixture returns a fixture whose VMs have reported the incarnation 1.
 func newIncarnationFixture(t *testing.T, vms int) *fixture {
 	f := newFixture(t, vms)
 	f.relistWithBorn(1)
@@ -20,10 +20,10 @@
 	return f
 }
 
-// deliverReport delivers a report of a VM that may have started again, and the next one, of a hold with
-// a higher fencing token, where it has.
-func (f *fixture) deliverReport(vm string, rep batch.Report) {
-	f.s.HandleReport(f.now, f.now, vm, rep)
+// deliverReport delivers a report of a VM that may have restarted. If it has, deliverReport raises the
+// fencing token if needed, sends a hold with it, and delivers the report again.
+func (f *fixture) deliverReport(vm string, report batch.Report) {
+	f.s.HandleReport(f.now, f.now, vm, report)
 	if f.s.vms[vm].fenced {
 		return
 	}
@@ -32,10 +32,10 @@
 	}
 	_, ok := f.s.Hold(f.now, vm, time.Second)
 	require.True(f.t, ok)
-	f.s.HandleReport(f.now, f.now, vm, rep)
+	f.s.HandleReport(f.now, f.now, vm, report)
 }
 
-// relistWithBorn lists all VMs with another birth.
+// relistWithBorn lists all VMs with the given incarnation.
 func (f *fixture) relistWithBorn(born int64) {
 	for i := range f.list {
 		f.list[i].Born = born
@@ -43,8 +43,8 @@
 	f.s.SetInstances(f.now, f.list)
 }
 
-// A start that was ordered before its VM started again may be on the VM's new start: it must
-// not be given elsewhere before that has said that it is not.
+// Guards against a double run: a start that is ordered before its VM restarts may reach the new
+// incarnation, so the task must not be started elsewhere until that reports that it has no run of it.
 func TestPendingStartIsResolvedByNewIncarnation(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
 	f.submit("j", tasks(1, 100))
@@ -55,7 +55,7 @@
 	f.deliverReport("vm00", batch.Report{Born: 2, Clock: 10 * time.Millisecond})
 	f.relistWithBorn(2)
 	f.plan()
-	require.Len(t, f.started["j.0.0.0"], 1, "started again while the order is under way")
+	require.Len(t, f.started["j.0.0.0"], 1, "started again while the order is pending")
 	f.s.Started(f.now, f.now, o, 0, "", true)
 	f.plan()
 	require.Len(t, f.stops, 1)
@@ -66,11 +66,12 @@
 	f.deliverReport("vm00", batch.Report{Born: 2, Clock: 1110 * time.Millisecond})
 	f.s.Tick(f.now)
 	f.plan()
-	require.Len(t, f.started["j.0.0.0"], 2, "never started again")
+	require.Len(t, f.started["j.0.0.0"], 2, "not started again after the reports")
 }
 
-// A start that went to a VM's next start unknown to anybody may run there for the longest
-// lease that VMs grant: its deadline was meant for another clock.
+// Guards against a double run: a start may reach a new incarnation that the leader is not aware of. It
+// may run there for the maximum lease that VMs accept, as its deadline refers to the clock of the
+// previous incarnation.
 func TestUnreportedStartWaitsOutMaxLease(t *testing.T) {
 	f := newIncarnationFixture(t, 2)
 	f.submit("j", tasks(1, 100))
@@ -82,34 +83,34 @@
 	}
 	f.advance(200 * time.Millisecond)
 	require.True(t, f.s.PrepareStart(f.now, o))
-	given := f.now
+	orderedAt := f.now
 	f.s.Started(f.now, f.now, o, 0, "", true)
-	for f.now < given+f.s.settings.MaxLease {
+	for f.now < orderedAt+f.s.settings.MaxLease {
 		f.advance(100 * time.Millisecond)
 		f.report(other, batch.Report{Born: 1})
 		f.s.Tick(f.now)
 		f.plan()
-		require.Len(t, f.started["j.0.0.0"], 1, "started again %v after the order", f.now-given)
+		require.Len(t, f.started["j.0.0.0"], 1, "started again %v after the order", f.now-orderedAt)
 	}
 }
 
-// Another VM answers at the address that a VM had before it started again elsewhere: that
-// says nothing of the new start, and what runs there goes on.
+// Guards against the removal of a living VM: another VM responds at the address that the VM had before
+// it restarted at a new one. The new incarnation and its runs are unaffected.
 func TestVMAtOldAddressDoesNotEndNewIncarnation(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
-	old, _ := f.s.Instance("vm00")
+	previous, _ := f.s.Instance("vm00")
 	f.list[0].Address = "10.0.9.9:1"
 	f.relistWithBorn(2)
 	f.deliverReport("vm00", batch.Report{Born: 2, Clock: time.Second})
-	f.s.RemoveReplaced(f.now, &old)
+	f.s.RemoveReplaced(f.now, &previous)
 	require.Contains(t, f.s.Instances(), "vm00")
-	present, _ := f.s.Instance("vm00")
-	f.s.RemoveReplaced(f.now, &present)
+	current, _ := f.s.Instance("vm00")
+	f.s.RemoveReplaced(f.now, &current)
 	require.NotContains(t, f.s.Instances(), "vm00")
 }
 
-// A VM may be of another kind and size after it has started again: until its new entry is
-// there, nobody knows what it may be given.
+// Guards against placement by an outdated entry: a VM may differ in kind and size after a restart, so it
+// gets no work until its new entry is listed.
 func TestNewIncarnationWaitsForItsOwnEntry(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
 	f.advance(time.Second)
@@ -122,8 +123,8 @@
 	require.Len(t, f.started["j.0.0.0"], 1)
 }
 
-// A successor that has heard a VM relies on the fencing token that it showed. The VM's next
-// start has not seen it, and takes orders of the leader before.
+// Guards against orders of a deposed leader: its successor has shown its fencing token to the VM's
+// previous incarnation only, so the new one would accept orders of the deposed leader.
 func TestNewIncarnationWaitsForConfirmedLead(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
 	f.s.leadConfirmedAt = f.now
@@ -138,8 +139,8 @@
 	require.Len(t, f.started["j.0.0.0"], 1)
 }
 
-// Runs that were given up when all leases on a VM were over may be acknowledged; a later
-// start of it has runs and leases of its own.
+// Guards against runs of a new incarnation that are acknowledged as expired: the restored run number,
+// up to which runs have expired with their leases, applies only to the incarnation that it names.
 func TestExpiredRunsBelongToOneIncarnation(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
 	f.s.vms["vm00"].maxExpiredRun = 9
@@ -153,40 +154,40 @@
 	require.EqualValues(t, 9, same.s.vms["vm00"].maxExpiredRun)
 }
 
-// What earlier versions kept of lapsed leases is a bare number.
+// Guards against unreadable records of expired leases: earlier versions stored a plain number.
 func TestExpiredRunsOfOldFormatAreRead(t *testing.T) {
-	var read map[string]ExpiredLease
-	require.NoError(t, json.Unmarshal([]byte(`{"a":7,"b":{"run":8,"born":3}}`), &read))
-	require.Equal(t, map[string]ExpiredLease{"a": {Run: 7}, "b": {Run: 8, Born: 3}}, read)
+	var decoded map[string]ExpiredLease
+	require.NoError(t, json.Unmarshal([]byte(`{"a":7,"b":{"run":8,"born":3}}`), &decoded))
+	require.Equal(t, map[string]ExpiredLease{"a": {Run: 7}, "b": {Run: 8, Born: 3}}, decoded)
 }
 
-// Guards against work that runs twice: an order that was taken by a VM's start before is carried
-// out seconds later by the next one, which has seen no higher fencing token.
+// Guards against a double run: an order that a VM's previous incarnation accepted is carried out seconds
+// later by the new one, which has not seen a higher fencing token.
 func TestNewIncarnationRefusesEarlierOrders(t *testing.T) {
 	f := newIncarnationFixture(t, 1)
 	f.submit("j", tasks(1, 100))
 	f.plan()
-	before := f.last("j.0.0.0").Start.Fence
+	previousFence := f.last("j.0.0.0").Start.Fence
 	f.advance(time.Second)
 	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.relistWithBorn(2)
 	require.True(t, f.s.NeedsToken())
 	f.submit("second", tasks(1, 100))
 	f.plan()
-	require.Empty(t, f.started["second.0.0.0"], "started where the order may come late")
-	f.s.RaiseToken(before + 7)
-	order, known := f.s.Hold(f.now, "vm00", time.Second)
-	require.True(t, known)
-	require.Greater(t, order.Fence, before)
+	require.Empty(t, f.started["second.0.0.0"], "started before the fencing token was raised")
+	f.s.RaiseToken(previousFence + 7)
+	order, ok := f.s.Hold(f.now, "vm00", time.Second)
+	require.True(t, ok)
+	require.Greater(t, order.Fence, previousFence)
 	f.plan()
-	require.Empty(t, f.started["second.0.0.0"], "the start has not seen the token yet")
+	require.Empty(t, f.started["second.0.0.0"], "started before the new incarnation has seen the token")
 	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 2, Clock: time.Second})
 	f.plan()
-	require.Equal(t, before+7, f.last("second.0.0.0").Start.Fence)
+	require.Equal(t, previousFence+7, f.last("second.0.0.0").Start.Fence)
 }
 
-// Guards against a leader that wakes from a suspension, takes a report of before for what its VM is
-// now, and gives orders to the VM's next start.
+// Guards against a leader that resumes after a suspension, accepts a report from before it as the VM's
+// current state, and gives orders to the VM's new incarnation.
 func TestReportReadAfterASuspensionTellsNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	f.report("vm00", batch.Report{Born: 1})
@@ -196,17 +197,17 @@
 	sentAt := f.now
 	f.advance(4 * time.Second)
 	require.False(t, f.s.HandleReport(f.now, sentAt, "vm00", batch.Report{Born: 1, Clock: time.Hour, Ended: []batch.RunEnd{{Seq: 7, Task: batch.TaskID{Job: "other"}, Run: 1, Kind: batch.EndDone}}}))
-	require.Empty(t, f.plan(), "whether that start lives is not known")
-	o, ok := f.s.Hold(f.now, "vm00", 0)
+	require.Empty(t, f.plan(), "started although the incarnation may have ended")
+	order, ok := f.s.Hold(f.now, "vm00", 0)
 	require.True(t, ok)
-	require.Zero(t, o.LeaseUntil, "it may run out")
-	require.Zero(t, o.Acked)
+	require.Zero(t, order.LeaseUntil, "lease extended although the incarnation may have ended")
+	require.Zero(t, order.Acked)
 	f.s.HandleReport(f.now, f.now, "vm00", batch.Report{Born: 1, Clock: time.Hour})
 	require.Len(t, f.plan(), 1)
 }
 
-// Guards against a deposed leader that gives orders to a start of a VM which began after its successor
-// had spoken to the one before: no leader's fencing token has been seen there.
+// Guards against a deposed leader that gives orders to a VM's incarnation that started after its
+// successor had contacted the previous one, and has not seen any fencing token.
 func TestStartThatIsFirstHeardWithoutTheLeadGetsNothing(t *testing.T) {
 	f := newFixture(t, 0)
 	f.s.leadConfirmedAt = f.now
@@ -218,7 +219,7 @@
 	f.submit("j", tasks(2, 9000))
 	orders := f.plan()
 	require.Len(t, orders, 1)
-	require.Equal(t, "vm01", orders[0].Instance.ID, "its ID is that of one start")
+	require.Equal(t, "vm01", orders[0].Instance.ID, "only the VM whose ID belongs to one incarnation gets work")
 	f.s.ConfirmLeadership(f.now)
 	orders = f.plan()
 	require.Len(t, orders, 1)
@@ -226,8 +227,8 @@
 	require.EqualValues(t, 1, orders[0].Start.Born)
 }
 
-// Guards against starts that are ordered again and again from a start that has ended: each makes a
-// connection to the next one, and is refused.
+// Guards against repeated start orders for an incarnation that has ended: each connects to the new
+// incarnation and is refused.
 func TestRefusedStartWaitsForVMReport(t *testing.T) {
 	f := newFixture(t, 1)
 	f.report("vm00", batch.Report{Born: 1})
