--- a/internal/scheduler/crashfleet_test.go
+++ b/internal/scheduler/crashfleet_test.go
@@ -428,12 +428,12 @@
 	c.fence++
 	c.s = c.newLeader()
 	c.s.SetInstances(c.now, c.list)
-	var expected []string
+	var awaited []string
 	for id, inst := range used {
-		expected = append(expected, id)
+		awaited = append(awaited, id)
 		c.s.AddUnlisted(c.now, inst)
 	}
-	c.s.AwaitInstances(expected, c.now+14*time.Second)
+	c.s.AwaitInstances(awaited, c.now+14*time.Second)
 	for _, job := range c.jobs {
 		sub := Submission{Job: job, Queue: testQueue, Pool: "pool", PredatesLeader: true}
 		if value := c.records[job.ID]; value != nil {
--- a/internal/scheduler/explore_leader_test.go
+++ b/internal/scheduler/explore_leader_test.go
@@ -133,7 +133,7 @@
 	w.recordInstances(l, list, earlier)
 	l.s.SetInstances(w.now, list)
 	used := slices.Sorted(maps.Keys(earlier))
-	if !w.mutations.noExpect {
+	if !w.mutations.skipAwaitInstances {
 		wait := l.s.settings.TakeoverWait(storelessTimeout)
 		if w.mutations.shortWait {
 			wait = time.Second
--- a/internal/scheduler/explore_test.go
+++ b/internal/scheduler/explore_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// faults selects what the explorer injects beside its basic faults.
+// faults selects what the explorer injects in addition to its basic faults.
 //
 // The explorer runs the production scheduler against simulated VMs and a simulated store.
 // Leaders crash, freeze, lose connections or are deposed without noticing; messages are
@@ -61,8 +61,8 @@
 
 // mutations disable safeguards of the scheduler or of the VMs. The explorer has to detect each.
 type mutations struct {
-	// noExpect: a new leader starts old tasks before the VMs have reported.
-	noExpect bool
+	// skipAwaitInstances: a new leader starts old tasks before the VMs have reported.
+	skipAwaitInstances bool
 	// ackBeforeWrite: ends are acknowledged before their record is written.
 	ackBeforeWrite bool
 	// shortWait: a new leader waits only a second for unreachable VMs.
@@ -265,7 +265,7 @@
 		faults    faults
 		firstSeed uint64
 	}{
-		"starts before VMs report":            {mutations: mutations{noExpect: true}},
+		"starts before VMs report":            {mutations: mutations{skipAwaitInstances: true}},
 		"acknowledges before writing":         {mutations: mutations{ackBeforeWrite: true}},
 		"waits a second for unresponsive VMs": {mutations: mutations{shortWait: true}},
 		"drops unanswered starts":             {mutations: mutations{dropUnansweredStarts: true}},
