--- a/internal/scheduler/crashes_test.go
+++ b/internal/scheduler/crashes_test.go
@@ -352,7 +352,7 @@
 // Guards against the start of a suspect on a removed VM: the VM that is reserved for the suspect ends
 // before it is free, and the run there would never end. The explorer showed this with seed 180 of
 // unlisted VMs with shrinking capacities.
-func TestVMKeptForASuspectMayEnd(t *testing.T) {
+func TestVMReservedForSuspectMayEnd(t *testing.T) {
 	f := newFixture(t, 2)
 	f.reportAll(nil)
 	f.submit("j", tasks(1, 9000))
--- a/internal/scheduler/explore_determinism_test.go
+++ b/internal/scheduler/explore_determinism_test.go
@@ -26,7 +26,7 @@
 
 // Guards against decisions that depend on map iteration order: a failed seed would then pass when
 // it is repeated, and the other way round.
-func TestExploreSeedIsOneRun(t *testing.T) {
+func TestExploreIsDeterministic(t *testing.T) {
 	const seeds = 10
 	for _, c := range exploreProfiles() {
 		t.Run(c.name, func(t *testing.T) {
