--- a/internal/scheduler/explore_forced_test.go
+++ b/internal/scheduler/explore_forced_test.go
@@ -139,7 +139,7 @@
 	number := h.starts[earlierStarts].run
 	p.breakpoints = []Time{p.startedAt[k] + taskCrashDelay, p.startedAt[k] + delay}
 	if f.onCrash != nil {
-		p.world.after(taskCrashDelay, func() { f.onCrash(p.world) })
+		p.after(taskCrashDelay, func() { f.onCrash(p.world) })
 	}
 	for p.now < p.startedAt[k]+delay {
 		p.advance()
