--- a/internal/relay/coding.go
+++ b/internal/relay/coding.go
@@ -9,63 +9,64 @@
 	"github.com/cockroachdb/errors"
 )
 
-// On a narrow link the messages of a stream are compressed, each with those before it as
-// its dictionary: the names of jobs and the figures of calls repeat, so that a message takes
-// less than half. That costs either side some 30 us of processor time a message, and 1 MB a
-// stream; where the link is wide the processor is what is short.
+// On a narrow link the messages of a stream are compressed, each with the preceding ones as
+// its dictionary. Job IDs and numbers of calls repeat, so that a message shrinks to less than
+// half. Compression costs either side about 30 us of processor time per message and 1 MB of
+// memory per stream. On a wide link it is not used because the processor is the bottleneck.
 
 const (
-	// maxNarrowLinkMbps is up to which bandwidth of its link, in megabits a second, a leader has
-	// its streams compressed.
+	// maxNarrowLinkMbps is the highest link bandwidth, in megabits per second, at which a
+	// leader requests compressed streams.
 	maxNarrowLinkMbps = 5
-	// compressionLevel is the least at which short messages are matched with those before them.
+	// compressionLevel is the lowest level at which short messages are matched against
+	// preceding ones.
 	compressionLevel = 2
-	// contentCoding names the compression in the HTTP upgrade, in Accept-Encoding and in
-	// Content-Encoding. A relay that does not know it does not confirm it, and the stream
-	// goes on without.
+	// contentCoding identifies the compression in the Accept-Encoding and Content-Encoding
+	// headers of the HTTP upgrade. A relay that does not support it does not confirm it, and
+	// the stream stays uncompressed.
 	contentCoding = "deflate"
 )
 
-// isNarrowLink reports whether streams are to be compressed on a link; 0 is an unknown width.
+// isNarrowLink reports whether streams on a link are to be compressed; 0 is an unknown bandwidth.
 func isNarrowLink(linkMbps float64) bool { return linkMbps > 0 && linkMbps <= maxNarrowLinkMbps }
 
-// messageWriter writes the messages of one side of a stream.
+// messageWriter encodes the messages of one side of a stream.
 type messageWriter struct {
 	buffered *bufio.Writer
-	// compressor is nil where messages are not compressed.
+	// compressor is nil if messages are not compressed.
 	compressor *flate.Writer
 	encoder    *gob.Encoder
 }
 
-func newMessageWriter(to io.Writer, pack bool) (*messageWriter, error) {
-	c := &messageWriter{buffered: bufio.NewWriterSize(to, bufferBytes)}
-	if !pack {
-		c.encoder = gob.NewEncoder(c.buffered)
-		return c, nil
+func newMessageWriter(to io.Writer, compress bool) (*messageWriter, error) {
+	w := &messageWriter{buffered: bufio.NewWriterSize(to, bufferBytes)}
+	if !compress {
+		w.encoder = gob.NewEncoder(w.buffered)
+		return w, nil
 	}
 	var err error
-	if c.compressor, err = flate.NewWriter(c.buffered, compressionLevel); err != nil {
-		return nil, errors.Wrap(err, "compression of a stream")
+	if w.compressor, err = flate.NewWriter(w.buffered, compressionLevel); err != nil {
+		return nil, errors.Wrap(err, "create the compressor of a stream")
 	}
-	c.encoder = gob.NewEncoder(c.compressor)
-	return c, nil
+	w.encoder = gob.NewEncoder(w.compressor)
+	return w, nil
 }
 
-// write writes a message whole.
-func (c *messageWriter) write(message any) error {
-	if err := c.encoder.Encode(message); err != nil {
+// write encodes a message and flushes it, so that the peer can decode it at once.
+func (w *messageWriter) write(message any) error {
+	if err := w.encoder.Encode(message); err != nil {
 		return err
 	}
-	if c.compressor != nil {
-		if err := c.compressor.Flush(); err != nil {
+	if w.compressor != nil {
+		if err := w.compressor.Flush(); err != nil {
 			return err
 		}
 	}
-	return c.buffered.Flush()
+	return w.buffered.Flush()
 }
 
-func newMessageDecoder(from io.Reader, packed bool) *gob.Decoder {
-	if packed {
+func newMessageDecoder(from io.Reader, compressed bool) *gob.Decoder {
+	if compressed {
 		from = flate.NewReader(from)
 	}
 	return gob.NewDecoder(from)
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -6,49 +6,50 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// listing is the list of VMs as the difference from the one that the same stream told
-// before. Within half a second a few of a thousand change in what matters; the list in
-// the store changes in hundreds of entries, since VMs write there that they live.
+// listing is the list of VMs as the difference from the previous one on the same stream.
+// Within half a second only a few of a thousand entries change in a relevant field, while
+// hundreds change in the store because VMs write their heartbeats there.
 type listing struct {
 	Changed []batch.Instance
 	Gone    []string
 }
 
-// lastListing is the list told last, by ID.
+// lastListing is the list most recently sent or received, by ID.
 type lastListing map[string]batch.Instance
 
-// diff returns a list as the difference from the last one, and keeps it.
+// diff returns the difference between list and the previous list, and stores list.
 func (l lastListing) diff(list []batch.Instance) *listing {
-	short := &listing{}
-	now := make(map[string]bool, len(list))
+	delta := &listing{}
+	present := make(map[string]bool, len(list))
 	for i := range list {
 		id := list[i].ID
-		now[id] = true
+		present[id] = true
 		if before, known := l[id]; !known || !equalInstances(&before, &list[i]) {
-			short.Changed = append(short.Changed, list[i])
+			delta.Changed = append(delta.Changed, list[i])
 			l[id] = list[i]
 		}
 	}
 	for id := range l {
-		if !now[id] {
-			short.Gone = append(short.Gone, id)
+		if !present[id] {
+			delta.Gone = append(delta.Gone, id)
 			delete(l, id)
 		}
 	}
-	return short
+	return delta
 }
 
+// equalInstances compares the fields that the leader uses; heartbeats are ignored.
 func equalInstances(a, b *batch.Instance) bool {
 	return a.Born == b.Born && a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Draining == b.Draining &&
 		a.Remaining == b.Remaining && a.Stale == b.Stale && a.Capacity == b.Capacity && slices.Equal(a.Labels, b.Labels)
 }
 
-// apply returns the whole list, in the order of the IDs, and keeps it.
-func (l lastListing) apply(short *listing) []batch.Instance {
-	for i := range short.Changed {
-		l[short.Changed[i].ID] = short.Changed[i]
+// apply applies a difference to the previous list, and returns and stores the result, sorted by ID.
+func (l lastListing) apply(delta *listing) []batch.Instance {
+	for i := range delta.Changed {
+		l[delta.Changed[i].ID] = delta.Changed[i]
 	}
-	for _, id := range short.Gone {
+	for _, id := range delta.Gone {
 		delete(l, id)
 	}
 	list := make([]batch.Instance, 0, len(l))
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -8,48 +8,50 @@
 	"sync"
 )
 
-// payloadCache compresses payloads, each once for all relays.
+// payloadCache compresses each payload once for all relays, and selects a holder for it.
 type payloadCache struct {
-	// mu is taken before that of a stream.
+	// mu is locked before a stream's mu.
 	mu         sync.Mutex
 	compressed map[string][]byte
-	// holders are the relays from which others fetch a job's payload.
+	// holders maps jobs to the relay from which other relays fetch the payload.
 	holders map[string]*stream
 }
 
-// maxCachedPayloads bounds the payloads that are kept compressed: those of the jobs of ten
-// seconds or so. They are compressed anew when all were dropped.
+// maxCachedPayloads bounds the compressed payloads in the cache, which correspond to the jobs
+// of about ten seconds. When the cache is full it is emptied, and payloads still needed are
+// compressed again.
 const maxCachedPayloads = 512
 
-// compress returns a job's payload, compressed.
+// compress returns a job's payload in compressed form.
 func (p *payloadCache) compress(job, text string) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if packed, ok := p.compressed[job]; ok {
-		return packed, nil
+	if compressed, ok := p.compressed[job]; ok {
+		return compressed, nil
 	}
-	packed, err := compressPayload(text)
+	compressed, err := compressPayload(text)
 	if err != nil {
 		return nil, err
 	}
 	if p.compressed == nil || len(p.compressed) >= maxCachedPayloads {
 		p.compressed = map[string][]byte{}
 	}
-	p.compressed[job] = packed
-	return packed, nil
+	p.compressed[job] = compressed
+	return compressed, nil
 }
 
-// holderFor returns the address of the relay from which s is to fetch the job's payload, or ""
-// where the leader sends it: s is the first that needs it, or the one before can't give it.
+// holderFor returns the address of the relay from which s is to fetch the job's payload. It
+// returns "" if the leader has to send the payload: s is the first relay that needs it, or the
+// previous holder cannot serve it.
 func (p *payloadCache) holderFor(job string, s *stream) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := p.holders[job]
+	holder := p.holders[job]
 	switch {
-	case held == s:
+	case holder == s:
 		return ""
-	case held != nil && held.canServePayloads():
-		return held.offer.Address
+	case holder != nil && holder.canServePayloads():
+		return holder.offer.Address
 	case !s.canServePayloads():
 		return ""
 	}
@@ -60,17 +62,18 @@
 	return ""
 }
 
-// fetchFailed notes that a relay could not fetch a payload from its holder: for a while that
-// one holds none.
+// fetchFailed records that a relay could not fetch a payload from its holder, which then
+// serves no payloads for payloadBackoff.
 func (p *payloadCache) fetchFailed(job string, from string) {
 	p.mu.Lock()
-	held := p.holders[job]
+	holder := p.holders[job]
 	p.mu.Unlock()
-	if held != nil && held.offer.Address == from {
-		held.stopServingPayloads()
+	if holder != nil && holder.offer.Address == from {
+		holder.stopServingPayloads()
 	}
 }
 
+// compressPayload compresses a payload's text with Huffman coding only.
 func compressPayload(text string) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.HuffmanOnly)
@@ -86,10 +89,10 @@
 	return b.Bytes(), nil
 }
 
-// decompressPayload returns the text of a payload.
-func decompressPayload(packed []byte) (string, error) {
+// decompressPayload reverses compressPayload.
+func decompressPayload(compressed []byte) (string, error) {
 	var text strings.Builder
-	r := flate.NewReader(bytes.NewReader(packed))
+	r := flate.NewReader(bytes.NewReader(compressed))
 	if _, err := io.Copy(&text, r); err != nil {
 		return "", err
 	}
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -1,11 +1,12 @@
-// Package relay carries a leader's orders to VMs through other processes, the
-// relays: they hold the connections to the VMs, write and read the bodies, and wait.
-// The leader decides, and exchanges one small batch of messages with each relay every
-// few milliseconds, so that neither its processor nor its link bounds the fleet.
+// Package relay forwards a leader's orders to VMs through other processes, the relays.
+// A relay keeps the connections to its VMs, writes requests, reads responses and waits
+// for them. The leader makes all decisions and exchanges one small batch of messages
+// with each relay every few milliseconds, so that neither its processor nor its link
+// limits the size of the fleet.
 //
-// A relay decides nothing and keeps nothing that lasts. For the leader an order through
-// a relay is like one that it sent itself: a refusal is certain; after any other error
-// it may have been, or may yet be, carried out.
+// A relay makes no decisions and stores nothing durably. Errors mean the same as for an
+// order that the leader sends itself: a refused order has certainly not been carried
+// out; after any other error it may have been, or may still be, carried out.
 package relay
 
 import (
@@ -18,45 +19,46 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// Instances returns the list of VMs.
+// Instances reads the list of VMs from the store.
 type Instances func(ctx context.Context) ([]batch.Instance, error)
 
-// Path is where each process serves the stream to a leader.
+// Path is the URL path at which each process accepts the stream of a leader.
 const Path = "/relay"
 
-// protocol names the stream in the HTTP upgrade; another version gets another name.
+// protocol identifies the stream and its version in the HTTP upgrade.
 const protocol = "rattanwall-relay/1"
 
 const (
-	// heartbeatInterval is how often either side of an idle stream sends an empty message.
+	// heartbeatInterval is the time between the empty messages that each side sends on an
+	// idle stream.
 	heartbeatInterval = 250 * time.Millisecond
-	// idleTimeout is how long a stream may be without a message before it counts as
-	// broken: a lost packet is sent again within 0.3 s, and VMs that are unheard for
-	// 1.5 s get no new work.
+	// idleTimeout is the time without a message after which a stream counts as broken.
+	// It is longer than the 0.3 s within which a lost packet is retransmitted, and shorter
+	// than the 1.5 s after which VMs that have not reported get no new work.
 	idleTimeout = 900 * time.Millisecond
-	// writeTimeout bounds one write to a peer that does not read.
+	// writeTimeout bounds a write of a message to a peer that has stopped reading.
 	writeTimeout = 900 * time.Millisecond
-	// bufferBytes joins what one batch has to say into few writes.
+	// bufferBytes is the size of the buffers that join the parts of a batch into few writes.
 	bufferBytes = 32 << 10
 )
 
-// hello opens a stream: who leads, and how often the relay may write.
+// hello is the leader's first message on a stream.
 type hello struct {
 	Node  string
 	Fence int64
-	// Every is the pause between two messages of the relay.
+	// Every is the minimum time between two messages of the relay.
 	Every time.Duration
 }
 
-// orders is a message of the leader.
+// orders is a message from the leader to a relay.
 type orders struct {
-	// SentAt is the leader's steady clock: a relay tells from it how long a message
-	// was under way in comparison with the quickest.
+	// SentAt is the leader's monotonic clock. A relay uses it to compare a message's
+	// transit time with that of the fastest one.
 	SentAt time.Duration
-	// Named gives VMs the numbers by which the calls name them.
+	// Named assigns VMs the numbers by which calls refer to them.
 	Named []named
-	// Payloads are those of jobs whose starts follow, now or later; Dropped are the
-	// jobs whose payloads need not be kept any more.
+	// Payloads are the payloads of jobs whose tasks are started by this or a later message.
+	// Dropped lists the jobs whose payloads are no longer needed.
 	Payloads []payload
 	Dropped  []string
 	Stops    []stopCall
@@ -66,8 +68,8 @@
 	Lists    []callHead
 }
 
-// addPayload has the relay keep a job's payload. One that the same message was to drop is
-// there still.
+// addPayload adds a job's payload to the message. If the same message was to drop the
+// payload, it cancels the drop instead: the relay still has it.
 func (o *orders) addPayload(p payload) {
 	for i, other := range o.Dropped {
 		if other == p.Job {
@@ -78,33 +80,35 @@
 	o.Payloads = append(o.Payloads, p)
 }
 
-// dropPayload has the relay forget a job's payload, once it has taken this message's starts.
+// dropPayload makes the relay discard a job's payload after it has processed the starts of
+// this message.
 func (o *orders) dropPayload(job string) { o.Dropped = append(o.Dropped, job) }
 
+// named is a VM and the number assigned to it on a stream.
 type named struct {
 	Number      int
 	ID, Address string
 }
 
-// payload is what all tasks of a job are started with: it is sent once a stream, not
-// once a task. At 2 KB it is ten times as long as all else that a start says.
+// payload is the input shared by all tasks of a job. It is sent once per stream, not once
+// per task: at 2 KB it is ten times as large as the rest of a start order.
 type payload struct {
 	Job string
-	// Packed is the text, compressed.
+	// Packed is the compressed text.
 	Packed []byte
-	// From is the address of the process that has it, instead of Packed; Hash is that of
-	// the text then.
+	// From is set instead of Packed: the address of the relay from which to fetch the
+	// payload. Hash is then the hash of the text.
 	From string
 	Hash uint64
 }
 
-// callHead is common to all calls.
+// callHead holds the fields common to all calls.
 type callHead struct {
-	// Call numbers the calls of a stream.
+	// Call identifies the call on its stream.
 	Call uint64
-	// VM is a number that the stream has named.
+	// VM is a number assigned by orders.Named.
 	VM int
-	// Within is the time that the call has left.
+	// Within is the time left until the call's deadline.
 	Within time.Duration
 }
 
@@ -133,45 +137,45 @@
 	Order batch.HoldOrder
 }
 
-// kept names a payload that a relay has, by a hash of its text.
+// kept identifies a payload that a relay has stored, by its job and the hash of its text.
 type kept struct {
 	Job  string
 	Hash uint64
 }
 
-// hashPayload is the hash of a payload.
+// hashPayload returns the hash that identifies a payload's text among relays.
 func hashPayload(text string) uint64 { return xxhash.Sum64String(text) }
 
-// results is a message of a relay.
+// results is a message from a relay to the leader.
 type results struct {
-	// Kept is told in the first message: what an earlier leader has told. A leader that
-	// takes over while jobs run would send each payload to each relay again.
+	// Kept is set in the first message: the payloads stored from an earlier leader. Without
+	// it, a leader that takes over while jobs run would send each payload to each relay again.
 	Kept    []kept
 	Results []result
-	// Leaving is set from the moment at which the relay is about to stop.
+	// Leaving is set from when the relay begins to shut down.
 	Leaving bool
 }
 
-// result is the outcome of a call.
+// result is the outcome of one call.
 type result struct {
 	Call    uint64
 	Refusal batch.Refusal
-	// NoPayload is set with the refusal of a start whose payload the relay does not have.
+	// NoPayload is set when a start is refused because the relay lacks its payload.
 	NoPayload bool
-	// Error is the text of an error; with a refusal, its cause.
+	// Error is the text of an error, or the cause of a refusal.
 	Error string
 	Clock time.Duration
-	// Report is set after a hold, Listing after a look at the list of VMs.
+	// Report is set after a hold, Listing after a read of the list of VMs.
 	Report  *report
 	Listing *listing
 
-	// fullReport and list are what Report and Listing are the differences of, until the
-	// result is queued.
+	// fullReport and fullList are the values from which Report and Listing are computed
+	// when the result is queued.
 	fullReport *batch.Report
 	fullList   []batch.Instance
 }
 
-// err is the error of a call as the leader takes it.
+// err returns the error of the call, with refusals as *batch.RefusalError.
 func (r *result) err() error {
 	var cause error
 	if r.Error != "" {
@@ -183,7 +187,7 @@
 	return cause
 }
 
-// relayedError is an error that a relay told.
+// relayedError is the text of an error that a relay reported.
 type relayedError string
 
 // Error implements error.
