--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -38,7 +38,7 @@
 	return delta
 }
 
-// equalInstances compares the fields that the leader uses; heartbeats are ignored.
+// equalInstances reports whether two instances with the same ID are equal.
 func equalInstances(a, b *batch.Instance) bool {
 	return a.Born == b.Born && a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Draining == b.Draining &&
 		a.Remaining == b.Remaining && a.Stale == b.Stale && a.Capacity == b.Capacity && slices.Equal(a.Labels, b.Labels)
--- a/internal/relay/payloads.go
+++ b/internal/relay/payloads.go
@@ -13,84 +13,87 @@
 	"github.com/rattanwall/rattanwall/internal/eventlog"
 )
 
-// On a narrow link most of what a leader writes is payloads, each once to each relay. There
-// a leader sends a payload to one relay, the holder, and the others fetch it from there.
-// Where they can't, the start is refused, and the leader sends them the payload itself.
+// On a narrow link most of a leader's traffic would be payloads, each sent once to each
+// relay. There the leader sends a payload to one relay only, the holder, and the other relays
+// fetch it from the holder. If a relay cannot fetch it, the start is refused and the leader
+// sends the payload itself.
 
 const (
-	// PayloadPath is where each process serves the payloads that it keeps to other relays.
+	// PayloadPath is the URL path at which each process serves its stored payloads to other relays.
 	PayloadPath = "/relay/payload"
-	// jobParameter names the job whose payload is asked for.
+	// jobParameter is the query parameter for the ID of the payload's job.
 	jobParameter = "job"
-	// fetchTimeout bounds the wait for a payload from another relay: a start is given up after
-	// half a second. The holder waits for it to come from the leader for holderTimeout.
+	// fetchTimeout bounds a fetch of a payload from another relay; a start times out after
+	// half a second. holderTimeout is how long the holder waits for the payload to arrive
+	// from the leader.
 	fetchTimeout  = 400 * time.Millisecond
 	holderTimeout = 300 * time.Millisecond
-	// maxPayloadBytes bounds a packed payload that is read.
+	// maxPayloadBytes bounds the size of a compressed payload fetched from another relay.
 	maxPayloadBytes = 4 << 20
 )
 
-// payloadStore are the payloads that a relay has, for this leader and the next.
+// payloadStore holds the payloads that a relay has received. It outlives the leader's stream, so
+// that the next leader need not send them again.
 type payloadStore struct {
 	mu    sync.Mutex
 	texts map[string]string
-	// fetches are closed once the fetch of a payload from another relay is over.
+	// fetches holds, by job, a channel that is closed when the fetch of the payload ends.
 	fetches map[string]chan struct{}
-	// changed is closed when a payload has come.
+	// changed is closed when a payload is stored; nil while there are no waiters.
 	changed chan struct{}
 }
 
-// hashes names what is kept.
-func (k *payloadStore) hashes() []kept {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := make([]kept, 0, len(k.texts))
-	for job, text := range k.texts {
+// hashes returns the jobs and hashes of all stored payloads.
+func (s *payloadStore) hashes() []kept {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make([]kept, 0, len(s.texts))
+	for job, text := range s.texts {
 		list = append(list, kept{Job: job, Hash: hashPayload(text)})
 	}
 	return list
 }
 
-func (k *payloadStore) put(job, text string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.texts == nil {
-		k.texts = map[string]string{}
+func (s *payloadStore) put(job, text string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.texts == nil {
+		s.texts = map[string]string{}
 	}
-	k.texts[job] = text
-	if k.changed != nil {
-		close(k.changed)
-		k.changed = nil
+	s.texts[job] = text
+	if s.changed != nil {
+		close(s.changed)
+		s.changed = nil
 	}
 }
 
-func (k *payloadStore) drop(jobs []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *payloadStore) drop(jobs []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, job := range jobs {
-		delete(k.texts, job)
+		delete(s.texts, job)
 	}
 }
 
-// get returns a job's payload, or, while it is fetched from another relay, what is closed
-// when that is over.
-func (k *payloadStore) get(job string) (text string, known bool, awaited <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	text, known = k.texts[job]
-	return text, known, k.fetches[job]
+// get returns a job's payload if it is stored. While the payload is being fetched from another
+// relay, the returned channel is non-nil and is closed when the fetch ends.
+func (s *payloadStore) get(job string) (text string, found bool, fetched <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	text, found = s.texts[job]
+	return text, found, s.fetches[job]
 }
 
-// await returns a job's payload once it has come; ok is false if it does not before ctx ends.
-func (k *payloadStore) await(ctx context.Context, job string) (text string, ok bool) {
+// await waits for a job's payload to be stored; ok is false if ctx ends first.
+func (s *payloadStore) await(ctx context.Context, job string) (text string, ok bool) {
 	for {
-		k.mu.Lock()
-		text, ok = k.texts[job]
-		if k.changed == nil {
-			k.changed = make(chan struct{})
+		s.mu.Lock()
+		text, ok = s.texts[job]
+		if s.changed == nil {
+			s.changed = make(chan struct{})
 		}
-		changed := k.changed
-		k.mu.Unlock()
+		changed := s.changed
+		s.mu.Unlock()
 		if ok {
 			return text, true
 		}
@@ -102,41 +105,41 @@
 	}
 }
 
-// beginFetch notes that a payload is being fetched; over is to be called when that has ended.
-func (k *payloadStore) beginFetch(job string) (over func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.fetches == nil {
-		k.fetches = map[string]chan struct{}{}
+// beginFetch records that a payload is being fetched. The caller calls finish when the fetch ends.
+func (s *payloadStore) beginFetch(job string) (finish func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.fetches == nil {
+		s.fetches = map[string]chan struct{}{}
 	}
-	// One that is here is of another job that had the ID once.
-	delete(k.texts, job)
+	// A stored payload belongs to an earlier job with the same ID.
+	delete(s.texts, job)
 	done := make(chan struct{})
-	k.fetches[job] = done
+	s.fetches[job] = done
 	return func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		if k.fetches[job] == done {
-			delete(k.fetches, job)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.fetches[job] == done {
+			delete(s.fetches, job)
 		}
 		close(done)
 	}
 }
 
-// storePayloads notes the payloads that a message tells, and fetches those that another relay holds.
+// storePayloads stores the payloads of a message, and starts to fetch those that another relay holds.
 func (s *Server) storePayloads(ctx context.Context, list []payload) {
 	for _, p := range list {
 		if p.From != "" {
-			over := s.payloads.beginFetch(p.Job)
+			finish := s.payloads.beginFetch(p.Job)
 			go func() {
-				defer over()
+				defer finish()
 				s.fetchPayload(ctx, p)
 			}()
 			continue
 		}
 		text, err := decompressPayload(p.Packed)
 		if err != nil {
-			// Starts of the job are refused: its payload is not known.
+			// Starts of the job are refused because its payload is missing.
 			s.Log.Warn("payload_unreadable", err, eventlog.Fields{"job": p.Job})
 			continue
 		}
@@ -144,10 +147,10 @@
 	}
 }
 
-// errPayloadMismatch: the holder has a payload of that ID, and it is not the job's.
-var errPayloadMismatch = errors.New("the holder has another payload under that ID")
+// errPayloadMismatch is returned if the holder's payload belongs to another job with the same ID.
+var errPayloadMismatch = errors.New("the payload fetched from the holder does not match the job's hash")
 
-// fetchPayload fetches a payload from its holder.
+// fetchPayload fetches a payload from its holder, verifies its hash and stores it.
 func (s *Server) fetchPayload(ctx context.Context, p payload) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -173,17 +176,18 @@
 		return "", err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	packed, err := io.ReadAll(io.LimitReader(resp.Body, maxPayloadBytes))
+	compressed, err := io.ReadAll(io.LimitReader(resp.Body, maxPayloadBytes))
 	if err != nil {
 		return "", err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return "", errors.Newf("the holder answers %s", resp.Status)
+		return "", errors.Newf("the holder responded with status %s", resp.Status)
 	}
-	return decompressPayload(packed)
+	return decompressPayload(compressed)
 }
 
-// ServePayload serves a payload that this process keeps, or is about to get, packed.
+// ServePayload serves a stored payload in compressed form. If the payload has not arrived yet, it
+// waits for it up to holderTimeout.
 func (s *Server) ServePayload(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), holderTimeout)
 	defer cancel()
@@ -193,12 +197,12 @@
 		http.Error(w, "no such payload", http.StatusNotFound)
 		return
 	}
-	packed, err := compressPayload(text)
+	compressed, err := compressPayload(text)
 	if err != nil {
 		s.Log.Warn("payload_not_served", err, eventlog.Fields{"job": job})
-		http.Error(w, "the payload can't be packed", http.StatusInternalServerError)
+		http.Error(w, "the payload cannot be compressed", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(packed)
+	_, _ = w.Write(compressed)
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -11,101 +11,102 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// Offer says that a process would be a relay.
+// Offer is a process's offer to serve as a relay.
 type Offer struct {
 	Node string
-	// Address is where it serves its peers.
+	// Address is the address at which it serves its peers.
 	Address string
-	// Zone is its availability zone.
+	// Zone is the process's availability zone.
 	Zone string
-	// VMs is how many VMs it can serve; see Room.
+	// VMs is the number of VMs it can serve; see Capacity.
 	VMs int
 }
 
-// DirectVMs is up to how many VMs a leader mostly serves all by itself: a fleet of this
-// size takes some 7 % of a core of it.
+// DirectVMs is the default of Pool.DirectVMs: the largest fleet that a leader serves without
+// relays. A fleet of this size takes about 7 % of a core.
 const DirectVMs = 64
 
-// OfferInterval is how often a process repeats its offer.
+// OfferInterval is the time between a process's offers.
 const OfferInterval = 8 * time.Second
 
-// readyPollInterval is how often a new leader looks whether enough relays are there.
+// readyPollInterval is how often AwaitReady checks whether the relays have enough capacity.
 const readyPollInterval = 10 * time.Millisecond
 
-// MaxCapacity bounds the VMs of one relay.
+// MaxCapacity is the maximum number of VMs that one relay offers to serve.
 const MaxCapacity = 64
 
-// Capacity returns how many VMs a process can serve with half of its processor, a share of
-// a core, and 0.7 of its link: a VM takes some 1 ms of a core a second (2.5 starts and
-// a hold), and up to 20 KB/s (5 starts with payloads of 2.4 KB, holds, and what the leader
-// is told). More relays than that cost the leader: it sends each a message every few
-// milliseconds.
+// Capacity returns how many VMs a process can serve as a relay with half of its processor
+// (given as a share of a core) and 0.7 of its link. A VM takes about 1 ms of a core per second
+// (2.5 starts and a hold), and up to 20 KB/s (5 starts with payloads of 2.4 KB, holds, and the
+// results sent to the leader). Smaller capacities would mean more relays and so a higher cost
+// for the leader, which sends each a message every few milliseconds.
 func Capacity(processor, linkMbps float64) int {
 	const (
-		perVM     = 0.001
+		cpuPerVM  = 0.001
 		bitsPerVM = 8 * 20000
-		share     = 0.5
+		cpuShare  = 0.5
 		linkShare = 0.7
-		least     = 4
+		minVMs    = 4
 		megabit   = 1e6
 	)
-	room := share * processor / perVM
+	capacity := cpuShare * processor / cpuPerVM
 	if linkMbps > 0 {
-		room = min(room, linkShare*linkMbps*megabit/bitsPerVM)
+		capacity = min(capacity, linkShare*linkMbps*megabit/bitsPerVM)
 	}
-	return int(min(max(room, least), MaxCapacity))
+	return int(min(max(capacity, minVMs), MaxCapacity))
 }
 
-// Pool gives a leader's orders to instances, through relays where the fleet is large.
-// It is the leader's Agents.
+// Pool sends a leader's orders to VMs, through relays if the fleet is large. It implements
+// batch.Agents for the leader.
 type Pool struct {
-	// Direct gives orders from this process.
+	// Direct sends orders to VMs from this process.
 	Direct batch.Agents
 	// List reads the list of VMs from this process.
 	List Instances
-	// Node is this process's name.
+	// Node is the name of this process; it does not become its own relay.
 	Node string
-	// DirectVMs is up to how many VMs this process serves itself.
+	// DirectVMs is the largest fleet that is served without relays.
 	DirectVMs int
 	// Processor is the share of a core that this process has.
 	Processor float64
-	// LinkMbps is the bandwidth of this process's link in megabits a second, 0 where it is
-	// not told.
+	// LinkMbps is the bandwidth of this process's link in megabits per second, 0 if unknown.
 	LinkMbps float64
 	Log      *eventlog.Log
-	// ObserveDelay is told how long a VM's report waited between its arrival and its being
-	// taken on; may be nil.
+	// ObserveDelay receives the time between the arrival of a VM's report and its processing;
+	// may be nil.
 	ObserveDelay func(time.Duration)
 
 	mu sync.Mutex
-	// tenureCtx is the context of the tenure, nil while this process does not lead.
+	// tenureCtx is the context of the current or last tenure, nil before the first.
 	tenureCtx context.Context
 	fence     int64
 	offers    map[string]*receivedOffer
 	streams   map[string]*stream
-	// dialing are the processes to which a stream is being opened.
+	// dialing holds the capacity of processes to which a stream is being opened, by node.
 	dialing map[string]int
-	// fleet are the VMs that are held, by ID; routes says by which relay.
+	// fleet maps the IDs of VMs whose leases are being renewed to their availability zones;
+	// routes maps them to their relays.
 	fleet  map[string]string
 	routes map[string]*stream
-	// misses counts the holds in a row that a VM left without an answer.
+	// misses counts the consecutive holds that a VM has not responded to.
 	misses map[string]int
-	loads  map[*stream]int
-	// listReader is the relay that read the list of VMs last.
+	// loads is the number of VMs of each relay.
+	loads map[*stream]int
+	// listReader is the relay that reads the list of VMs.
 	listReader *stream
 
 	payloadCache payloadCache
 }
 
-// receivedOffer is an offer and when it was made.
+// receivedOffer is the latest offer of a process.
 type receivedOffer struct {
 	Offer
 	receivedAt time.Duration
-	// notBefore is when it may be taken up, after a failure.
+	// notBefore is the earliest time of the next dial after a failure.
 	notBefore time.Duration
 }
 
-// Lead begins a tenure, which ends with ctx.
+// Lead begins a tenure, which ends with ctx, and discards the state of the previous one.
 func (p *Pool) Lead(ctx context.Context, fence int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +116,8 @@
 	p.misses, p.listReader = map[string]int{}, nil
 }
 
-// AddOffer notes an offer. leading is false when this process does not lead.
+// AddOffer records an offer. leading is false if this process does not lead; the offer is then
+// ignored.
 func (p *Pool) AddOffer(o Offer) (leading bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +136,7 @@
 
 func (p *Pool) isLeading() bool { return p.tenureCtx != nil && p.tenureCtx.Err() == nil }
 
-// SetFleet tells which VMs are held, by ID with their availability zone.
+// SetFleet sets the VMs to serve: a map of IDs to availability zones, which the pool keeps.
 func (p *Pool) SetFleet(fleet map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,11 +158,11 @@
 	p.rebalance()
 }
 
-// AwaitReady waits up to d until relays have room for the fleet, so that VMs are not
-// held from here first and from there a moment later.
+// AwaitReady waits up to d for the relays to have capacity for the fleet, so that VMs are not
+// first served directly and moved to a relay a moment later.
 func (p *Pool) AwaitReady(ctx context.Context, d time.Duration) {
-	limit := time.Now().Add(d)
-	for ctx.Err() == nil && time.Now().Before(limit) && !p.isReady() {
+	deadline := time.Now().Add(d)
+	for ctx.Err() == nil && time.Now().Before(deadline) && !p.isReady() {
 		pause.For(ctx, readyPollInterval)
 	}
 }
@@ -171,21 +173,21 @@
 	if !p.isLeading() || len(p.fleet) <= p.DirectVMs {
 		return true
 	}
-	room := 0
+	capacity := 0
 	for _, s := range p.streams {
-		room += s.offer.VMs
+		capacity += s.offer.VMs
 	}
-	return room >= len(p.fleet)
+	return capacity >= len(p.fleet)
 }
 
-// Relayed reports whether orders to a VM go through a relay.
+// Relayed reports whether a VM is assigned to a relay.
 func (p *Pool) Relayed(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routes[id] != nil
 }
 
-// Serving returns the relays by node, with how many VMs each serves.
+// Serving returns the number of VMs that each relay serves, by node.
 func (p *Pool) Serving() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/recruit.go
+++ b/internal/relay/recruit.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// capacityFactor is how much more room the relays have than there are VMs: one of
-	// them may be lost, and what it served finds a place at once.
+	// capacityFactor is the wanted total capacity of the relays as a multiple of the fleet,
+	// so that the VMs of a lost relay can move to the other relays at once.
 	capacityFactor = 1.3
-	// redialDelay is the pause before a relay that was lost is tried again.
+	// redialDelay is the time before a lost or unreachable relay is dialed again.
 	redialDelay = 2 * time.Second
-	// offerLifetime is how long an offer is believed.
+	// offerLifetime is the time for which an offer stays valid.
 	offerLifetime = 3 * OfferInterval
-	// messageCPUCost is the leader's processor time for a message to, and one from, a
-	// relay, besides what is in them.
+	// messageCPUCost is the leader's processor time for one message to a relay and one from
+	// it, without their content.
 	messageCPUCost = 50 * time.Microsecond
-	// messageCPUShare is the share of the leader's processor that messages may take: it
-	// gives the pause between two messages of a stream. At 0.8 of a core and 22 relays
-	// that is 17 ms.
+	// messageCPUShare is the share of the leader's processor that messages may take. It
+	// determines the interval between the messages of a stream: 17 ms with 0.8 of a core and
+	// 22 relays.
 	messageCPUShare = 0.08
-	// minMessageInterval bounds that pause from below: batches of a few orders each. maxMessageInterval
-	// bounds what it adds to a start: short tasks are to begin within 0.3 s.
+	// minMessageInterval makes a batch consist of at least a few orders. maxMessageInterval
+	// bounds the delay that is added to a start: short tasks are to start within 0.3 s.
 	minMessageInterval = 4 * time.Millisecond
 	maxMessageInterval = 50 * time.Millisecond
 )
 
-// wantedCapacity is how much room the relays have to have together.
+// wantedCapacity returns the total capacity in VMs that the relays should have. p.mu is held.
 func (p *Pool) wantedCapacity() int {
 	if len(p.fleet) <= p.DirectVMs {
 		return 0
@@ -38,59 +38,60 @@
 	return int(capacityFactor * float64(len(p.fleet)))
 }
 
-// openStreams opens streams until the relays have the room that is wanted. p.mu is held.
+// openStreams opens streams until the relays have the wanted capacity. p.mu is held.
 func (p *Pool) openStreams() {
-	room := 0
-	zoneRoom := map[string]int{}
+	capacity := 0
+	zoneCapacity := map[string]int{}
 	for _, s := range p.streams {
 		if s.usable() {
-			room += s.offer.VMs
-			zoneRoom[s.offer.Zone] += s.offer.VMs
+			capacity += s.offer.VMs
+			zoneCapacity[s.offer.Zone] += s.offer.VMs
 		}
 	}
 	for node, vms := range p.dialing {
-		room += vms
-		zoneRoom[p.offers[node].Zone] += vms
+		capacity += vms
+		zoneCapacity[p.offers[node].Zone] += vms
 	}
 	wanted := p.wantedCapacity()
-	for room < wanted {
-		o := p.bestOffer(zoneRoom)
+	for capacity < wanted {
+		o := p.bestOffer(zoneCapacity)
 		if o == nil {
 			return
 		}
-		room += o.VMs
-		zoneRoom[o.Zone] += o.VMs
+		capacity += o.VMs
+		zoneCapacity[o.Zone] += o.VMs
 		p.dialing[o.Node] = o.VMs
 		go p.serveStream(p.tenureCtx, o.Offer, p.fence)
 	}
 }
 
-// bestOffer is that of the process with the most room, in the availability zone whose
-// VMs have the least of it; nil for none.
-func (p *Pool) bestOffer(zoneRoom map[string]int) *receivedOffer {
+// bestOffer returns the offer with the largest capacity, or nil. An offer counts half in an
+// availability zone whose relays already have capacity for the zone's VMs. p.mu is held.
+func (p *Pool) bestOffer(zoneCapacity map[string]int) *receivedOffer {
 	now := steady.Now()
-	perZone := map[string]int{}
+	zoneVMs := map[string]int{}
 	for _, zone := range p.fleet {
-		perZone[zone]++
+		zoneVMs[zone]++
 	}
 	var best *receivedOffer
-	bestRoom := 0
+	bestCapacity := 0
 	for _, node := range sortedKeys(p.offers) {
 		o := p.offers[node]
 		if _, dialing := p.dialing[node]; dialing || p.streams[node] != nil || node == p.Node || now < o.notBefore || now-o.receivedAt > offerLifetime {
 			continue
 		}
-		room := o.VMs
-		if zoneRoom[o.Zone] >= perZone[o.Zone] {
-			room /= 2
+		capacity := o.VMs
+		if zoneCapacity[o.Zone] >= zoneVMs[o.Zone] {
+			capacity /= 2
 		}
-		if best == nil || room > bestRoom {
-			best, bestRoom = o, room
+		if best == nil || capacity > bestCapacity {
+			best, bestCapacity = o, capacity
 		}
 	}
 	return best
 }
 
+// sortedKeys makes choices among map entries independent of the iteration order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -100,18 +101,19 @@
 	return keys
 }
 
-// messageInterval is the pause between two messages of one stream of so many.
+// messageInterval returns the minimum time between two messages of a stream, given the number of
+// streams.
 func (p *Pool) messageInterval(streams int) time.Duration {
-	every := time.Duration(float64(streams) * float64(messageCPUCost) / (messageCPUShare * max(p.Processor, 0.01)))
-	return min(max(every, minMessageInterval), maxMessageInterval)
+	interval := time.Duration(float64(streams) * float64(messageCPUCost) / (messageCPUShare * max(p.Processor, 0.01)))
+	return min(max(interval, minMessageInterval), maxMessageInterval)
 }
 
-// serveStream opens a stream and serves it until it breaks.
+// serveStream opens a stream to a relay and serves it until it breaks.
 func (p *Pool) serveStream(ctx context.Context, o Offer, fence int64) {
 	p.mu.Lock()
-	every := p.messageInterval(len(p.streams) + len(p.dialing))
+	interval := p.messageInterval(len(p.streams) + len(p.dialing))
 	p.mu.Unlock()
-	s, err := dial(ctx, o, hello{Node: p.Node, Fence: fence, Every: every}, isNarrowLink(p.LinkMbps), &p.payloadCache)
+	s, err := dial(ctx, o, hello{Node: p.Node, Fence: fence, Every: interval}, isNarrowLink(p.LinkMbps), &p.payloadCache)
 	p.mu.Lock()
 	if p.tenureCtx != ctx {
 		// Another tenure has begun.
@@ -133,19 +135,19 @@
 	s.observeDelay = p.ObserveDelay
 	p.streams[o.Node] = s
 	p.mu.Unlock()
-	p.Log.Event("relay_joined", eventlog.Fields{"node": o.Node, "zone": o.Zone, "vms": o.VMs, "every_ms": every.Milliseconds(), "packed": s.writer.compressor != nil})
+	p.Log.Event("relay_joined", eventlog.Fields{"node": o.Node, "zone": o.Zone, "vms": o.VMs, "every_ms": interval.Milliseconds(), "packed": s.writer.compressor != nil})
 	err = s.serve(ctx)
 	p.removeStream(ctx, s, err)
 }
 
-// delayRedial notes that a process could not be used. p.mu is held.
+// delayRedial postpones the next dial of a node that failed. p.mu is held.
 func (p *Pool) delayRedial(node string) {
 	if o := p.offers[node]; o != nil {
 		o.notBefore = steady.Now() + redialDelay
 	}
 }
 
-// removeStream gives what a broken stream has served to others.
+// removeStream removes a broken stream. Its VMs get another relay with their next order.
 func (p *Pool) removeStream(ctx context.Context, s *stream, cause error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/routes.go
+++ b/internal/relay/routes.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxRelayUse is the use of a relay's room from which a VM is not given to it.
+	// maxRelayUse is the ratio of VMs to capacity from which a relay is assigned no more VMs.
 	maxRelayUse = 2.0
-	// otherZonePenalty is what a relay in another availability zone counts as fuller: bytes
-	// between zones cost more, and a zone that is cut off keeps its own relays.
+	// otherZonePenalty is added to the use of a relay in another availability zone: traffic
+	// between zones costs more, and a zone that is cut off keeps its own relays.
 	otherZonePenalty = 0.4
 )
 
-// unroute takes a VM off its relay. p.mu is held.
+// unroute removes a VM from its relay. p.mu is held.
 func (p *Pool) unroute(id string) {
 	if s := p.routes[id]; s != nil {
 		p.loads[s]--
@@ -27,7 +27,7 @@
 	}
 }
 
-// route returns the relay of a VM, nil for none.
+// route returns the relay of a VM, and assigns one if needed; nil if there is none.
 func (p *Pool) route(vm *batch.Instance) *stream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	return best
 }
 
-// assign has a relay, or none, serve a VM. p.mu is held.
+// assign assigns a VM to a relay; a nil relay is ignored. p.mu is held.
 func (p *Pool) assign(id string, s *stream) {
 	if s != nil {
 		p.routes[id] = s
@@ -53,12 +53,12 @@
 	}
 }
 
-// maxReroutes bounds the relays that are tried in turn for a VM that does not answer:
-// each makes connections of its own, and mostly it is the VM that is gone.
+// maxReroutes bounds the relays that are tried in turn for a VM that does not respond: each
+// opens its own connections, and usually the VM itself is gone.
 const maxReroutes = 3
 
-// recordHold notes how a hold went that a relay carried. A VM that leaves it without an
-// answer may have lost the path to this relay only, and gets another one.
+// recordHold records the outcome of a hold through a relay. A VM that does not respond may
+// have lost the path to this relay only, and is assigned to another one.
 func (p *Pool) recordHold(vm *batch.Instance, s *stream, err error) {
 	var refusal *batch.RefusalError
 	answered := err == nil || (errors.As(err, &refusal) && refusal.Reason != batch.RefusedUnreached)
@@ -78,51 +78,51 @@
 	}
 }
 
-// leastUsed is the relay with the most room for a VM of a zone, other than the one given.
-// p.mu is held.
-func (p *Pool) leastUsed(zone string, but *stream) *stream {
+// leastUsed returns the usable relay with the lowest use, as seen from a zone, except the given
+// one; nil if all are full. p.mu is held.
+func (p *Pool) leastUsed(zone string, except *stream) *stream {
 	var best *stream
-	least := maxRelayUse
+	leastUse := maxRelayUse
 	for _, node := range sortedKeys(p.streams) {
 		s := p.streams[node]
-		if s == but || !s.usable() {
+		if s == except || !s.usable() {
 			continue
 		}
 		use := p.use(s)
 		if s.offer.Zone != zone {
 			use += otherZonePenalty
 		}
-		if use < least {
-			best, least = s, use
+		if use < leastUse {
+			best, leastUse = s, use
 		}
 	}
 	return best
 }
 
-// use is the share of a relay's room that is taken. p.mu is held.
+// use returns the ratio of a relay's VMs to its capacity. p.mu is held.
 func (p *Pool) use(s *stream) float64 { return float64(p.loads[s]) / float64(s.offer.VMs) }
 
 const (
-	// rebalanceThreshold is the difference in use between two relays from which VMs move.
+	// rebalanceThreshold is the difference in use between two relays from which VMs are moved.
 	rebalanceThreshold = 0.5
-	// maxMovedVMs bounds the VMs that move at a time: each has new connections made.
+	// maxMovedVMs bounds the VMs moved at a time, because each needs new connections.
 	maxMovedVMs = 16
 )
 
-// rebalance moves some VMs from the fullest relay to the emptiest: one that was lost and
-// is back serves nothing. p.mu is held.
+// rebalance moves some VMs from the fullest relay to the emptiest, since a relay that
+// returns after a loss serves none. p.mu is held.
 func (p *Pool) rebalance() {
-	var open []*stream
+	var usable []*stream
 	for _, node := range sortedKeys(p.streams) {
 		if s := p.streams[node]; s.usable() {
-			open = append(open, s)
+			usable = append(usable, s)
 		}
 	}
-	if len(open) < 2 {
+	if len(usable) < 2 {
 		return
 	}
 	byUse := func(a, b *stream) int { return cmp.Compare(p.use(a), p.use(b)) }
-	emptiest, fullest := slices.MinFunc(open, byUse), slices.MaxFunc(open, byUse)
+	emptiest, fullest := slices.MinFunc(usable, byUse), slices.MaxFunc(usable, byUse)
 	if p.use(fullest)-p.use(emptiest) < rebalanceThreshold {
 		return
 	}
@@ -139,10 +139,10 @@
 	}
 }
 
-// maxRelayAttempts bounds the relays that are tried for one order that was not written.
+// maxRelayAttempts bounds the relays that are tried while an order has not been written to any.
 const maxRelayAttempts = 3
 
-// do gives an order through the VM's relay, or from here where it has none.
+// do sends an order through the VM's relay, or directly if there is none.
 func (p *Pool) do(vm *batch.Instance, order func(batch.Agents) error) error {
 	for range maxRelayAttempts {
 		s := p.route(vm)
@@ -187,13 +187,13 @@
 	return rep, err
 }
 
-// Instances returns the list of VMs. A relay reads it, if there is one, and tells what has
-// changed: the whole takes 1.2 MB/s of the link where there are 3,000 VMs.
+// Instances returns the list of VMs. If there is a relay, it reads the list and sends only
+// the changes, since the whole list takes 1.2 MB/s of the link with 3,000 VMs.
 func (p *Pool) Instances(ctx context.Context) ([]batch.Instance, error) {
 	if s := p.selectListReader(); s != nil {
-		askCtx, cancel := context.WithTimeout(ctx, listTimeout)
+		listCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
-		list, err := s.Instances(askCtx)
+		list, err := s.Instances(listCtx)
 		if err == nil {
 			return list, nil
 		}
@@ -202,11 +202,11 @@
 	return p.List(ctx)
 }
 
-// listTimeout is how long a relay has to read the list before this process reads it.
+// listTimeout bounds the read of the list by a relay; after it this process reads the list itself.
 const listTimeout = 800 * time.Millisecond
 
-// selectListReader is the relay that reads the list, or nil. It stays the same one while it can:
-// another has to read and tell the whole list first.
+// selectListReader returns the relay that reads the list, or nil. It is kept as long as it is
+// usable, since another relay would first have to send the whole list.
 func (p *Pool) selectListReader() *stream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,7 +219,7 @@
 	return p.listReader
 }
 
-// replaceListReader has another relay read the list.
+// replaceListReader selects another relay than s to read the list.
 func (p *Pool) replaceListReader(s *stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -16,7 +16,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// Server carries the orders of leaders out. It is the handler of Path.
+// Server executes the orders of leaders as a relay. It is the HTTP handler of Path.
 type Server struct {
 	Agents    batch.Agents
 	Instances Instances
@@ -27,30 +27,30 @@
 	mu sync.Mutex
 	// fence is the highest fencing token of a leader that opened a stream.
 	fence int64
-	// current is the stream that is served; a later one ends it.
+	// current is the stream being served; it is closed when a later one is admitted.
 	current *servedStream
 	leaving bool
 	closed  bool
-	// payloads are those of jobs of which tasks were started.
+	// payloads holds the payloads received from leaders.
 	payloads payloadStore
 }
 
 const (
-	// maxTransitDelay is how much longer than the quickest message of its stream one may
-	// have been under way for its starts and paces to be carried out. The leader has
-	// given them up by then, and a relay that wakes from a suspension has a queue of
-	// them: a pace of then would undo one that was ordered by another way since.
+	// maxTransitDelay is how much longer than the fastest message of its stream a message may
+	// have been in transit for its starts and paces to be executed. After that the leader's
+	// calls have timed out. A relay that resumes after a suspension finds a queue of such
+	// messages; an old pace would undo one sent since by another path.
 	maxTransitDelay = 600 * time.Millisecond
-	// leaveTimeout bounds the wait for calls under way at a planned stop: a hold
-	// takes a second at most.
+	// leaveTimeout bounds the wait for calls in progress at a planned shutdown; a hold takes
+	// at most a second.
 	leaveTimeout = 1500 * time.Millisecond
 )
 
-// ServeHTTP implements http.Handler: it takes the connection over for a stream.
+// ServeHTTP implements http.Handler. It upgrades the connection to a stream and serves it.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocol {
 		w.Header().Set("Upgrade", protocol)
-		http.Error(w, "this address takes streams of "+protocol, http.StatusUpgradeRequired)
+		http.Error(w, "an upgrade to "+protocol+" is required", http.StatusUpgradeRequired)
 		return
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
@@ -63,8 +63,8 @@
 		StatusCode: http.StatusSwitchingProtocols, ProtoMajor: 1, ProtoMinor: 1,
 		Header: http.Header{"Upgrade": {protocol}, "Connection": {"Upgrade"}},
 	}
-	packed := r.Header.Get("Accept-Encoding") == contentCoding
-	if packed {
+	compressed := r.Header.Get("Accept-Encoding") == contentCoding
+	if compressed {
 		switching.Header.Set("Content-Encoding", contentCoding)
 	}
 	_ = conn.SetDeadline(time.Now().Add(idleTimeout))
@@ -72,25 +72,25 @@
 		s.Log.Warn("relay_not_taken_over", err, nil)
 		return
 	}
-	s.serve(conn, buffered.Reader, packed)
+	s.serve(conn, buffered.Reader, compressed)
 }
 
-// errSuperseded: a leader with a higher fencing token has opened a stream.
-var errSuperseded = errors.New("a later leader is served")
+// errSuperseded is returned if a leader with a higher fencing token has opened a stream.
+var errSuperseded = errors.New("a leader with a higher fencing token has opened a stream")
 
-// errClosed: the process has ended its work.
-var errClosed = errors.New("this process carries no orders any more")
+// errClosed is returned after Server.Close.
+var errClosed = errors.New("the relay is closed")
 
-// serve carries out what comes on one stream until it ends.
-func (s *Server) serve(conn net.Conn, in *bufio.Reader, packed bool) {
-	decoder := newMessageDecoder(in, packed)
+// serve reads the hello of a stream and executes its orders until it ends.
+func (s *Server) serve(conn net.Conn, reader *bufio.Reader, compressed bool) {
+	decoder := newMessageDecoder(reader, compressed)
 	var h hello
 	_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	if err := decoder.Decode(&h); err != nil {
 		s.Log.Warn("relay_not_opened", err, nil)
 		return
 	}
-	coder, err := newMessageWriter(conn, packed)
+	writer, err := newMessageWriter(conn, compressed)
 	if err != nil {
 		s.Log.Warn("relay_not_opened", err, nil)
 		return
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	st := &servedStream{
-		server: s, conn: conn, writer: coder, messageInterval: h.Every, wakeup: make(chan struct{}, 1), cancel: cancel, fence: h.Fence,
+		server: s, conn: conn, writer: writer, messageInterval: h.Every, wakeup: make(chan struct{}, 1), cancel: cancel, fence: h.Fence,
 		instances: map[int]*batch.Instance{}, lastReports: lastReports{}, lastListing: lastListing{},
 	}
 	if err := s.admit(st); err != nil {
@@ -112,7 +112,7 @@
 	s.Log.Event("relay_closed", eventlog.Fields{"leader": h.Node, "fence": h.Fence, "error": err.Error()})
 }
 
-// admit takes a stream on and ends the one before.
+// admit makes st the current stream and closes the previous one.
 func (s *Server) admit(st *servedStream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// drop forgets payloads, if the stream that says so is the one that is served.
+// drop discards payloads if st is the current stream.
 func (s *Server) drop(st *servedStream, jobs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	}
 }
 
-// Close ends the stream that is served, and takes no further ones.
+// Close closes the current stream and rejects further ones.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,8 +161,8 @@
 	}
 }
 
-// Leave tells the leader that this process is about to stop, and waits until the calls
-// under way have their answers.
+// Leave reports to the leader that this process is about to shut down, and waits up to
+// leaveTimeout until the calls in progress have ended and no results are queued.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -172,8 +172,8 @@
 		return
 	}
 	st.leave()
-	limit := time.Now().Add(leaveTimeout)
-	for st.isBusy() && time.Now().Before(limit) {
+	deadline := time.Now().Add(leaveTimeout)
+	for st.isBusy() && time.Now().Before(deadline) {
 		time.Sleep(heartbeatInterval / 10)
 	}
 }
@@ -188,10 +188,10 @@
 	wakeup          chan struct{}
 	cancel          context.CancelFunc
 
-	// What the reader alone uses.
+	// instances, minTransit and hasMinTransit are used by the reading goroutine only.
 	instances map[int]*batch.Instance
-	// minTransit is the least difference between the arrival of a message and its
-	// SentAt: the two clocks differ by it, and by the quickest way.
+	// minTransit is the smallest difference between the arrival of a message and its SentAt.
+	// It is the offset between the two clocks plus the shortest transit time.
 	minTransit    time.Duration
 	hasMinTransit bool
 
@@ -224,7 +224,7 @@
 	}
 }
 
-// read takes messages until the stream breaks.
+// read handles the leader's messages until the stream breaks.
 func (st *servedStream) read(ctx context.Context, decoder *gob.Decoder) error {
 	defer st.cancel()
 	for {
@@ -237,18 +237,18 @@
 	}
 }
 
-// isStale reports whether a message was under way for so long that the leader has given
-// its calls up.
+// isStale reports whether a message was in transit for so long that the leader's calls have
+// timed out.
 func (st *servedStream) isStale(sentAt time.Duration) bool {
-	took := steady.Now() - sentAt
-	if !st.hasMinTransit || took < st.minTransit {
-		st.hasMinTransit, st.minTransit = true, took
+	transit := steady.Now() - sentAt
+	if !st.hasMinTransit || transit < st.minTransit {
+		st.hasMinTransit, st.minTransit = true, transit
 	}
-	return took-st.minTransit > maxTransitDelay
+	return transit-st.minTransit > maxTransitDelay
 }
 
-// handleOrders begins the calls of a message: what ends work first, what renews leases next,
-// and new starts last.
+// handleOrders starts the calls of a message: stops first, then holds, which renew leases,
+// and starts last.
 func (st *servedStream) handleOrders(ctx context.Context, m *orders) {
 	stale := st.isStale(m.SentAt)
 	for _, n := range m.Named {
@@ -262,7 +262,8 @@
 	}
 	for _, c := range m.Holds {
 		if stale {
-			// The VM may have started again since, and count its ends anew.
+			// The VM may have restarted since, and its new incarnation numbers its ended runs from
+			// the beginning.
 			c.Order.Acked = 0
 		}
 		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) error {
@@ -282,7 +283,7 @@
 	}
 	for _, c := range m.Paces {
 		if stale {
-			st.refuse(c.Head.Call, "it was too long under way to this relay")
+			st.refuse(c.Head.Call, "the order was too long in transit to the relay")
 			continue
 		}
 		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
@@ -291,7 +292,7 @@
 	}
 	for _, c := range m.Starts {
 		if stale {
-			st.refuse(c.Head.Call, "it was too long under way to this relay")
+			st.refuse(c.Head.Call, "the order was too long in transit to the relay")
 			continue
 		}
 		st.startTask(ctx, c)
@@ -299,24 +300,24 @@
 	st.server.drop(st, m.Dropped)
 }
 
-// startTask begins a start, once its payload is there.
+// startTask executes a start as soon as its payload is stored.
 func (st *servedStream) startTask(ctx context.Context, c startCall) {
 	job := c.Order.Task.Job
-	text, known, awaited := st.server.payloads.get(job)
-	if !known && awaited == nil {
-		// A task must not be started with less than its job says.
+	text, found, fetched := st.server.payloads.get(job)
+	if !found && fetched == nil {
+		// Without the payload the task would run with incomplete input.
 		r := result{Call: c.Head.Call}
 		r.setError(errNoPayload)
 		st.queueResult(r)
 		return
 	}
 	st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, r *result) (err error) {
-		if !known {
+		if !found {
 			select {
-			case <-awaited:
+			case <-fetched:
 			case <-ctx.Done():
 			}
-			if text, known, _ = st.server.payloads.get(job); !known {
+			if text, found, _ = st.server.payloads.get(job); !found {
 				return errNoPayload
 			}
 		}
@@ -326,32 +327,32 @@
 	})
 }
 
-// errNoPayload: the relay does not have the payload of a start, which it has not given.
+// errNoPayload refuses a start whose payload is missing; the start has not been sent to the VM.
 var errNoPayload = &batch.RefusalError{Reason: batch.RefusedUnreached, Cause: errors.New("the relay does not have the job's payload")}
 
-// refuse answers a call that was certainly not made.
-func (st *servedStream) refuse(call uint64, why string) {
-	st.queueResult(result{Call: call, Refusal: batch.RefusedUnreached, Error: why})
+// refuse reports that a call has certainly not been made.
+func (st *servedStream) refuse(call uint64, reason string) {
+	st.queueResult(result{Call: call, Refusal: batch.RefusedUnreached, Error: reason})
 }
 
-// setReport puts a report into a result. The differences follow each other in the order in
-// which the results are queued.
+// setReport sets the report of a result. Its difference from the previous report is computed
+// when the result is queued, because the order in the queue determines which one is previous.
 func (st *servedStream) setReport(r *result, vm int, rep *batch.Report) {
 	r.Report = &report{VM: vm, More: rep.MoreEnded, Ended: rep.Ended}
 	r.fullReport = rep
 }
 
-// runVMCall makes one call to a VM.
+// runVMCall makes a call to the VM with the number head.VM.
 func (st *servedStream) runVMCall(ctx context.Context, head callHead, do func(context.Context, *batch.Instance, *result) error) {
 	vm := st.instances[head.VM]
 	if vm == nil {
-		st.refuse(head.Call, "the stream has not named the VM")
+		st.refuse(head.Call, "the VM's number is unknown on this stream")
 		return
 	}
 	st.runCall(ctx, head, func(ctx context.Context, r *result) error { return do(ctx, vm, r) })
 }
 
-// runCall makes one call beside the others and queues its outcome.
+// runCall makes a call concurrently with others and queues its result.
 func (st *servedStream) runCall(ctx context.Context, head callHead, do func(context.Context, *result) error) {
 	st.mu.Lock()
 	st.openCalls++
@@ -370,7 +371,7 @@
 	}()
 }
 
-// setError notes an error of a call.
+// setError sets the error or refusal of a result.
 func (r *result) setError(err error) {
 	var refusal *batch.RefusalError
 	if !errors.As(err, &refusal) {
@@ -397,18 +398,18 @@
 	st.wake()
 }
 
-// write sends the outcomes, a batch at a time.
+// write sends the queued results in batches.
 func (st *servedStream) write(ctx context.Context) {
-	pace := newMessagePacer(st.messageInterval)
-	defer pace.stop()
-	for pace.wait(ctx, st.wakeup) {
+	pacer := newMessagePacer(st.messageInterval)
+	defer pacer.stop()
+	for pacer.wait(ctx, st.wakeup) {
 		st.mu.Lock()
 		m := results{Kept: st.greeting, Results: st.queue, Leaving: st.leaving}
 		st.greeting, st.queue = nil, nil
 		st.mu.Unlock()
 		_ = st.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if st.writer.write(&m) != nil {
-			// The reader tells why the stream ended.
+			// read returns the cause.
 			_ = st.conn.Close()
 			return
 		}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a stream.
+	// dialTimeout bounds the time to open a stream.
 	dialTimeout = 600 * time.Millisecond
-	// maxRelayPayloads bounds the payloads that a relay keeps for one stream: 512 of
-	// 4 KB at most are 2 MB.
+	// maxRelayPayloads bounds the payloads that a relay stores for one stream: 512 payloads of
+	// at most 4 KB take 2 MB.
 	maxRelayPayloads = 512
 )
 
-// errStreamBroken: the stream ended while the call was under way.
+// errStreamBroken is returned if the stream ended after the call was written to it.
 var errStreamBroken = errors.New("the stream to the relay is broken")
 
-// errNotWritten: the stream ended before the call was written to it; the order may be
-// given in another way.
-var errNotWritten = errors.New("the relay was not told of the order")
+// errNotWritten is returned if the stream ended before the call was written to it. The order
+// may safely be sent by another path.
+var errNotWritten = errors.New("the order was not sent to the relay")
 
 // stream is the leader's side of a stream to a relay.
 type stream struct {
@@ -40,7 +40,7 @@
 	payloadCache    *payloadCache
 	messageInterval time.Duration
 	wakeup          chan struct{}
-	// observeDelay is that of the pool.
+	// observeDelay is Pool.ObserveDelay.
 	observeDelay func(time.Duration)
 
 	mu          sync.Mutex
@@ -53,11 +53,12 @@
 	lastListing lastListing
 	leaving     bool
 	closed      bool
-	// payloadBackoffUntil is until when the relay is not to give payloads to others.
+	// payloadBackoffUntil is the time until which other relays do not fetch payloads from
+	// this one.
 	payloadBackoffUntil time.Duration
 }
 
-// pendingCall is a call under way.
+// pendingCall is a call that waits for its result.
 type pendingCall struct {
 	done    chan struct{}
 	written bool
@@ -65,19 +66,20 @@
 	report  batch.Report
 	list    []batch.Instance
 	err     error
-	// receivedAt is when the outcome was received.
+	// receivedAt is the time at which the result was received.
 	receivedAt time.Duration
 }
 
-// payloadTable are the jobs whose payloads the relay has.
+// payloadTable tracks the jobs whose payloads the relay has stored.
 type payloadTable struct {
-	// entries has each job's place in recent, which begins with the job that was used last.
+	// entries maps jobs to their elements in lru, which is ordered by last use, most recent
+	// first.
 	entries map[string]*list.Element
 	lru     *list.List
-	// unverified are those of payloads that the relay had before this stream, until they
-	// are used.
+	// unverified holds the hashes of payloads that the relay stored before this stream, until
+	// their first use.
 	unverified map[string]uint64
-	// fetchFailed are the jobs whose payloads the relay could not fetch from another one.
+	// fetchFailed holds the jobs whose payloads the relay could not fetch from their holders.
 	fetchFailed map[string]bool
 }
 
@@ -89,39 +91,40 @@
 	return t
 }
 
-// use notes that a job's payload is needed. fresh is true when the relay does not have
-// it; dropped is the job whose payload it need not keep any more, or "".
-func (t *payloadTable) use(job, text string) (fresh bool, dropped string) {
-	place, known := t.entries[job]
+// use records a use of a job's payload. missing is true if the relay does not have it.
+// evicted is the job whose payload the relay is to discard instead, or "".
+func (t *payloadTable) use(job, text string) (missing bool, evicted string) {
+	element, known := t.entries[job]
 	if known {
-		t.lru.MoveToFront(place)
+		t.lru.MoveToFront(element)
 	} else {
 		t.entries[job] = t.lru.PushFront(job)
 	}
-	if hash, early := t.unverified[job]; early {
-		// An ID may have been another job's once.
+	if hash, ok := t.unverified[job]; ok {
+		// The stored payload may be that of an earlier job with the same ID.
 		known = hash == hashPayload(text)
 		delete(t.unverified, job)
 	}
 	if known || len(t.entries) <= maxRelayPayloads {
 		return !known, ""
 	}
-	dropped, _ = t.lru.Back().Value.(string)
-	t.remove(dropped)
-	return true, dropped
+	evicted, _ = t.lru.Back().Value.(string)
+	t.remove(evicted)
+	return true, evicted
 }
 
-// remove notes that the relay does not have a job's payload.
+// remove records that the relay does not have a job's payload.
 func (t *payloadTable) remove(job string) {
-	if place, known := t.entries[job]; known {
-		t.lru.Remove(place)
+	if element, known := t.entries[job]; known {
+		t.lru.Remove(element)
 	}
 	delete(t.entries, job)
 	delete(t.unverified, job)
 }
 
-// dial opens a stream to the relay that made the offer, compressed if both sides would.
-func dial(ctx context.Context, offer Offer, h hello, pack bool, payloads *payloadCache) (*stream, error) {
+// dial opens a stream to the relay that made the offer. The stream is compressed if compress is set
+// and the relay supports it.
+func dial(ctx context.Context, offer Offer, h hello, compress bool, cache *payloadCache) (*stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var dialer net.Dialer
@@ -131,7 +134,7 @@
 	}
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline)
-	s, err := newStream(conn, offer, h, pack, payloads)
+	s, err := newStream(conn, offer, h, compress, cache)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -140,59 +143,59 @@
 	return s, nil
 }
 
-// newStream makes a stream of a connection.
-func newStream(conn net.Conn, offer Offer, h hello, pack bool, payloads *payloadCache) (*stream, error) {
-	in, pack, err := upgrade(conn, offer.Address, pack)
+// newStream upgrades a connection to a stream, and exchanges the first messages.
+func newStream(conn net.Conn, offer Offer, h hello, compress bool, cache *payloadCache) (*stream, error) {
+	reader, compress, err := upgrade(conn, offer.Address, compress)
 	if err != nil {
 		return nil, err
 	}
-	buffered := &bufferedConn{Conn: conn, reader: in}
-	coder, err := newMessageWriter(conn, pack)
+	buffered := &bufferedConn{Conn: conn, reader: reader}
+	writer, err := newMessageWriter(conn, compress)
 	if err != nil {
 		return nil, err
 	}
-	if err := coder.write(&h); err != nil {
+	if err := writer.write(&h); err != nil {
 		return nil, err
 	}
-	decoder := newMessageDecoder(buffered, pack)
+	decoder := newMessageDecoder(buffered, compress)
 	var greeting results
 	if err := decoder.Decode(&greeting); err != nil {
 		return nil, err
 	}
 	return &stream{
-		offer: offer, conn: buffered, writer: coder, decoder: decoder, payloadCache: payloads, messageInterval: h.Every, wakeup: make(chan struct{}, 1),
+		offer: offer, conn: buffered, writer: writer, decoder: decoder, payloadCache: cache, messageInterval: h.Every, wakeup: make(chan struct{}, 1),
 		pending: map[uint64]*pendingCall{}, vmNumbers: map[string]int{}, payloads: newPayloadTable(greeting.Kept), leaving: greeting.Leaving, lastReports: lastReports{}, lastListing: lastListing{},
 	}, nil
 }
 
-// upgrade asks the other side to go on with the stream on this connection, and whether it
-// would have it compressed.
-func upgrade(conn net.Conn, address string, pack bool) (in *bufio.Reader, packed bool, err error) {
+// upgrade upgrades the connection to a stream and negotiates the compression. The returned
+// reader may have buffered the beginning of the stream.
+func upgrade(conn net.Conn, address string, compress bool) (reader *bufio.Reader, compressed bool, err error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+Path, http.NoBody)
 	if err != nil {
 		return nil, false, err
 	}
 	req.Header.Set("Upgrade", protocol)
 	req.Header.Set("Connection", "Upgrade")
-	if pack {
+	if compress {
 		req.Header.Set("Accept-Encoding", contentCoding)
 	}
 	if err := req.Write(conn); err != nil {
 		return nil, false, err
 	}
-	in = bufio.NewReaderSize(conn, bufferBytes)
-	resp, err := http.ReadResponse(in, req)
+	reader = bufio.NewReaderSize(conn, bufferBytes)
+	resp, err := http.ReadResponse(reader, req)
 	if err != nil {
 		return nil, false, err
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		return nil, false, errors.Newf("the process at %s answers %s", address, resp.Status)
+		return nil, false, errors.Newf("upgrade request to %s failed with status %s", address, resp.Status)
 	}
-	return in, pack && resp.Header.Get("Content-Encoding") == contentCoding, nil
+	return reader, compress && resp.Header.Get("Content-Encoding") == contentCoding, nil
 }
 
-// bufferedConn reads on from what was read ahead during the upgrade.
+// bufferedConn is a connection with the reader that has read ahead during the upgrade.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -201,7 +204,7 @@
 // Read implements net.Conn.
 func (c *bufferedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// serve carries messages until the stream breaks or ctx ends, and returns why.
+// serve exchanges messages until the stream breaks or ctx ends, and returns the cause.
 func (s *stream) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -220,23 +223,24 @@
 	return err
 }
 
-// write sends the calls, a batch at a time.
+// write sends the queued calls in batches.
 func (s *stream) write(ctx context.Context) {
-	pace := newMessagePacer(s.messageInterval)
-	defer pace.stop()
-	for pace.wait(ctx, s.wakeup) {
+	pacer := newMessagePacer(s.messageInterval)
+	defer pacer.stop()
+	for pacer.wait(ctx, s.wakeup) {
 		m := s.takeOutgoing()
 		m.SentAt = steady.Now()
 		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if s.writer.write(&m) != nil {
-			// The reader tells why the stream ended.
+			// serve returns the cause.
 			_ = s.conn.Close()
 			return
 		}
 	}
 }
 
-// takeOutgoing returns what is to be written next. From here on its calls may be carried out.
+// takeOutgoing returns the next message to write. Its calls count as written from here on: they
+// may be executed.
 func (s *stream) takeOutgoing() orders {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,15 +265,15 @@
 }
 
 func (s *stream) markWritten(call uint64) {
-	if w := s.pending[call]; w != nil {
-		w.written = true
+	if c := s.pending[call]; c != nil {
+		c.written = true
 	}
 }
 
-// errMissingBaseReport: a report went back to one that this side does not have.
-var errMissingBaseReport = errors.New("the relay's report follows one that did not come")
+// errMissingBaseReport is returned if a report refers to a row that the previous report lacks.
+var errMissingBaseReport = errors.New("the relay's report refers to a row that the VM's previous report does not have")
 
-// handleResults hands the outcomes to those who wait for them.
+// handleResults completes the pending calls of a message's results.
 func (s *stream) handleResults(m *results) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -279,7 +283,7 @@
 		r := &m.Results[i]
 		var rep batch.Report
 		if r.Report != nil {
-			// Also of a call that nobody waits for any more: the next one follows it.
+			// This applies to abandoned calls too: the next report is the difference from this one.
 			var ok bool
 			if rep, ok = s.lastReports.apply(r.Report); !ok {
 				return errMissingBaseReport
@@ -290,58 +294,58 @@
 		if r.Listing != nil {
 			list = s.lastListing.apply(r.Listing)
 		}
-		w := s.pending[r.Call]
-		if w == nil {
+		c := s.pending[r.Call]
+		if c == nil {
 			continue
 		}
 		delete(s.pending, r.Call)
-		w.result, w.report, w.list, w.err, w.receivedAt = *r, rep, list, r.err(), receivedAt
-		close(w.done)
+		c.result, c.report, c.list, c.err, c.receivedAt = *r, rep, list, r.err(), receivedAt
+		close(c.done)
 	}
 	return nil
 }
 
-// failPending ends all calls under way.
+// failPending closes the stream for calls and fails all pending ones.
 func (s *stream) failPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for call, w := range s.pending {
-		w.err = errStreamBroken
-		if !w.written {
-			w.err = errNotWritten
+	for call, c := range s.pending {
+		c.err = errStreamBroken
+		if !c.written {
+			c.err = errNotWritten
 		}
 		delete(s.pending, call)
-		close(w.done)
+		close(c.done)
 	}
 }
 
-// usable reports whether new calls may be made.
+// usable reports whether the stream accepts new calls.
 func (s *stream) usable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.closed && !s.leaving
 }
 
-// payloadBackoff is how long a relay holds no payloads for others after one of them could not
-// fetch one: as long as cuts between zones mostly last.
+// payloadBackoff is how long a relay is not used as a holder of payloads after another relay
+// failed to fetch one from it. Most network partitions between zones last about as long.
 const payloadBackoff = 5 * time.Second
 
-// stopServingPayloads notes that another relay could not fetch a payload from this one.
+// stopServingPayloads excludes the relay from being a holder for payloadBackoff.
 func (s *stream) stopServingPayloads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.payloadBackoffUntil = steady.Now() + payloadBackoff
 }
 
-// canServePayloads reports whether other relays may be told to fetch payloads from this one.
+// canServePayloads reports whether other relays may fetch payloads from this one.
 func (s *stream) canServePayloads() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.closed && !s.leaving && steady.Now() >= s.payloadBackoffUntil
 }
 
-// callVM queues a call to a VM and waits for its outcome. add puts it into the next message.
+// callVM queues a call to a VM and waits for its result. add adds the call to the next message.
 func (s *stream) callVM(ctx context.Context, vm *batch.Instance, add func(out *orders, head callHead)) (*pendingCall, error) {
 	return s.callRelay(ctx, func(out *orders, head callHead) {
 		head.VM = s.vmNumber(vm)
@@ -349,13 +353,13 @@
 	})
 }
 
-// callRelay queues a call that is about no VM, and waits for its outcome.
+// callRelay queues a call that concerns no VM, and waits for its result. add runs with s.mu held.
 func (s *stream) callRelay(ctx context.Context, add func(out *orders, head callHead)) (*pendingCall, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return nil, errors.New("a call needs a deadline")
+		return nil, errors.New("a call to a relay needs a deadline")
 	}
-	w := &pendingCall{done: make(chan struct{})}
+	c := &pendingCall{done: make(chan struct{})}
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
@@ -363,7 +367,7 @@
 	}
 	s.lastCallID++
 	id := s.lastCallID
-	s.pending[id] = w
+	s.pending[id] = c
 	add(&s.outgoing, callHead{Call: id, Within: time.Until(deadline)})
 	s.mu.Unlock()
 	select {
@@ -371,8 +375,8 @@
 	default:
 	}
 	select {
-	case <-w.done:
-		return w, w.err
+	case <-c.done:
+		return c, c.err
 	case <-ctx.Done():
 		s.mu.Lock()
 		delete(s.pending, id)
@@ -381,7 +385,7 @@
 	}
 }
 
-// vmNumber is how the stream names a VM. s.mu is held.
+// vmNumber returns the number of a VM on the stream, and assigns one if needed. s.mu is held.
 func (s *stream) vmNumber(vm *batch.Instance) int {
 	key := vm.ID + " " + vm.Address
 	n, ok := s.vmNumbers[key]
@@ -393,9 +397,9 @@
 	return n
 }
 
-// Start orders a run and returns the VM's clock.
+// Start starts a run and returns the VM's clock.
 func (s *stream) Start(ctx context.Context, vm *batch.Instance, o batch.StartOrder) (time.Duration, error) {
-	packed, err := s.payloadCache.compress(o.Task.Job, o.Payload)
+	compressed, err := s.payloadCache.compress(o.Task.Job, o.Payload)
 	if err != nil {
 		return 0, errors.Mark(err, errNotWritten)
 	}
@@ -403,32 +407,33 @@
 	if s.writer.compressor != nil {
 		from = s.payloadCache.holderFor(o.Task.Job, s)
 	}
-	w, err := s.callVM(ctx, vm, func(out *orders, head callHead) {
-		fresh, dropped := s.payloads.use(o.Task.Job, o.Payload)
+	c, err := s.callVM(ctx, vm, func(out *orders, head callHead) {
+		missing, evicted := s.payloads.use(o.Task.Job, o.Payload)
 		switch {
-		case fresh && from != "" && !s.payloads.fetchFailed[o.Task.Job]:
+		case missing && from != "" && !s.payloads.fetchFailed[o.Task.Job]:
 			out.addPayload(payload{Job: o.Task.Job, From: from, Hash: hashPayload(o.Payload)})
-		case fresh:
+		case missing:
 			delete(s.payloads.fetchFailed, o.Task.Job)
-			out.addPayload(payload{Job: o.Task.Job, Packed: packed})
+			out.addPayload(payload{Job: o.Task.Job, Packed: compressed})
 		}
-		if dropped != "" {
-			out.dropPayload(dropped)
+		if evicted != "" {
+			out.dropPayload(evicted)
 		}
 		o.Payload = ""
 		out.Starts = append(out.Starts, startCall{Head: head, Order: o})
 	})
-	if w == nil {
+	if c == nil {
 		return 0, err
 	}
-	if w.result.NoPayload {
+	if c.result.NoPayload {
 		s.markPayloadMissing(o.Task.Job)
 		s.payloadCache.fetchFailed(o.Task.Job, from)
 	}
-	return w.result.Clock, err
+	return c.result.Clock, err
 }
 
-// markPayloadMissing notes that the relay could not fetch a payload: the next start brings it.
+// markPayloadMissing records that the relay does not have a payload, so that the next start sends
+// it without a holder.
 func (s *stream) markPayloadMissing(job string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -457,23 +462,23 @@
 
 // Hold renews the leases of a VM and returns its report.
 func (s *stream) Hold(ctx context.Context, vm *batch.Instance, o batch.HoldOrder) (batch.Report, error) {
-	w, err := s.callVM(ctx, vm, func(out *orders, head callHead) {
+	c, err := s.callVM(ctx, vm, func(out *orders, head callHead) {
 		out.Holds = append(out.Holds, holdCall{Head: head, Order: o})
 	})
 	if err != nil {
 		return batch.Report{}, err
 	}
 	if s.observeDelay != nil {
-		s.observeDelay(steady.Now() - w.receivedAt)
+		s.observeDelay(steady.Now() - c.receivedAt)
 	}
-	return w.report, nil
+	return c.report, nil
 }
 
-// Instances returns the list of VMs as the relay reads it.
+// Instances returns the list of VMs as read by the relay.
 func (s *stream) Instances(ctx context.Context) ([]batch.Instance, error) {
-	w, err := s.callRelay(ctx, func(out *orders, head callHead) { out.Lists = append(out.Lists, head) })
+	c, err := s.callRelay(ctx, func(out *orders, head callHead) { out.Lists = append(out.Lists, head) })
 	if err != nil {
 		return nil, err
 	}
-	return w.list, nil
+	return c.list, nil
 }
