--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -15,15 +15,14 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// BenchmarkReports takes in reports of eleven runs as the leader's side of a stream: in ns
-// a report. BenchmarkOrders is the whole exchange, relay included, of a start and its
-// outcome among many.
+// BenchmarkReports encodes reports of eleven runs as differences and restores them, in ns per
+// report.
 func BenchmarkReports(b *testing.B) {
 	rows := make([]batch.RunStatus, 11)
 	for i := range rows {
 		rows[i] = batch.RunStatus{Task: batch.TaskID{Job: "5c0e7a21d94b36f8", Step: 1, Index: i}, Run: 33554432 + int64(i), Checkpoint: "00000bb87a21d94b", HasUsage: true}
 	}
-	sent, got := lastReports{}, lastReports{}
+	sent, received := lastReports{}, lastReports{}
 	for n := range b.N {
 		rep := batch.Report{Running: make([]batch.RunStatus, len(rows))}
 		copy(rep.Running, rows)
@@ -31,11 +30,13 @@
 			rep.Running[i].Usage = float64((n * (i + 3)) % 40)
 			rep.Running[i].Progress = n % 100
 		}
-		_, ok := got.apply(sent.diff(1, &rep))
+		_, ok := received.apply(sent.diff(1, &rep))
 		require.True(b, ok)
 	}
 }
 
+// BenchmarkOrders measures the whole exchange of a start and its result, including the relay,
+// with up to 200 starts in flight.
 func BenchmarkOrders(b *testing.B) {
 	relayed := &fakeAgents{}
 	r := newTestRelay(b, "ra", "a", relayed)
@@ -46,22 +47,22 @@
 	p.AddOffer(r.offer)
 	p.SetFleet(testFleet(65))
 	p.AwaitReady(ctx, time.Second)
-	var done sync.WaitGroup
-	places := make(chan struct{}, 200)
+	var starts sync.WaitGroup
+	inFlight := make(chan struct{}, 200)
 	for n := range b.N {
-		places <- struct{}{}
-		done.Go(func() {
+		inFlight <- struct{}{}
+		starts.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
 			_, _ = p.Start(callCtx, testVM(n%65), batch.StartOrder{Task: batch.TaskID{Job: fmt.Sprintf("%016x", n/100), Index: n % 100}, Run: int64(n), Payload: "text", Fence: 7, LeaseUntil: time.Hour})
-			<-places
+			<-inFlight
 		})
 	}
-	done.Wait()
+	starts.Wait()
 }
 
 // BenchmarkMessage encodes and decodes a message of a relay with the reports of forty VMs
-// with eleven runs each, in ns a message.
+// with eleven runs each, in ns per message.
 func BenchmarkMessage(b *testing.B) {
 	var m results
 	last := lastReports{}
@@ -84,13 +85,13 @@
 	for range b.N {
 		require.NoError(b, encoder.Encode(&m))
 		b.ReportMetric(float64(buf.Len()), "bytes")
-		var got results
-		require.NoError(b, decoder.Decode(&got))
+		var received results
+		require.NoError(b, decoder.Decode(&received))
 	}
 }
 
-// BenchmarkPayloadTable is what a start of a new job costs a stream whose relay keeps as many
-// payloads as it may.
+// BenchmarkPayloadTable measures the cost of a new job's first start on a stream whose relay
+// already stores the maximum number of payloads.
 func BenchmarkPayloadTable(b *testing.B) {
 	table := newPayloadTable(nil)
 	for i := range b.N {
--- a/internal/relay/coding_test.go
+++ b/internal/relay/coding_test.go
@@ -14,7 +14,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// startMessages are those of a stream on which so many starts are ordered and answered.
+// startMessages returns n messages of a leader with four starts each.
 func startMessages(n int) (list []orders) {
 	for i := range n {
 		m := orders{SentAt: time.Duration(i) * time.Millisecond}
@@ -32,28 +32,29 @@
 	return list
 }
 
-// Compressed messages come one by one as they were, in less than half of the bytes.
+// Each message can be decoded as soon as it is written, unchanged. Compression reduces the size
+// to less than half.
 func TestCompressedMessagesAreFlushed(t *testing.T) {
 	sizes := map[bool]int{}
-	for _, pack := range []bool{false, true} {
+	for _, compress := range []bool{false, true} {
 		var wire bytes.Buffer
-		c, err := newMessageWriter(&wire, pack)
+		w, err := newMessageWriter(&wire, compress)
 		require.NoError(t, err)
-		decoder := newMessageDecoder(&wire, pack)
+		decoder := newMessageDecoder(&wire, compress)
 		for _, m := range startMessages(200) {
-			require.NoError(t, c.write(&m))
-			sizes[pack] += wire.Len()
+			require.NoError(t, w.write(&m))
+			sizes[compress] += wire.Len()
 			var got orders
 			require.NoError(t, decoder.Decode(&got))
 			require.Equal(t, m, got)
-			require.Zero(t, wire.Len(), "nothing of a message is held back")
+			require.Zero(t, wire.Len(), "the decoder has consumed the whole message")
 		}
 	}
 	require.Less(t, 2*sizes[true], sizes[false])
 }
 
-// An earlier version of the process does not confirm compression: the stream goes on without,
-// and payloads are sent in full.
+// A relay of an earlier version does not confirm compression. The stream then stays uncompressed,
+// and the leader sends all payloads itself.
 func TestRelayWithoutCompression(t *testing.T) {
 	agent := &fakeAgents{}
 	r := newTestRelay(t, "old", "a", agent)
@@ -70,13 +71,14 @@
 	}
 	require.NotEmpty(t, agent.startPayloads())
 	require.Zero(t, holder.payloadRequests.Load())
-	for _, had := range agent.startPayloads() {
-		require.Equal(t, "text", had)
+	for _, got := range agent.startPayloads() {
+		require.Equal(t, "text", got)
 	}
 }
 
+// Streams are compressed on slow links only, and not on links of unknown bandwidth.
 func TestIsNarrowLink(t *testing.T) {
 	require.True(t, isNarrowLink(2))
 	require.False(t, isNarrowLink(20))
-	require.False(t, isNarrowLink(0), "not told")
+	require.False(t, isNarrowLink(0), "unknown bandwidth")
 }
--- a/internal/relay/payloads_test.go
+++ b/internal/relay/payloads_test.go
@@ -13,8 +13,8 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// newNarrowLinkPool is the pool of a leader on a narrow link with relays in one zone, each of
-// which serves some VMs.
+// newNarrowLinkPool returns the pool of a leader on a narrow link, connected to all the given
+// relays.
 func newNarrowLinkPool(t *testing.T, relays ...*testRelay) *Pool {
 	p := &Pool{Direct: &fakeAgents{}, Node: "leader", DirectVMs: 1, Processor: 1, LinkMbps: 2, Log: discardLog()}
 	p.Lead(t.Context(), 7)
@@ -28,7 +28,7 @@
 	return p
 }
 
-// startOnAllVMs starts a task of a job on each VM and returns the errors.
+// startOnAllVMs starts one task of a job on each VM concurrently and returns the errors.
 func startOnAllVMs(t *testing.T, p *Pool, job, text string, run int64) (failed []error) {
 	var mu sync.Mutex
 	var starts sync.WaitGroup
@@ -46,7 +46,8 @@
 	return failed
 }
 
-// A leader on a narrow link writes a payload once; each VM is started with the whole of it.
+// A leader on a narrow link sends a payload to one relay only. The others fetch it from there,
+// and each task is started with the complete payload.
 func TestPayloadsAreFetchedFromOtherRelays(t *testing.T) {
 	agents := [3]*fakeAgents{{}, {}, {}}
 	var relays []*testRelay
@@ -56,21 +57,21 @@
 	p := newNarrowLinkPool(t, relays...)
 	text := strings.Repeat("payload ", 300)
 	require.Empty(t, startOnAllVMs(t, p, "job", text, 1))
-	asked := int64(0)
+	requests := int64(0)
 	for i, r := range relays {
-		asked += r.payloadRequests.Load()
+		requests += r.payloadRequests.Load()
 		require.NotEmpty(t, agents[i].startPayloads(), "each relay serves some VMs")
-		for _, had := range agents[i].startPayloads() {
-			require.Equal(t, text, had)
+		for _, got := range agents[i].startPayloads() {
+			require.Equal(t, text, got)
 		}
 	}
-	require.EqualValues(t, 2, asked, "once by each relay but the holder")
+	require.EqualValues(t, 2, requests, "one request by each relay except the holder")
 	require.Empty(t, startOnAllVMs(t, p, "job", text, 2))
 	require.EqualValues(t, 2, relays[0].payloadRequests.Load()+relays[1].payloadRequests.Load()+relays[2].payloadRequests.Load())
 }
 
-// A relay that can't have a payload from its holder refuses the starts for certain, and gets
-// the payload from the leader with the next.
+// A relay that cannot fetch a payload from its holder refuses the starts, which are then certainly
+// not carried out. The leader sends the payload itself with the next start.
 func TestLeaderSendsPayloadAfterFailedFetch(t *testing.T) {
 	agents := [3]*fakeAgents{{}, {}, {}}
 	var relays []*testRelay
@@ -88,14 +89,14 @@
 	}
 	require.Empty(t, startOnAllVMs(t, p, "job", "text", 2))
 	for _, a := range agents {
-		for _, had := range a.startPayloads() {
-			require.Equal(t, "text", had)
+		for _, got := range a.startPayloads() {
+			require.Equal(t, "text", got)
 		}
 	}
 }
 
-// A relay that the leader reaches and others don't costs a refused start once, not with each
-// job.
+// A holder that the leader reaches but the other relays do not would cause refused starts with
+// each job. It causes them once only: after that it is no holder for a while.
 func TestRelayWithFailedFetchIsNoLongerHolder(t *testing.T) {
 	var relays []*testRelay
 	for i := range 3 {
@@ -110,22 +111,23 @@
 		}
 	}
 	require.Positive(t, refused)
-	require.LessOrEqual(t, refused, 3, "each relay is tried once")
+	require.LessOrEqual(t, refused, 3, "each relay is the holder at most once")
 }
 
-// An ID may have been another job's once: its payload is not taken for the job's.
+// A stored payload may belong to an earlier job with the same ID. Its hash differs, and neither the
+// relay nor its holder may use it for the new job.
 func TestPayloadOfReusedJobIDIsRejected(t *testing.T) {
 	holder := newTestRelay(t, "holder", "a", &fakeAgents{})
 	holder.server.payloads.put("job", "another text")
 	agent := &fakeAgents{}
-	asker := newTestRelay(t, "asker", "a", agent)
-	asker.server.payloads.put("job", "another text")
-	asker.server.storePayloads(t.Context(), []payload{{Job: "job", From: holder.offer.Address, Hash: hashPayload("text")}})
-	_, known, awaited := asker.server.payloads.get("job")
-	require.False(t, known)
-	if awaited != nil {
-		<-awaited
+	relay := newTestRelay(t, "asker", "a", agent)
+	relay.server.payloads.put("job", "another text")
+	relay.server.storePayloads(t.Context(), []payload{{Job: "job", From: holder.offer.Address, Hash: hashPayload("text")}})
+	_, found, fetched := relay.server.payloads.get("job")
+	require.False(t, found)
+	if fetched != nil {
+		<-fetched
 	}
-	_, known, _ = asker.server.payloads.get("job")
-	require.False(t, known)
+	_, found, _ = relay.server.payloads.get("job")
+	require.False(t, found)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,7 +22,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// fakeAgents are the VMs of a test, as whoever gives orders to them sees them.
+// fakeAgents is a batch.Agents that records orders and returns the configured results.
 type fakeAgents struct {
 	mu     sync.Mutex
 	starts []batch.StartOrder
@@ -30,66 +30,66 @@
 	acked  []int64
 	report func(id string) (batch.Report, error)
 	stop   error
-	// delay delays each answer.
+	// delay is the duration of each start.
 	delay time.Duration
 }
 
-func (v *fakeAgents) Start(ctx context.Context, _ *batch.Instance, o batch.StartOrder) (time.Duration, error) {
-	v.mu.Lock()
-	v.starts = append(v.starts, o)
-	v.mu.Unlock()
+func (f *fakeAgents) Start(ctx context.Context, _ *batch.Instance, o batch.StartOrder) (time.Duration, error) {
+	f.mu.Lock()
+	f.starts = append(f.starts, o)
+	f.mu.Unlock()
 	select {
-	case <-time.After(v.delay):
+	case <-time.After(f.delay):
 		return time.Hour, nil
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// startPayloads are those of the starts.
-func (v *fakeAgents) startPayloads() (all []string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for i := range v.starts {
-		all = append(all, v.starts[i].Payload)
+// startPayloads returns the payloads of all starts so far.
+func (f *fakeAgents) startPayloads() (all []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i := range f.starts {
+		all = append(all, f.starts[i].Payload)
 	}
 	return all
 }
 
-func (v *fakeAgents) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
-	return v.stop
+func (f *fakeAgents) Stop(context.Context, *batch.Instance, batch.TaskID, int64, int64) error {
+	return f.stop
 }
 
-func (v *fakeAgents) Pace(context.Context, *batch.Instance, batch.TaskID, int64, int, int64) error {
+func (f *fakeAgents) Pace(context.Context, *batch.Instance, batch.TaskID, int64, int, int64) error {
 	return nil
 }
 
-func (v *fakeAgents) Hold(_ context.Context, vm *batch.Instance, o batch.HoldOrder) (batch.Report, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.holds == nil {
-		v.holds = map[string]int{}
+func (f *fakeAgents) Hold(_ context.Context, vm *batch.Instance, o batch.HoldOrder) (batch.Report, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.holds == nil {
+		f.holds = map[string]int{}
 	}
-	v.holds[vm.ID]++
-	v.acked = append(v.acked, o.Acked)
-	if v.report == nil {
+	f.holds[vm.ID]++
+	f.acked = append(f.acked, o.Acked)
+	if f.report == nil {
 		return batch.Report{Clock: time.Hour}, nil
 	}
-	return v.report(vm.ID)
+	return f.report(vm.ID)
 }
 
-// acknowledged is what each hold has acknowledged.
-func (v *fakeAgents) acknowledged() []int64 {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.Clone(v.acked)
+// acknowledged returns the Acked value of each hold so far.
+func (f *fakeAgents) acknowledged() []int64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.acked)
 }
 
-func (v *fakeAgents) holdCount() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (f *fakeAgents) holdCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	n := 0
-	for _, c := range v.holds {
+	for _, c := range f.holds {
 		n += c
 	}
 	return n
@@ -97,57 +97,58 @@
 
 func discardLog() *eventlog.Log { return eventlog.New(io.Discard, logrus.ErrorLevel) }
 
-// testRelay is a relay of a test.
+// testRelay is a relay with its HTTP server and its offer.
 type testRelay struct {
 	server     *Server
 	httpServer *httptest.Server
 	offer      Offer
-	// payloadRequests counts the payloads that other relays have asked for; one that keeps them to
-	// itself serves none.
+	// payloadRequests counts the requests for payloads by other relays. They all fail if
+	// rejectsPayloadRequests is set.
 	payloadRequests        atomic.Int64
 	rejectsPayloadRequests atomic.Bool
 }
 
 func newTestRelay(t testing.TB, node, zone string, agents batch.Agents) *testRelay {
-	p := &testRelay{server: &Server{Agents: agents, Client: http.DefaultClient, Log: discardLog()}, offer: Offer{Node: node, Zone: zone, VMs: 80}}
-	serveRelay(t, p)
-	return p
+	tr := &testRelay{server: &Server{Agents: agents, Client: http.DefaultClient, Log: discardLog()}, offer: Offer{Node: node, Zone: zone, VMs: 80}}
+	serveRelay(t, tr)
+	return tr
 }
 
-func serveRelay(t testing.TB, p *testRelay) {
+func serveRelay(t testing.TB, tr *testRelay) {
 	mux := http.NewServeMux()
-	mux.Handle(Path, p.server)
+	mux.Handle(Path, tr.server)
 	mux.HandleFunc(PayloadPath, func(w http.ResponseWriter, r *http.Request) {
-		p.payloadRequests.Add(1)
-		if p.rejectsPayloadRequests.Load() {
+		tr.payloadRequests.Add(1)
+		if tr.rejectsPayloadRequests.Load() {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
 		}
-		p.server.ServePayload(w, r)
+		tr.server.ServePayload(w, r)
 	})
-	p.httpServer = httptest.NewServer(mux)
-	t.Cleanup(p.httpServer.Close)
-	p.offer.Address = strings.TrimPrefix(p.httpServer.URL, "http://")
-	p.offer.VMs = max(p.offer.VMs, 80)
+	tr.httpServer = httptest.NewServer(mux)
+	t.Cleanup(tr.httpServer.Close)
+	tr.offer.Address = strings.TrimPrefix(tr.httpServer.URL, "http://")
+	tr.offer.VMs = max(tr.offer.VMs, 80)
 }
 
-func (p *testRelay) streamCount() int {
-	p.server.mu.Lock()
-	defer p.server.mu.Unlock()
-	if p.server.current == nil {
+func (tr *testRelay) streamCount() int {
+	tr.server.mu.Lock()
+	defer tr.server.mu.Unlock()
+	if tr.server.current == nil {
 		return 0
 	}
 	return 1
 }
 
-// closeStream breaks the streams to the relay.
-func (p *testRelay) closeStream() {
-	p.server.mu.Lock()
-	defer p.server.mu.Unlock()
-	_ = p.server.current.conn.Close()
+// closeStream closes the connection of the relay's current stream.
+func (tr *testRelay) closeStream() {
+	tr.server.mu.Lock()
+	defer tr.server.mu.Unlock()
+	_ = tr.server.current.conn.Close()
 }
 
-// newPool is the pool of a leader of a fleet of so many VMs in two availability zones.
+// newPool returns the pool of a leader with a fleet of the given size in two availability zones,
+// after the relays have been offered.
 func newPool(t testing.TB, direct batch.Agents, fleet int, relays ...*testRelay) *Pool {
 	p := &Pool{Direct: direct, Node: "leader", DirectVMs: DirectVMs, Processor: 1, Log: discardLog()}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -180,6 +181,7 @@
 	return ctx
 }
 
+// Orders must go through a relay in the VM's zone: traffic between zones costs more.
 func TestOrdersUseRelaysOfTheirZone(t *testing.T) {
 	near, far, direct := &fakeAgents{}, &fakeAgents{}, &fakeAgents{}
 	p := newPool(t, direct, 100, newTestRelay(t, "ra", "a", near), newTestRelay(t, "rb", "b", far))
@@ -194,6 +196,7 @@
 	require.True(t, p.Relayed("vm003"))
 }
 
+// A fleet of up to DirectVMs VMs is served without relays, even if one is offered.
 func TestSmallFleetsAreServedDirectly(t *testing.T) {
 	direct, relayed := &fakeAgents{}, &fakeAgents{}
 	p := newPool(t, direct, DirectVMs, newTestRelay(t, "ra", "a", relayed))
@@ -203,6 +206,7 @@
 	require.Empty(t, p.Serving())
 }
 
+// Clocks, refusals with their causes, other errors and payloads pass through a relay unchanged.
 func TestOutcomesArePreserved(t *testing.T) {
 	cause := &batch.RefusalError{Reason: batch.RefusedUnreached, Cause: errors.New("no route")}
 	relayed := &fakeAgents{stop: cause, report: func(string) (batch.Report, error) { return batch.Report{}, errors.New("cut off") }}
@@ -224,13 +228,15 @@
 	require.NotErrorAs(t, err, &refusal)
 }
 
+// Reports sent as differences are restored completely when rows move, appear or vanish, lose
+// their checkpoint or share a run number, and when the VM restarts.
 func TestReportsAreRestored(t *testing.T) {
 	task := func(i int) batch.TaskID { return batch.TaskID{Job: "job", Step: 1, Index: i} }
-	full := []batch.Report{
+	reports := []batch.Report{
 		{Clock: 1, Running: []batch.RunStatus{{Task: task(1), Run: 5, Checkpoint: "c1", Progress: 4, Usage: 2, HasUsage: true}, {Task: task(2), Run: 6}}},
 		{Clock: 2, Running: []batch.RunStatus{{Task: task(2), Run: 6, Progress: 1}, {Task: task(1), Run: 5, Checkpoint: "c1", Progress: 8}}},
 		{Clock: 3, Running: []batch.RunStatus{{Task: task(1), Run: 5}, {Task: task(3), Run: 9}}, Ended: []batch.RunEnd{{Seq: 1, Task: task(2), Run: 6, Kind: batch.EndDone}}},
-		// Members of a gang have one number.
+		// Members of a gang have the same run number.
 		{Clock: 4, Running: []batch.RunStatus{{Task: task(4), Run: 9}, {Task: task(3), Run: 9, Checkpoint: "x"}}, MoreEnded: true},
 		{Clock: 5, Running: []batch.RunStatus{}},
 		{Clock: 1, Born: 1790000000123, Running: []batch.RunStatus{}},
@@ -238,28 +244,27 @@
 	next := 0
 	relayed := &fakeAgents{report: func(string) (batch.Report, error) {
 		next++
-		return full[next-1], nil
+		return reports[next-1], nil
 	}}
 	p := newPool(t, &fakeAgents{}, 100, newTestRelay(t, "ra", "a", relayed), newTestRelay(t, "rb", "b", relayed))
-	for i := range full {
+	for i := range reports {
 		rep, err := p.Hold(shortContext(t), testVM(0), batch.HoldOrder{})
 		require.NoError(t, err)
-		require.Equal(t, full[i], rep)
+		require.Equal(t, reports[i], rep)
 	}
 }
 
-// Symptom: the VMs of a relay that died are unheard until their calls time out.
-// Sequence: a relay's connections are cut while calls are under way.
-// Cause: nothing but the timeout of each call told of it.
+// When the connection to a relay breaks, pending calls fail at once and its VMs move to other
+// relays. Otherwise the VMs would be unreachable until each call timed out.
 func TestVMsOfALostRelayAreServedByOthers(t *testing.T) {
 	relayed := &fakeAgents{delay: time.Minute}
 	ra, rb := newTestRelay(t, "ra", "a", relayed), newTestRelay(t, "rb", "b", &fakeAgents{})
 	p := newPool(t, &fakeAgents{}, 100, ra, rb)
-	began := steady.Now()
-	failed := make(chan error, 1)
+	start := steady.Now()
+	result := make(chan error, 1)
 	go func() {
 		_, err := p.Start(shortContext(t), testVM(0), batch.StartOrder{Task: batch.TaskID{Job: "j"}})
-		failed <- err
+		result <- err
 	}()
 	require.Eventually(t, func() bool {
 		relayed.mu.Lock()
@@ -267,30 +272,29 @@
 		return len(relayed.starts) == 1
 	}, time.Second, time.Millisecond)
 	ra.closeStream()
-	err := <-failed
-	require.ErrorIs(t, err, errStreamBroken, "it may have been carried out")
+	err := <-result
+	require.ErrorIs(t, err, errStreamBroken, "the order may have been carried out")
 	var refusal *batch.RefusalError
 	require.NotErrorAs(t, err, &refusal)
-	require.Less(t, steady.Now()-began, time.Second)
+	require.Less(t, steady.Now()-start, time.Second)
 	require.Eventually(t, func() bool { return p.Serving()["ra"] == 0 }, time.Second, time.Millisecond)
 	_, err = p.Hold(shortContext(t), testVM(0), batch.HoldOrder{})
 	require.NoError(t, err)
 	require.Equal(t, 1, p.Serving()["rb"])
 }
 
-// Symptom: a VM that is alive gets nothing, and what it runs is started elsewhere.
-// Sequence: the path between a VM and its relay is cut; other processes reach it.
-// Cause: the VM stayed with the relay that did not reach it.
+// When only the path between a VM and its relay fails, the VM moves to another relay. Otherwise
+// a running VM would get no orders, and its tasks would be started elsewhere.
 func TestUnreachedVMIsMovedToAnotherRelay(t *testing.T) {
-	cut := func(string) (batch.Report, error) { return batch.Report{}, errors.New("no answer") }
-	unreached, other := &fakeAgents{report: cut}, &fakeAgents{}
+	unreachable := func(string) (batch.Report, error) { return batch.Report{}, errors.New("no answer") }
+	unreached, other := &fakeAgents{report: unreachable}, &fakeAgents{}
 	p := newPool(t, &fakeAgents{}, 100, newTestRelay(t, "ra", "a", unreached), newTestRelay(t, "rb", "b", other))
 	_, err := p.Hold(shortContext(t), testVM(0), batch.HoldOrder{})
 	require.Error(t, err)
 	_, err = p.Hold(shortContext(t), testVM(0), batch.HoldOrder{})
 	require.NoError(t, err)
 	require.Equal(t, 1, other.holdCount())
-	other.report = cut
+	other.report = unreachable
 	var routes []*stream
 	for range 3 * maxReroutes {
 		_, err = p.Hold(shortContext(t), testVM(0), batch.HoldOrder{})
@@ -299,13 +303,12 @@
 	}
 	require.NotEqual(t, routes[0].offer, routes[1].offer)
 	for _, s := range routes[maxReroutes:] {
-		require.Same(t, routes[maxReroutes], s, "it is the VM that does not answer")
+		require.Same(t, routes[maxReroutes], s, "after maxReroutes relays the VM itself counts as unresponsive and is not moved")
 	}
 }
 
-// Symptom: a relay that stops cuts off what it has under way.
-// Sequence: a planned stop of a relay, with orders under way and others to come.
-// Cause: the leader did not know that it was about to stop.
+// A relay that shuts down as planned completes its calls in progress and reports to the leader
+// that it is leaving, so that new orders go through another relay. Otherwise calls would break.
 func TestLeavingRelayFinishesItsCalls(t *testing.T) {
 	relayed := &fakeAgents{delay: 300 * time.Millisecond}
 	ra, rb := newTestRelay(t, "ra", "a", relayed), newTestRelay(t, "rb", "b", &fakeAgents{})
@@ -324,9 +327,9 @@
 	require.Equal(t, 1, p.Serving()["rb"])
 }
 
-// Symptom: orders of a leader that was replaced reach VMs that its successor has not
-// reached yet.
-// Sequence: a relay serves a leader when a later one opens a stream to it.
+// A relay that serves a leader drops it when a leader with a higher fencing token opens a stream,
+// and rejects its further streams. Otherwise orders of the deposed leader could reach VMs that its
+// successor has not reached yet.
 func TestRelayDropsSupersededLeader(t *testing.T) {
 	ra := newTestRelay(t, "ra", "a", &fakeAgents{})
 	first := newPool(t, &fakeAgents{}, 65, ra)
@@ -342,10 +345,9 @@
 	require.Equal(t, 1, ra.streamCount())
 }
 
-// Symptom: a task is started seconds after its leader had given the start up.
-// Sequence: a relay is suspended; meanwhile the leader sends it starts and gives them
-// up; the relay wakes and finds them in its queue.
-// Cause: a call's time was counted from when it was read.
+// A relay that resumes after a suspension finds starts in its queue whose calls have timed out at
+// the leader. It refuses them: Within alone counts from when a call is read, so that the tasks would
+// be started seconds late.
 func TestDelayedStartsAreRefused(t *testing.T) {
 	relayed := &fakeAgents{}
 	st := &servedStream{server: &Server{Agents: relayed, Log: discardLog()}, wakeup: make(chan struct{}, 1), instances: map[int]*batch.Instance{1: {ID: "vm"}}, lastReports: lastReports{}}
@@ -356,10 +358,11 @@
 	st.handleOrders(t.Context(), &late)
 	require.Len(t, st.queue, 2)
 	require.Equal(t, batch.RefusedUnreached, st.queue[0].Refusal)
-	require.Equal(t, batch.RefusedUnreached, st.queue[1].Refusal, "a pace of then would undo a later one")
+	require.Equal(t, batch.RefusedUnreached, st.queue[1].Refusal, "an old pace would undo a later one")
 	require.Empty(t, relayed.starts)
 }
 
+// A payload is sent once per stream, and the least recently used one is dropped above the limit.
 func TestPayloadsAreSentOnceAndBounded(t *testing.T) {
 	table := newPayloadTable(nil)
 	for i := range maxRelayPayloads {
@@ -374,10 +377,9 @@
 	require.Equal(t, "1", dropped)
 }
 
-// Symptom: a task is started with an empty payload.
-// Sequence: a relay is to forget a job's payload; before that is written a task of the job
-// is started again.
-// Cause: the relay was told the payload and to drop it in one message, and dropped it last.
+// If a payload is to be dropped and needed again before the message is written, the drop is
+// cancelled. With both in one message the relay dropped the payload last, and started a later task
+// with an empty payload. A start whose payload is missing is refused.
 func TestPayloadNeededAgainIsKept(t *testing.T) {
 	var m orders
 	m.dropPayload("j")
@@ -387,13 +389,11 @@
 	st := &servedStream{server: &Server{Agents: &fakeAgents{}, Log: discardLog()}, wakeup: make(chan struct{}, 1), instances: map[int]*batch.Instance{1: {ID: "vm"}}, lastReports: lastReports{}}
 	m = orders{SentAt: steady.Now(), Starts: []startCall{{Head: callHead{Call: 3, VM: 1, Within: time.Second}}}}
 	st.handleOrders(t.Context(), &m)
-	require.Equal(t, batch.RefusedUnreached, st.queue[0].Refusal, "a payload that was not told is no empty one")
+	require.Equal(t, batch.RefusedUnreached, st.queue[0].Refusal, "a missing payload does not count as an empty one")
 }
 
-// Symptom: a leader that takes over has no link left for anything else for seconds.
-// Sequence: a leader takes over while hundreds of jobs run; it sends each job's payload to
-// each relay again.
-// Cause: relays forgot the payloads with the leader that had told them.
+// Relays keep payloads across a change of leader. Otherwise a leader that takes over while hundreds
+// of jobs run would send each payload to each relay again, and saturate its link for seconds.
 func TestPayloadsSurviveLeaderChange(t *testing.T) {
 	relayed := &fakeAgents{}
 	ra := newTestRelay(t, "ra", "a", relayed)
@@ -418,9 +418,11 @@
 	_, err = later.Start(shortContext(t), testVM(0), order("other", "new"))
 	require.NoError(t, err)
 	require.Equal(t, "text", relayed.starts[2].Payload)
-	require.Equal(t, "new", relayed.starts[3].Payload, "an ID that was another job's once")
+	require.Equal(t, "new", relayed.starts[3].Payload, "the ID belonged to another job before")
 }
 
+// A relay reads the list of VMs and sends its changes, which the leader restores to the whole list.
+// If the relay fails, the leader reads the list itself.
 func TestListIsReadByARelay(t *testing.T) {
 	list := []batch.Instance{*testVM(1), *testVM(2)}
 	ra := newTestRelay(t, "ra", "a", &fakeAgents{})
@@ -440,16 +442,17 @@
 	restarted := draining
 	restarted.Born = 1790000000123
 	list = []batch.Instance{restarted, *testVM(3)}
-	require.Equal(t, list, read(), "a VM that differs in its start only")
+	require.Equal(t, list, read(), "a VM that differs only in its incarnation")
 	reader := p.listReader
 	require.NoError(t, func() error { _, err := p.Hold(shortContext(t), testVM(0), batch.HoldOrder{}); return err }())
-	require.Same(t, reader, p.selectListReader(), "the same relay, however much others have to do")
+	require.Same(t, reader, p.selectListReader(), "the reader stays the same when loads change")
 	list = []batch.Instance{}
 	require.Empty(t, read())
 	ra.server.Instances = func(context.Context) ([]batch.Instance, error) { return nil, errors.New("cut off") }
-	require.Equal(t, []batch.Instance{*testVM(9)}, read(), "read from here where the relay can't")
+	require.Equal(t, []batch.Instance{*testVM(9)}, read(), "the leader reads the list itself if the relay fails")
 }
 
+// Compression shrinks a payload to less than 60 % and is reversible.
 func TestPayloadsAreCompressed(t *testing.T) {
 	text := strings.Repeat("abcdefghijklmnop", 150)
 	var p payloadCache
@@ -461,6 +464,7 @@
 	require.Equal(t, text, got)
 }
 
+// A relay's capacity is limited by its processor, its link and MaxCapacity.
 func TestCapacityFollowsProcessorAndLink(t *testing.T) {
 	require.Equal(t, 64, Capacity(0.8, 200))
 	require.Equal(t, 64, Capacity(0.192, 20))
@@ -470,9 +474,9 @@
 	require.Equal(t, 64, Capacity(0.4, 0))
 }
 
-// A relay that wakes from a suspension has holds in its queue whose VMs may have started
-// again since: an acknowledgement meant for the start before makes them forget ends that
-// nobody has been told.
+// A relay that resumes after a suspension has holds in its queue whose VMs may have restarted since.
+// An acknowledgement for the previous incarnation would make the new one discard ends of runs that
+// it has not reported yet.
 func TestDelayedHoldsAcknowledgeNothing(t *testing.T) {
 	relayed := &fakeAgents{}
 	st := &servedStream{server: &Server{Agents: relayed, Log: discardLog()}, wakeup: make(chan struct{}, 1), instances: map[int]*batch.Instance{1: {ID: "vm"}}, lastReports: lastReports{}}
