--- a/internal/relay/coding.go
+++ b/internal/relay/coding.go
@@ -10,7 +10,7 @@
 )
 
 // On a narrow link the messages of a stream are compressed, each with the preceding ones as
-// its dictionary. Job IDs and numbers of calls repeat, so that a message shrinks to less than
+// its dictionary. Job IDs and the numbers in calls repeat, so that a message shrinks to less than
 // half. Compression costs either side about 30 us of processor time per message and 1 MB of
 // memory per stream. On a wide link it is not used because the processor is the bottleneck.
 
--- a/internal/relay/offers.go
+++ b/internal/relay/offers.go
@@ -24,7 +24,7 @@
 	// determines the interval between the messages of a stream: 17 ms with 0.8 of a core and
 	// 22 relays.
 	messageCPUShare = 0.08
-	// minMessageInterval makes a batch consist of at least a few orders. maxMessageInterval
+	// minMessageInterval is long enough to collect batches of a few orders. maxMessageInterval
 	// bounds the delay that is added to a start: short tasks are to start within 0.3 s.
 	minMessageInterval = 4 * time.Millisecond
 	maxMessageInterval = 50 * time.Millisecond
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -22,8 +22,8 @@
 	VMs int
 }
 
-// DirectVMs is the default of Pool.DirectVMs: the largest fleet that a leader serves without
-// relays. A fleet of this size takes about 7 % of a core.
+// DirectVMs is the default for the largest fleet that a leader serves without relays. A fleet of
+// this size takes about 7 % of a core.
 const DirectVMs = 64
 
 // OfferInterval is the time between a process's offers.
--- a/internal/relay/routes.go
+++ b/internal/relay/routes.go
@@ -112,17 +112,17 @@
 // rebalance moves some VMs from the fullest relay to the emptiest, since a relay that
 // returns after a loss serves none. p.mu is held.
 func (p *Pool) rebalance() {
-	var usable []*stream
+	var candidates []*stream
 	for _, node := range sortedKeys(p.streams) {
 		if s := p.streams[node]; s.usable() {
-			usable = append(usable, s)
+			candidates = append(candidates, s)
 		}
 	}
-	if len(usable) < 2 {
+	if len(candidates) < 2 {
 		return
 	}
 	byUse := func(a, b *stream) int { return cmp.Compare(p.use(a), p.use(b)) }
-	emptiest, fullest := slices.MinFunc(usable, byUse), slices.MaxFunc(usable, byUse)
+	emptiest, fullest := slices.MinFunc(candidates, byUse), slices.MaxFunc(candidates, byUse)
 	if p.use(fullest)-p.use(emptiest) < rebalanceThreshold {
 		return
 	}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -50,7 +50,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocol {
 		w.Header().Set("Upgrade", protocol)
-		http.Error(w, "an upgrade to "+protocol+" is required", http.StatusUpgradeRequired)
+		http.Error(w, "this path requires an upgrade to "+protocol, http.StatusUpgradeRequired)
 		return
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -24,7 +24,8 @@
 	maxRelayPayloads = 512
 )
 
-// errStreamBroken is returned if the stream ended after the call was written to it.
+// errStreamBroken is returned if the stream ended after the call was written to it. The order
+// may have been executed.
 var errStreamBroken = errors.New("the stream to the relay is broken")
 
 // errNotWritten is returned if the stream ended before the call was written to it. The order
@@ -432,8 +433,8 @@
 	return c.result.Clock, err
 }
 
-// markPayloadMissing records that the relay does not have a payload, so that the next start sends
-// it without a holder.
+// markPayloadMissing records that the relay does not have a payload, so that the leader sends
+// it with the next start.
 func (s *stream) markPayloadMissing(job string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -25,7 +25,7 @@
 // Path is the URL path at which each process accepts the stream of a leader.
 const Path = "/relay"
 
-// protocol identifies the stream and its version in the HTTP upgrade.
+// protocol identifies the stream and its version in the HTTP upgrade. Each version has its own.
 const protocol = "rattanwall-relay/1"
 
 const (
