--- a/internal/command/devplatform.go
+++ b/internal/command/devplatform.go
@@ -28,7 +28,7 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
 			began := time.Now()
-			o.Tell = func(format string, args ...any) {
+			o.Logf = func(format string, args ...any) {
 				_, _ = fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 			}
 			r, err := platformtest.Demo(ctx, o)
@@ -42,7 +42,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&o.For, "for", 20*time.Second, "how long jobs come")
+	cmd.Flags().DurationVar(&o.Duration, "for", 20*time.Second, "how long jobs come")
 	cmd.Flags().BoolVar(&o.Relays, "relays", false, "have each leader give its orders through the other processes, as in a large fleet")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of load and mishaps")
 	return cmd
