--- a/internal/batch/agents.go
+++ b/internal/batch/agents.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Agents gives orders to instances. A *RefusalError is certain; after any
-// other error the order may have been, or may yet be, carried out.
+// Agents sends orders to instances. A *RefusalError means that the order was not
+// carried out; after any other error it may have been, or may still be, carried out.
 type Agents interface {
 	Start(ctx context.Context, instance *Instance, o StartOrder) (time.Duration, error)
 	Stop(ctx context.Context, instance *Instance, task TaskID, run, fence int64) error
--- a/internal/batch/config.go
+++ b/internal/batch/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config is one version of the operator's configuration, whole.
+// Config is one complete version of the operator's configuration.
 type Config struct {
 	Version int64
 	Queues  []Queue
@@ -16,42 +16,42 @@
 // Queue is where callers submit jobs.
 type Queue struct {
 	Name string
-	// Host and Prefix select the queue of a request: the longest prefix wins.
+	// Host and Prefix select the queue of a request; the longest matching prefix wins.
 	Host   string
 	Prefix string
-	// Pool names the VMs that execute the queue's tasks.
+	// Pool is the name of the pool whose VMs execute the queue's tasks.
 	Pool string
-	// Priority orders the queues; 0 comes first.
+	// Priority orders the queues; 0 is the highest.
 	Priority int
-	// Attempts is how many runs of a task may fail.
+	// Attempts is the maximum number of failed runs of a task.
 	Attempts int
-	// Stretch and Slack give a job's objective: Stretch times its longest chain
-	// of work, and Slack more.
+	// Stretch and Slack define a job's objective: Stretch times its critical path,
+	// plus Slack.
 	Stretch float64
 	Slack   time.Duration
-	// Advice is set when only the adviser knows which VMs may run a step.
+	// Advice is set when an adviser decides which VMs may run a step.
 	Advice *Advice
 }
 
-// Advice is how the adviser of a queue answers.
+// Advice describes the response time and the tickets of a queue's adviser.
 type Advice struct {
-	// Base and PerVM make up the time of an answer.
+	// A response takes Base plus PerVM for each VM.
 	Base  time.Duration
 	PerVM time.Duration
-	// ValidFor is how long a ticket lasts.
+	// ValidFor is the lifetime of a ticket.
 	ValidFor time.Duration
 }
 
 // Pool is a set of VMs that a queue's tasks may run on.
 type Pool struct {
 	Name string
-	// GuardsCapacity is set when the VMs refuse what does not fit.
+	// GuardsCapacity is set when the VMs refuse runs that exceed their capacity.
 	GuardsCapacity bool
-	// Standby VMs are off until they are moved to another pool.
+	// Standby is set when the pool's VMs are off until they are moved to another pool.
 	Standby bool
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -59,8 +59,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Match returns the queue that a request for path on host goes to, and what of
-// the path follows the prefix. It returns nil when there is none.
+// Match returns the queue that serves path on host, and the part of path after the
+// queue's prefix. It returns nil when no queue matches.
 func (c *Config) Match(host, path string) (*Queue, string) {
 	var best *Queue
 	for i := range c.Queues {
@@ -78,7 +78,7 @@
 	return best, path[len(best.Prefix):]
 }
 
-// Queue returns the queue of that name, or nil.
+// Queue returns the queue with the given name, or nil.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -1,6 +1,6 @@
-// Package batch holds the domain types of jobs that consist of ordered steps:
+// Package batch defines the domain types of jobs that consist of ordered steps:
 // the jobs, their tasks and runs, the VMs that execute them, and the queues they
-// come through. It has no behaviour beyond arithmetic and validation.
+// are submitted to. It has no behaviour beyond arithmetic and validation.
 package batch
 
 import (
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Limits on a job's declaration. They bound the memory that one accepted job
-// takes at the scheduler: some 100 bytes a task.
+// Limits on a job's declaration. They bound the scheduler's memory for one accepted
+// job, which is about 100 bytes per task.
 const (
 	MaxSpecBytes = 4000
 	MaxSteps     = 64
 	MaxTasks     = 10_000
-	// MaxOccurrences bounds a timed job.
+	// MaxOccurrences bounds the occurrences of a timed job.
 	MaxOccurrences = 100_000
-	// maxAmount bounds each declared amount, so that sums cannot overflow.
+	// maxAmount bounds each declared amount so that sums cannot overflow.
 	maxAmount = 1 << 40
-	// maxDuration bounds each declared time, for the same reason.
+	// maxDuration bounds each declared duration so that sums cannot overflow.
 	maxDuration = 30 * 24 * time.Hour
 )
 
-// Job is what a caller submits: steps of equal tasks, executed in the order that
-// the steps' dependencies give.
+// Job is a caller's submission: steps of equal tasks, executed in the order of the
+// steps' dependencies.
 type Job struct {
-	// ID is chosen by the caller; a repeated submission with it is the same job.
+	// ID is chosen by the caller; a repeated submission with the same ID is the same job.
 	ID string `json:"-"`
 	// Payload is passed unchanged to every task.
 	Payload string `json:"payload,omitempty"`
 	Steps   []Step `json:"steps"`
-	// Schedule repeats the steps at set times; nil means once, at once.
+	// Schedule repeats the steps at set times; nil means once, immediately.
 	Schedule *Schedule `json:"schedule,omitempty"`
 }
 
-// Schedule is when the occurrences of a timed job are due.
+// Schedule defines when the occurrences of a timed job are due.
 type Schedule struct {
-	// FirstMS is the due time of occurrence 0, in milliseconds since 1970.
+	// FirstMS is the due time of occurrence 0, in Unix milliseconds.
 	FirstMS int64 `json:"first_ms"`
-	// IntervalMS is the time between due times.
+	// IntervalMS is the time between consecutive due times.
 	IntervalMS int64 `json:"interval_ms"`
 	// Count is the number of occurrences, 1 or more.
 	Count int `json:"count"`
@@ -47,45 +47,46 @@
 // Step is a set of equal tasks.
 type Step struct {
 	Tasks int `json:"tasks"`
-	// Need is what one task takes on its VM.
+	// Need is the resources that one task takes on its VM.
 	Need Resources `json:"need"`
-	// Estimate is the declared duration of a task; it may be far off.
+	// Estimate is the declared duration of a task; it may be inaccurate.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists earlier steps, by index, whose tasks must all be done first.
+	// After lists the earlier steps, by index, whose tasks must all be done first.
 	After []int `json:"after,omitempty"`
-	// Checkpoints is set when the tasks save their progress.
+	// Checkpoints is set when tasks save their progress.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang tasks make progress only while all of them run, and end together.
+	// Gang is set when tasks make progress only while all of them run; they end together.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack slows the tasks down when they are spread over several racks.
+	// SameRack is set when tasks run slower if they are spread over several racks.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Label must be among the VM's labels; empty means any VM.
+	// Label is a label that the VM must have; empty means any VM.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack near the tasks' data; elsewhere they run slower.
+	// DataRack is the rack near the tasks' data; tasks run slower in other racks.
 	DataRack string `json:"data_rack,omitempty"`
-	// MaxPerVM bounds the tasks of the step, per occurrence, on one VM; 0 means no bound.
+	// MaxPerVM bounds the step's tasks on one VM, per occurrence; 0 means no bound.
 	MaxPerVM int `json:"max_per_vm,omitempty"`
-	// Speculative tasks may run in several copies; the first to finish counts.
+	// Speculative is set when a task may run in several copies; the first to finish counts.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks run until the job is cancelled and are restarted however they end.
+	// Lasting is set when tasks run until the job is cancelled; they are restarted
+	// however they end.
 	Lasting bool `json:"lasting,omitempty"`
-	// Image names what the tasks execute; tasks of one image behave alike.
+	// Image names what the tasks execute; tasks of the same image behave alike.
 	Image string `json:"image,omitempty"`
-	// TailTarget is the bound on a serving task's tail latency; 0 means the
-	// tasks do not serve.
+	// TailTarget bounds the tail latency of serving tasks; 0 means that the tasks do
+	// not serve requests.
 	TailTarget time.Duration `json:"tail_target,omitempty"`
-	// Filler tasks do not count against a VM's processors and take what the
-	// others leave unused.
+	// Filler is set when tasks do not count against a VM's processors and use only
+	// processor time that other tasks leave idle.
 	Filler bool `json:"filler,omitempty"`
-	// MaxUnavailable bounds the lasting tasks of the step that the scheduler may
-	// keep from working at one time.
+	// MaxUnavailable bounds the lasting tasks of the step that the scheduler may make
+	// unavailable at the same time.
 	MaxUnavailable int `json:"max_unavailable,omitempty"`
 }
 
-// Serves reports whether the step's tasks have users of their own.
+// Serves reports whether the step's tasks serve requests under a latency target.
 func (s *Step) Serves() bool { return s.TailTarget > 0 }
 
-// Occurrences is how often the job's steps are executed.
+// Occurrences returns how many times the job's steps are executed.
 func (j *Job) Occurrences() int {
 	if j.Schedule == nil {
 		return 1
@@ -93,7 +94,7 @@
 	return j.Schedule.Count
 }
 
-// DueMS is when an occurrence of a timed job is due, in milliseconds since 1970.
+// DueMS returns when an occurrence of a timed job is due, in Unix milliseconds.
 func (j *Job) DueMS(occurrence int) int64 {
 	return j.Schedule.FirstMS + int64(occurrence)*j.Schedule.IntervalMS
 }
@@ -108,7 +109,7 @@
 	return false
 }
 
-// CriticalPath is the longest chain of declared durations through the steps.
+// CriticalPath returns the longest sum of estimates along any chain of dependent steps.
 func (j *Job) CriticalPath() time.Duration {
 	longest := time.Duration(0)
 	end := make([]time.Duration, len(j.Steps))
@@ -122,7 +123,7 @@
 	return longest
 }
 
-// Work is the declared processor time of one occurrence, in core-seconds.
+// Work returns the declared processor time of one occurrence, in core-seconds.
 func (j *Job) Work() float64 {
 	sum := 0.0
 	for i := range j.Steps {
@@ -132,7 +133,7 @@
 	return sum
 }
 
-// Validate returns nil or an error that names the field and the fix.
+// Validate returns an error that names the first invalid field and how to fix it.
 func (j *Job) Validate() error {
 	switch {
 	case len(j.Payload) > MaxSpecBytes:
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -184,12 +185,12 @@
 	Index      int
 }
 
-// String is the form used in logs.
+// String returns the form used in logs.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// State is what a job's caller is told.
+// State is a job's state as reported to its caller.
 type State string
 
 // The states of a job.
@@ -201,5 +202,5 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state can no longer change.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
--- a/internal/batch/job_test.go
+++ b/internal/batch/job_test.go
@@ -18,8 +18,8 @@
 	require.Equal(t, 5*time.Second, j.CriticalPath())
 }
 
-// Symptom: a job of a longer task is refused as wrong.
-// Cause: its duration was held against the bound on amounts, as nanoseconds.
+// Guards against rejecting jobs with long tasks: their durations, in nanoseconds, were
+// compared with the bound on amounts.
 func TestLongTasksAreAccepted(t *testing.T) {
 	j := Job{Steps: []Step{{Tasks: 1, Estimate: 6 * time.Hour}}}
 	require.NoError(t, j.Validate())
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MachineState is what the machine service says of a machine.
+// MachineState is a machine's state as reported by the machine service.
 type MachineState string
 
 // The states of a machine.
@@ -13,38 +13,38 @@
 	MachineDown        MachineState = "down"
 )
 
-// Machine is what instances are lives of: a VM that stays the same through
-// maintenance and moves between pools.
+// Machine is a VM that, unlike its instances, keeps its identity through maintenance and
+// moves between pools.
 type Machine struct {
 	Name  string
 	Pool  string
 	State MachineState
-	// Instance is the ID of its present life.
+	// Instance is the ID of the machine's current instance.
 	Instance string
 }
 
-// Wave asks for the maintenance of machines within a time.
+// Wave requests the maintenance of machines within a given duration.
 type Wave struct {
 	Number   int64
 	Machines []string
 	Duration time.Duration
-	// MaxAtOnce bounds the machines of the wave that are down for it at one time.
+	// MaxAtOnce bounds the machines that are down for the wave at the same time.
 	MaxAtOnce int
 }
 
-// MaintainOrder begins a machine's maintenance.
+// MaintainOrder starts the maintenance of a machine.
 type MaintainOrder struct {
 	Machine string
 	Wave    int64
-	// Holder and Fence tell who gives the order.
+	// Holder and Fence identify the leader that sends the order.
 	Holder string
 	Fence  int64
 }
 
-// The refusals of the machine service.
+// Reasons for which the machine service refuses an order.
 const (
-	// RefusedNotUp: the machine is not up, or leaving.
+	// RefusedNotUp means that the machine is not up or is leaving.
 	RefusedNotUp Refusal = "not up"
-	// RefusedWave: the machine is not of that wave, or there is no such machine.
+	// RefusedWave means that the machine does not exist or is not part of the wave.
 	RefusedWave Refusal = "wave"
 )
--- a/internal/batch/vm.go
+++ b/internal/batch/vm.go
@@ -7,35 +7,35 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Resources is an amount of each thing that a VM has only so much of.
+// Resources is an amount of each limited resource of a VM.
 type Resources = model.Resources
 
-// Instance is a VM as its entry on the list describes it. A VM may start again under its
-// ID: it then runs nothing, has seen no fencing token, and counts its ends and its time
-// anew. Orders name the ID and reach whichever start is there.
+// Instance is a VM as its entry on the list describes it. A VM may restart under the same
+// ID: the new incarnation runs nothing, has seen no fencing token, and restarts its clock
+// and the numbering of its ends. Orders name the ID and reach the current incarnation.
 type Instance struct {
 	ID string
-	// Born tells the starts of a VM apart: the time of day of the start, in milliseconds
-	// since 1970; 0 where it is not told. Clocks of the time of day jump, so that a later
-	// start need not have the higher value.
+	// Born identifies the VM's incarnation: the wall-clock time of its start in Unix
+	// milliseconds, 0 if unknown. Wall clocks may jump, so a later incarnation may have
+	// a lower value.
 	Born    int64
 	Pool    string
 	Address string
 	// Zone is the availability zone.
 	Zone string
-	// Draining instances take no new tasks and leave soon.
+	// Draining is set when the instance accepts no new tasks and leaves soon.
 	Draining bool
-	// Remaining is the least time that a draining instance has left; 0 is unknown.
+	// Remaining is the minimum time until a draining instance leaves; 0 means unknown.
 	Remaining time.Duration
 	Capacity  Resources
-	// Stale is set where the instance has not written for some time that it lives: what it
-	// said of itself may be out of date.
+	// Stale is set when the instance has not refreshed its entry for some time, so that
+	// the other fields may be out of date.
 	Stale bool
-	// Labels holds the VM's kind and its rack, in this order.
+	// Labels holds the VM's kind and rack, in this order.
 	Labels []string
 }
 
-// Rack is the rack's label, or "" when it is not told.
+// Rack returns the label of the instance's rack, or "" if unknown.
 func (i *Instance) Rack() string {
 	if len(i.Labels) < 2 {
 		return ""
@@ -43,7 +43,7 @@
 	return i.Labels[len(i.Labels)-1]
 }
 
-// HasLabel reports whether label is empty or among the instance's labels.
+// HasLabel reports whether label is empty or one of the instance's labels.
 func (i *Instance) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -64,33 +64,33 @@
 	EndDone    EndKind = "done"
 	EndFailed  EndKind = "failed"
 	EndStopped EndKind = "stopped"
-	// EndLapsed: the lease expired.
+	// EndLapsed means that the run's lease expired.
 	EndLapsed EndKind = "lapsed"
-	// EndBroken: another member of the gang ended.
+	// EndBroken means that another member of the gang ended.
 	EndBroken EndKind = "broken"
-	// EndAlone: the other members of the gang did not come in time.
+	// EndAlone means that the other members of the gang did not start in time.
 	EndAlone EndKind = "alone"
 )
 
-// RunStatus is a run as its VM lists it.
+// RunStatus describes a run in its VM's report.
 type RunStatus struct {
 	Task TaskID
 	Run  int64
 	// Checkpoint is the newest saved progress; empty for none.
 	Checkpoint string
-	// Progress is the share of its work that is done, 0 to 100; for a lasting
-	// run, of its startup: at 100 it is at work.
+	// Progress is the percentage of the run's work that is done; for a lasting run,
+	// the percentage of its startup: at 100 it is available.
 	Progress int
-	// Usage is a rough figure of the last half second: milliseconds of tail
-	// latency for a serving task, else thousandths of a processor in use.
+	// Usage is approximate and covers the last half second: the tail latency in
+	// milliseconds for a serving task, otherwise the processor use in millicores.
 	Usage float64
-	// HasUsage is false when the VM did not tell the figure.
+	// HasUsage is false when the VM did not report Usage.
 	HasUsage bool
 }
 
-// RunEnd is the end of a run as its VM lists it, until it is acknowledged.
+// RunEnd is the end of a run, which its VM reports until it is acknowledged.
 type RunEnd struct {
-	// Seq numbers the ends of one instance, from 1.
+	// Seq numbers the ends of one instance from 1.
 	Seq        int64
 	Task       TaskID
 	Run        int64
@@ -98,76 +98,75 @@
 	Checkpoint string
 }
 
-// Report is an instance's own account of what it runs.
+// Report is an instance's report on its runs.
 type Report struct {
-	// Born is that of the start which reports, 0 where it is not told.
+	// Born identifies the reporting incarnation; 0 if unknown.
 	Born    int64
 	Clock   time.Duration
 	Running []RunStatus
 	Ended   []RunEnd
-	// MoreEnded is set when there may be ends that Ended has no room for: a run
-	// that is in neither list may have ended all the same.
+	// MoreEnded is set when Ended may be truncated: a run that is in neither list may
+	// have ended.
 	MoreEnded bool
 }
 
-// StartOrder tells an instance to start a run.
+// StartOrder requests the start of a run on an instance.
 type StartOrder struct {
 	Task       TaskID
 	Run        int64
 	Payload    string
 	Checkpoint string
-	// Ticket is the adviser's permission, where the queue needs one.
+	// Ticket is the adviser's permission, if the queue requires one.
 	Ticket string
-	// Fence is the fencing token of the leader that gives the order.
+	// Fence is the fencing token of the leader that sends the order.
 	Fence int64
-	// Born is the start of the instance that the order is for, 0 for any. No other one carries
-	// it out: it is refused as RefusedRestarted.
+	// Born is the incarnation that the order is for, 0 for any. Other incarnations refuse
+	// it with RefusedRestarted.
 	Born int64
-	// LeaseUntil is on the instance's own clock.
+	// LeaseUntil is the end of the run's lease on the instance's own clock.
 	LeaseUntil time.Duration
 }
 
-// HoldOrder renews the lease of everything that an instance runs and asks for
-// its report.
+// HoldOrder renews the leases of all runs of an instance and requests its report.
 type HoldOrder struct {
 	Fence int64
-	// LeaseUntil is on the instance's own clock; 0 renews nothing.
+	// LeaseUntil is the new end of the leases on the instance's own clock; 0 renews nothing.
 	LeaseUntil time.Duration
-	// Acked is the highest end sequence that need not be told again.
+	// Acked is the highest acknowledged RunEnd.Seq; ends up to it are not reported again.
 	Acked int64
-	// Wait is how long the answer may wait for an end.
+	// Wait bounds how long the instance may delay its response until a run ends.
 	Wait time.Duration
 }
 
-// Refusal is why an instance did not carry an order out.
+// Refusal is the reason why an order was not carried out.
 type Refusal string
 
-// The refusals.
+// Reasons for which an order is refused.
 const (
-	// RefusedFence: the instance has seen a higher fencing token.
+	// RefusedFence means that the instance has seen a higher fencing token.
 	RefusedFence Refusal = "fence"
-	// RefusedOld: the run is not higher than one that ended there.
+	// RefusedOld means that the run number is not above that of a run that ended there.
 	RefusedOld Refusal = "old"
-	// RefusedLate: the lease would be over already.
+	// RefusedLate means that the lease would already have expired.
 	RefusedLate     Refusal = "late"
 	RefusedCapacity Refusal = "room"
 	RefusedTicket   Refusal = "ticket"
-	// RefusedBusy: the instance is unhealthy and has done nothing.
+	// RefusedBusy means that the instance is unhealthy and did nothing.
 	RefusedBusy Refusal = "busy"
-	// RefusedUnreached: the instance was not reached; the order never left.
+	// RefusedUnreached means that the instance could not be reached and the order was not sent.
 	RefusedUnreached Refusal = "unreached"
-	// RefusedInvalid: the order makes no sense to the instance.
+	// RefusedInvalid means that the instance considers the order invalid.
 	RefusedInvalid Refusal = "invalid"
-	// RefusedGone: another instance answers at that address.
+	// RefusedGone means that another instance responds at the address.
 	RefusedGone Refusal = "gone"
-	// RefusedRestarted: another start of the instance is there than the one that was meant.
+	// RefusedRestarted means that the order is for another incarnation of the instance.
 	RefusedRestarted Refusal = "restarted"
 )
 
-// RefusalError says that an order was certainly not carried out.
+// RefusalError reports that an order was definitely not carried out.
 type RefusalError struct {
 	Reason Refusal
-	// Cause is why nothing was reached; nil where the other side refused.
+	// Cause is the error that kept the order from being sent; nil if the receiver refused it.
 	Cause error
 }
 
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,7 +1,6 @@
-// Package errkind is the closed list of the kinds of error that rattanwall
-// tells callers and operators, with one table from kind to answer. Each kind
-// says whether the work it is about was run: that is the promise callers build
-// their own retries on.
+// Package errkind defines the closed list of error kinds that rattanwall reports to
+// callers and operators, and a table that maps each kind to its response. Each kind
+// states whether the requested work was run; callers base their retries on this.
 package errkind
 
 import (
@@ -12,21 +11,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is one of the list below.
+// Kind is the kind of an error, one of the constants below.
 type Kind string
 
-// Outcome says whether the work was run.
+// Outcome states whether the requested work was run.
 type Outcome string
 
-// The three outcomes. A caller may repeat after NotRun whatever the request; it
-// may repeat after Unknown only what is idempotent.
+// The three outcomes. After NotRun a caller may repeat any request; after Unknown it
+// may repeat only idempotent ones.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// The kinds.
+// Kinds of error.
 const (
 	InvalidRequest   Kind = "invalid_request"
 	Unauthorized     Kind = "unauthorized"
@@ -56,24 +55,25 @@
 	Internal        Kind = "internal"
 )
 
-// statusClientClosedRequest is answered to nobody; it only shows in logs and metrics.
+// statusClientClosedRequest is never sent, since the caller has disconnected; it only
+// appears in logs and metrics.
 const statusClientClosedRequest = 499
 
-// Answer is how a kind is told.
+// Answer is the response to a caller for a kind of error.
 type Answer struct {
 	// Status is the HTTP status.
 	Status  int
 	Outcome Outcome
-	// Retryable says whether the same request may succeed later.
+	// Retryable is set when the same request may succeed later.
 	Retryable bool
-	// RetryAfter is when to come back; zero gives no advice.
+	// RetryAfter is the suggested delay before a retry; 0 means none.
 	RetryAfter time.Duration
-	// Hint tells an operator where to look.
+	// Hint suggests to an operator where to look.
 	Hint string
 }
 
-// Table maps each kind to its answer. The README of the API and the operators'
-// page are checked against it by a test.
+// Table maps each kind to its response. A test checks the README of the API and the
+// operators' page against it.
 var Table = map[Kind]Answer{
 	InvalidRequest:  {http.StatusBadRequest, NotRun, false, 0, "the message names the field and the fix"},
 	Unauthorized:    {http.StatusUnauthorized, NotRun, false, 0, "send 'Authorization: Bearer TOKEN' of a team or operator"},
@@ -104,22 +104,22 @@
 	Internal:        {http.StatusInternalServerError, Unknown, false, 0, "see the node's log under the request id"},
 }
 
-// Error is an error of a kind, with a message for whoever asked.
+// Error is an error of a kind, with a message for the caller.
 type Error struct {
 	Kind    Kind
 	Message string
-	// RetryAfter, where set, goes before the table's.
+	// RetryAfter, if set, overrides the value in Table.
 	RetryAfter time.Duration
 	cause      error
 }
 
-// New returns an error of a kind. message is told to whoever asked; cause, if
-// any, only to the log.
+// New returns an error of a kind. The message is sent to the caller; cause, if not
+// nil, is only logged.
 func New(kind Kind, message string, cause error) *Error {
 	return &Error{Kind: kind, Message: message, cause: cause}
 }
 
-// Newf returns an error of a kind with a formatted message.
+// Newf returns an error of a kind with a formatted message and no cause.
 func Newf(kind Kind, format string, args ...any) *Error {
 	return New(kind, fmt.Sprintf(format, args...), nil)
 }
@@ -139,7 +139,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Answer returns the row of the table for the error's kind.
+// Answer returns the entry of Table for the error's kind, with the error's own
+// RetryAfter if it is set.
 func (e *Error) Answer() Answer {
 	a := Table[e.Kind]
 	if e.RetryAfter > 0 {
@@ -148,7 +149,7 @@
 	return a
 }
 
-// From returns err as an *Error; an error of no kind becomes Internal.
+// From returns the *Error in err's chain, or wraps err as Internal if there is none.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
