--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes the process's log: one JSON line per event. It never
-// blocks the caller, and its volume is bounded: what exceeds the bound is left
-// out and counted.
+// Package eventlog writes the process's log as one JSON line per event. It never
+// blocks the caller, and it limits the volume: lines above the limit are dropped
+// and counted.
 package eventlog
 
 import (
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxBufferedLines is how many lines may wait for the writer.
+	// maxBufferedLines bounds the lines that wait for the writer.
 	maxBufferedLines = 4096
-	// maxLinesPerSecond and burst bound the lines of one event name: a busy leader
-	// starts some 900 tasks a second, of which this keeps a fair sample.
+	// maxLinesPerSecond and maxBurstLines limit the lines of one event name. A busy
+	// leader starts about 900 tasks per second; this keeps a representative sample.
 	maxLinesPerSecond = 400
 	maxBurstLines     = 800
-	// omittedReportInterval is how often the count of omitted lines is told.
+	// omittedReportInterval is the interval between log lines that count dropped lines.
 	omittedReportInterval = 5 * time.Second
 )
 
-// Fields are the inputs and the outcome of an event.
+// Fields holds the inputs and the outcome of an event.
 type Fields = logrus.Fields
 
-// Log is the process's log.
+// Log is the process's log. Event, EventOf and Warn do nothing on a nil Log.
 type Log struct {
 	logger *logrus.Logger
 	out    *asyncWriter
@@ -40,7 +40,7 @@
 	omitted    int
 }
 
-// New returns a log that writes to w, with node in each line.
+// New returns a log that writes lines of the given level and above to w.
 func New(w io.Writer, level logrus.Level) *Log {
 	out := &asyncWriter{lines: make(chan []byte, maxBufferedLines), w: w}
 	logger := logrus.New()
@@ -53,7 +53,7 @@
 	return l
 }
 
-// Event writes a line, unless too many of its name came of late.
+// Event writes a line, unless the rate limit for its name is exceeded.
 func (l *Log) Event(name string, fields Fields) {
 	if l == nil || !l.allow(name) {
 		return
@@ -61,7 +61,7 @@
 	l.logger.WithFields(fields).Info(name)
 }
 
-// EventOf is Event with fields that are only worked out for a line that is written.
+// EventOf is like Event, but calls fields only if the line is written.
 func (l *Log) EventOf(name string, fields func() Fields) {
 	if l == nil || !l.allow(name) {
 		return
@@ -69,7 +69,7 @@
 	l.logger.WithFields(fields()).Info(name)
 }
 
-// Warn writes a line for something that went wrong.
+// Warn writes a line with an error at warning level, under the same rate limit.
 func (l *Log) Warn(name string, err error, fields Fields) {
 	if l == nil || !l.allow(name) {
 		return
@@ -77,7 +77,8 @@
 	l.logger.WithFields(fields).WithError(err).Warn(name)
 }
 
-// Logger is the logger itself, for libraries that take one.
+// Logger returns the underlying logger, for libraries that need one. Its lines are not
+// rate-limited.
 func (l *Log) Logger() *logrus.Logger { return l.logger }
 
 func (l *Log) allow(name string) bool {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// reportOmitted tells what was left out.
+// reportOmitted periodically logs how many lines were dropped, by event name.
 func (l *Log) reportOmitted() {
 	for range time.Tick(omittedReportInterval) {
 		l.mu.Lock()
@@ -120,8 +121,8 @@
 	}
 }
 
-// asyncWriter hands lines to a writer that may block, and drops them while its
-// buffer is full.
+// asyncWriter passes lines to a writer that may block, and drops them while its buffer
+// is full.
 type asyncWriter struct {
 	lines   chan []byte
 	w       io.Writer
@@ -150,8 +151,8 @@
 	return n
 }
 
-// maxWriteBytes bounds the bytes that are joined into one write: a system call a
-// line costs more than the line.
+// maxWriteBytes is the size from which no more lines are joined into a write. Lines are
+// joined because a system call per line costs more than the line itself.
 const maxWriteBytes = 4 << 10
 
 func (a *asyncWriter) run() {
@@ -164,7 +165,7 @@
 				more = false
 			}
 		}
-		// Nobody is left to tell when the log itself cannot be written.
+		// An error in writing the log cannot be reported anywhere.
 		_, _ = a.w.Write(line)
 	}
 }
--- a/internal/graceful/graceful.go
+++ b/internal/graceful/graceful.go
@@ -1,8 +1,8 @@
-// Package graceful stops HTTP servers without cutting off a request.
+// Package graceful stops HTTP servers without dropping requests.
 //
 // [http.Server.Shutdown] waits for a connection that has sent nothing yet, but closes
-// it unanswered when its first request is read. A [Server] therefore shuts down only
-// once each connection that it took has been answered.
+// it without a response when its first request is read. A [Server] therefore shuts down
+// only after every accepted connection has received a response.
 package graceful
 
 import (
@@ -21,31 +21,31 @@
 	mu       sync.Mutex
 	listener net.Listener
 	stopping bool
-	// pendingConns are connections whose first request is to come, or whose request is
-	// under way.
+	// pendingConns are the connections whose first request has not arrived or whose
+	// request is in progress.
 	pendingConns map[net.Conn]struct{}
-	// drained is told when awaited becomes empty.
+	// drained receives a value when pendingConns becomes empty.
 	drained chan struct{}
 	// serveMu is held while a listener is served.
 	serveMu sync.Mutex
 }
 
-// New wraps a server, whose ConnState must be free and whose ReadHeaderTimeout bounds
-// how long a stop waits for a connection that sends nothing.
+// New wraps s and sets its ConnState hook, which must be unused. The ReadHeaderTimeout
+// of s bounds how long Stop waits for a connection that sends nothing.
 func New(s *http.Server) *Server {
 	g := &Server{http: s, pendingConns: map[net.Conn]struct{}{}, drained: make(chan struct{}, 1)}
 	s.ConnState = g.trackConn
 	return g
 }
 
-// Addr is the address of the wrapped server.
+// Addr returns the configured address of the wrapped server.
 func (s *Server) Addr() string { return s.http.Addr }
 
-// SetHandler sets what answers; call it before Serve.
+// SetHandler sets the handler of all requests. It must be called before Serve.
 func (s *Server) SetHandler(h http.Handler) { s.http.Handler = h }
 
-// Serve takes connections until the listener fails. It returns [http.ErrServerClosed]
-// once Stop or Close has been called, also when it is called after them.
+// Serve accepts connections until the listener fails. It returns [http.ErrServerClosed]
+// if Stop or Close has been called, even before Serve.
 func (s *Server) Serve(ln net.Listener) error {
 	s.serveMu.Lock()
 	defer s.serveMu.Unlock()
@@ -66,8 +66,9 @@
 	return err
 }
 
-// Stop closes the listener and returns once all connections are answered and closed,
-// or with the error of ctx. No connection is taken afterwards.
+// Stop closes the listener, waits until all connections have received a response, and
+// closes them. It returns the error of ctx if that ends first. No connection is accepted
+// afterwards.
 func (s *Server) Stop(ctx context.Context) error {
 	s.http.SetKeepAlivesEnabled(false)
 	s.mu.Lock()
@@ -76,20 +77,20 @@
 		_ = s.listener.Close()
 	}
 	s.mu.Unlock()
-	// Once the accept loop has returned, each connection it took has been observed.
+	// Once the accept loop has returned, trackConn has seen every accepted connection.
 	s.serveMu.Lock()
 	defer s.serveMu.Unlock()
 	for s.hasPending() {
 		select {
 		case <-s.drained:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "requests are under way")
+			return errors.Wrap(ctx.Err(), "wait for requests in progress")
 		}
 	}
-	return errors.Wrap(s.http.Shutdown(ctx), "shut down")
+	return errors.Wrap(s.http.Shutdown(ctx), "shut down HTTP server")
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.stopping = true
@@ -103,7 +104,7 @@
 	return len(s.pendingConns) > 0
 }
 
-// trackConn is told of each change of a connection.
+// trackConn is the server's ConnState hook. It updates pendingConns.
 func (s *Server) trackConn(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
