--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,4 @@
-// Package follow keeps up with the changes under a prefix of the durable store.
+// Package follow tracks the changes under a prefix of the durable store.
 package follow
 
 import (
@@ -15,73 +15,74 @@
 )
 
 const (
-	// settleDelay is how old a revision has to be before an empty answer moves the
-	// watch on to it. A store that loses its history may let watches hear
-	// nothing for a second although there are changes: a watch that went on
-	// from the newest revision at once would never learn of them, while from an
-	// older one it is told that its history is gone, and reads again.
+	// settleDelay is the minimum age of a revision before an empty watch response
+	// advances the watch to it. A store that loses its history may deliver no events
+	// for a second although there are changes. A watch that advanced to the newest
+	// revision at once would miss them for good; from an older revision it gets
+	// ErrCompacted and reads the prefix again.
 	settleDelay = 3 * time.Second
-	// minRetryDelay and maxRetryDelay bound the wait after a failed call. The first is
-	// short, since one lost connection is common and the next call works.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call. The minimum
+	// is short because single lost connections are common and the next call works.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// readTimeout bounds the reading of a whole prefix.
+	// readTimeout bounds a read of the whole prefix in place of a watch.
 	readTimeout = 3 * time.Second
-	// pollTimeout bounds a reading beside the watch: one on a connection that went silent
+	// pollTimeout bounds a poll. It is short so that a poll on an unresponsive connection
 	// leaves time for another.
 	pollTimeout = 700 * time.Millisecond
 )
 
-// Handler takes changes over. With whole set, items are all there are under the
-// prefix, and what is missing from them is gone.
+// Handler processes changes. If whole is set, items is the complete content of the
+// prefix and keys that are missing from it no longer exist.
 type Handler func(items []durable.Item, whole bool)
 
 // Follower follows one prefix. It implements suture.Service.
 type Follower struct {
 	Store  durable.Store
 	Prefix string
-	// Wait is how long one watch waits. It bounds how long a watch whose
-	// connection went silent goes unnoticed.
+	// Wait is how long one watch call waits for changes. It bounds how long an
+	// unresponsive connection of the watch stays undetected.
 	Wait   time.Duration
 	Handle Handler
-	// StartRevision is the revision to begin from; 0 reads the whole prefix first.
+	// StartRevision is the revision to watch from; 0 reads the whole prefix first.
 	StartRevision int64
-	// PollInterval is how often the whole prefix is read beside the watch, 0 for never. A
-	// watch that hears nothing is no proof that nothing has changed.
+	// PollInterval is the interval between reads of the whole prefix in parallel with the
+	// watch; 0 disables them. They are needed because a watch without events does not prove
+	// that nothing has changed.
 	PollInterval time.Duration
-	// OnRead is told of each whole reading after it was handled, with the time at which it
-	// was begun on the steady clock: what was handled holds at least what there was then.
-	// May be nil.
+	// OnRead is called after each read of the whole prefix was handled, with the monotonic
+	// time at which the read began: what was handled includes all changes up to then. It
+	// may be nil.
 	OnRead func(began time.Duration)
-	// OnError is told of each failed call; may be nil.
+	// OnError is called with the error of each failed call. It may be nil.
 	OnError func(error)
 
 	lastResponseAt  atomic.Int64
 	rereadRequested atomic.Bool
-	// soon makes a reading beside the watch begin.
+	// pollRequests triggers a poll; use pollRequestChan.
 	pollRequestsOnce sync.Once
 	pollRequests     chan struct{}
 
-	// mu is held while Handle is called. handled is the revision of the newest change that
-	// was handled or is known, calls how often there was one.
+	// mu is held while Handle is called. handledRevision is the revision of the newest
+	// change that was handled or marked as known; handleCount counts these updates.
 	mu              sync.Mutex
 	handledRevision int64
 	handleCount     int
 }
 
-// Reread makes the follower read the whole prefix again, when the next watch
-// returns at the latest.
+// Reread makes the follower read the whole prefix again, at the latest when the current
+// watch call returns.
 func (f *Follower) Reread() { f.rereadRequested.Store(true) }
 
 // position is the revision to watch from.
 type position struct {
 	after int64
-	// candidate is the newest revision of an empty answer, seen at since.
+	// candidate is the revision of an empty watch response, received at candidateSince.
 	candidate      int64
 	candidateSince time.Duration
 }
 
-// advance notes an answer's revision.
+// advance updates the position with the revision of a watch response.
 func (p *position) advance(now time.Duration, revision int64, events bool) {
 	if events {
 		*p = position{after: revision}
@@ -97,10 +98,10 @@
 	}
 }
 
-// LastResponseAt is when the store last answered, on the steady clock; 0 for never.
+// LastResponseAt returns the monotonic time of the store's last response; 0 means never.
 func (f *Follower) LastResponseAt() time.Duration { return time.Duration(f.lastResponseAt.Load()) }
 
-// PollNow makes a reading beside the watch begin now, unless one is under way.
+// PollNow starts a poll immediately, or after the one in progress.
 func (f *Follower) PollNow() {
 	select {
 	case f.pollRequestChan() <- struct{}{}:
@@ -113,7 +114,7 @@
 	return f.pollRequests
 }
 
-// Serve implements suture.Service.
+// Serve implements suture.Service. It returns the error of ctx when ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -126,8 +127,8 @@
 	return f.follow(ctx)
 }
 
-// MarkKnown tells the follower that all changes up to a revision are known from elsewhere: what
-// a watch or a reading that is under way tells of them is not handled.
+// MarkKnown records that the caller has all changes up to a revision from another source.
+// Changes up to it that a watch or read in progress returns are not handled.
 func (f *Follower) MarkKnown(revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,10 +136,10 @@
 	f.handleCount++
 }
 
-// poll reads the prefix again and again. It is apart from the watch, so that neither waits
-// for a connection of the other that went silent.
+// poll reads the whole prefix every PollInterval. It runs in parallel with the watch so
+// that neither waits for an unresponsive connection of the other.
 func (f *Follower) poll(ctx context.Context) {
-	wait, retry := f.PollInterval, minRetryDelay
+	wait, retryDelay := f.PollInterval, minRetryDelay
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -153,10 +154,10 @@
 		_, err := f.read(readCtx)
 		cancel()
 		if err == nil {
-			wait, retry = f.PollInterval-(steady.Now()-began), minRetryDelay
+			wait, retryDelay = f.PollInterval-(steady.Now()-began), minRetryDelay
 		} else {
 			f.reportError(ctx, err)
-			wait, retry = retry, min(2*retry, f.PollInterval)
+			wait, retryDelay = retryDelay, min(2*retryDelay, f.PollInterval)
 		}
 		timer.Reset(max(wait, minRetryDelay))
 	}
@@ -170,7 +171,7 @@
 
 func (f *Follower) follow(ctx context.Context) error {
 	p := position{after: f.StartRevision}
-	wait := minRetryDelay
+	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
 		var err error
 		if p.after == 0 || f.rereadRequested.Swap(false) {
@@ -180,15 +181,15 @@
 		}
 		switch {
 		case err == nil:
-			wait = minRetryDelay
+			retryDelay = minRetryDelay
 			continue
 		case errors.Is(err, durable.ErrCompacted):
 			p = position{}
 			continue
 		}
 		f.reportError(ctx, err)
-		pause.For(ctx, wait)
-		wait = min(2*wait, maxRetryDelay)
+		pause.For(ctx, retryDelay)
+		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
 	return ctx.Err()
 }
@@ -199,29 +200,30 @@
 	return f.read(ctx)
 }
 
-// read reads the whole prefix, and returns the position to watch from.
+// read reads and handles the whole prefix, and returns the position to watch from.
 func (f *Follower) read(ctx context.Context) (position, error) {
 	began := steady.Now()
 	f.mu.Lock()
-	before := f.handleCount
+	countBefore := f.handleCount
 	f.mu.Unlock()
 	items, revision, err := f.Store.Range(ctx, f.Prefix)
 	if err != nil {
 		return position{}, err
 	}
 	f.lastResponseAt.Store(int64(steady.Now()))
-	if f.handleSnapshot(items, revision, before) && f.OnRead != nil {
+	if f.handleSnapshot(items, revision, countBefore) && f.OnRead != nil {
 		f.OnRead(began)
 	}
 	return position{after: revision}, nil
 }
 
-// handleSnapshot hands a reading on that began after so many calls of Handle, unless one that
-// came meanwhile has told of later changes. It reports whether it did.
-func (f *Follower) handleSnapshot(items []durable.Item, revision int64, before int) bool {
+// handleSnapshot handles the result of a read of the whole prefix, unless later changes were
+// handled or marked as known during the read. countBefore is handleCount at the start of the
+// read. It reports whether the result was handled.
+func (f *Follower) handleSnapshot(items []durable.Item, revision int64, countBefore int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.handleCount != before && revision < f.handledRevision {
+	if f.handleCount != countBefore && revision < f.handledRevision {
 		return false
 	}
 	f.handledRevision = revision
@@ -230,22 +232,22 @@
 	return true
 }
 
-// handleEvents hands on what a watch told and no reading has.
+// handleEvents handles the events of a watch that are newer than handledRevision.
 func (f *Follower) handleEvents(events []durable.Item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	handled := f.handledRevision
-	var news []durable.Item
+	newest := f.handledRevision
+	var unhandled []durable.Item
 	for i := range events {
 		if events[i].Revision <= f.handledRevision {
 			continue
 		}
-		news = append(news, events[i])
-		handled = max(handled, events[i].Revision)
+		unhandled = append(unhandled, events[i])
+		newest = max(newest, events[i].Revision)
 	}
-	if f.handledRevision = handled; len(news) > 0 {
+	if f.handledRevision = newest; len(unhandled) > 0 {
 		f.handleCount++
-		f.Handle(news, false)
+		f.Handle(unhandled, false)
 	}
 }
 
--- a/internal/follow/list.go
+++ b/internal/follow/list.go
@@ -11,31 +11,33 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// List is a list under a prefix of which most entries change all the time, in parts that
-// matter to nobody: VMs that write that they live. Whoever looks at it again gets what
-// has changed since, which is a third of the whole: of 120 VMs that are looked at twice a
-// second the whole list takes 100 KB/s.
+// List caches the entries under a prefix where most entries change all the time in parts
+// that are irrelevant to the reader, such as the heartbeats that VMs write. Each Load
+// fetches only the changes since the previous one, a third of the data: reading the whole
+// list of 120 VMs twice a second takes 100 KB/s.
 type List[T any] struct {
 	Store  durable.Store
 	Prefix string
 	Decode func(durable.Item) (T, error)
-	// OnDecodeError is told of each entry that can't be decoded; it is left out.
+	// OnDecodeError is called with the error of each entry that Decode rejects. Load
+	// leaves such entries out.
 	OnDecodeError func(error)
-	// Unchanged, where set, is told of each value that is returned for how long its entry
-	// has been unchanged at most; for an entry that was there at the first look that is
-	// not known, and counts from long ago. It is not told before an entry has changed
-	// twice: where those who live do not write all the time, it would mean nothing.
-	OnUnchanged func(value *T, since time.Duration)
+	// OnUnchanged, if not nil, is called for each value that Load returns, with the longest
+	// time for which its entry may have been unchanged. For an entry that has not changed
+	// since the first Load this is unknown and unknownUnchangedDuration is passed. It is not
+	// called until some entry has changed twice: where live VMs do not write regularly, an
+	// unchanged entry has no meaning.
+	OnUnchanged func(value *T, unchangedFor time.Duration)
 
 	mu      sync.Mutex
 	entries map[string]listEntry[T]
-	// order holds the keys in the order in which they came.
+	// order holds the keys in the order in which they were first read.
 	order []string
 	after int64
 	// hasRepeatedChanges is set once an entry has changed twice.
 	hasRepeatedChanges bool
-	// lastReadAt is when the whole list was read, lastChangeAt when a change was last told,
-	// lastLoadAt when the list was last looked at.
+	// Monotonic times of the last read of the whole list, of the last watch response with
+	// changes, and of the last Load.
 	lastReadAt, lastChangeAt, lastLoadAt time.Duration
 }
 
@@ -43,28 +45,29 @@
 	value     T
 	isDecoded bool
 	revision  int64
-	// lastUnchangedAt is the last look at which the entry had not changed yet, 0 for none.
+	// lastUnchangedAt is the time of the last Load before the entry's latest change, 0 if
+	// there was none.
 	lastUnchangedAt time.Duration
-	// changeCount counts its changes since it was first read.
+	// changeCount is the number of changes since the entry was first read.
 	changeCount int
 }
 
-// unknownUnchangedDuration is how long an entry counts as unchanged of which it is not known.
+// unknownUnchangedDuration is passed to OnUnchanged for entries whose last change is unknown.
 const unknownUnchangedDuration = time.Hour
 
 const (
-	// fullReadInterval is how often the whole list is read all the same: nothing is to be
-	// missed for good.
+	// fullReadInterval is the interval after which the whole list is read even if watches
+	// work, so that no change is missed for good.
 	fullReadInterval = 5 * time.Second
-	// maxQuietDuration is how long a list may go without changes, or without being looked
-	// at, and be gone on from: a store that loses its history may tell of no changes
-	// for a second although there are some.
+	// maxQuietDuration is the time without changes, or without a Load, after which the
+	// whole list is read instead of its changes. A store that loses its history may
+	// return no changes for a second although there are some.
 	maxQuietDuration = 1500 * time.Millisecond
-	// watchTimeout is how long the store may wait for a change.
+	// watchTimeout bounds how long the store waits for a change.
 	watchTimeout = 10 * time.Millisecond
 )
 
-// Load returns the list as it is now.
+// Load updates the list from the store and returns its decoded values.
 func (l *List[T]) Load(ctx context.Context) ([]T, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,27 +93,27 @@
 	return list, nil
 }
 
-func (l *List[T]) reportUnchanged(value *T, now, changedAfter time.Duration) {
+func (l *List[T]) reportUnchanged(value *T, now, lastUnchangedAt time.Duration) {
 	switch {
 	case l.OnUnchanged == nil, !l.hasRepeatedChanges:
-	case changedAfter == 0:
+	case lastUnchangedAt == 0:
 		l.OnUnchanged(value, unknownUnchangedDuration)
 	default:
-		l.OnUnchanged(value, now-changedAfter)
+		l.OnUnchanged(value, now-lastUnchangedAt)
 	}
 }
 
-// read reads the whole list.
+// read reads the whole list and keeps the entries whose revision is unchanged.
 func (l *List[T]) read(ctx context.Context) error {
 	items, revision, err := l.Store.Range(ctx, l.Prefix)
 	if err != nil {
 		return err
 	}
-	before := l.entries
+	previous := l.entries
 	l.entries, l.order = make(map[string]listEntry[T], len(items)), l.order[:0]
 	for i := range items {
 		key := items[i].Key
-		if known, ok := before[key]; ok && known.revision == items[i].Revision {
+		if known, ok := previous[key]; ok && known.revision == items[i].Revision {
 			l.entries[key] = known
 		} else {
 			l.entries[key] = l.decode(&items[i], known, ok)
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// applyChanges takes the changes over that came since the last look.
+// applyChanges fetches and applies the changes since the last read or watch.
 func (l *List[T]) applyChanges(ctx context.Context) error {
 	events, revision, err := l.Store.Watch(ctx, l.Prefix, l.after, watchTimeout)
 	if err != nil || len(events) == 0 {
@@ -155,14 +158,14 @@
 	}
 }
 
-func (l *List[T]) decode(item *durable.Item, before listEntry[T], listed bool) listEntry[T] {
+func (l *List[T]) decode(item *durable.Item, previous listEntry[T], listed bool) listEntry[T] {
 	value, err := l.Decode(*item)
 	if err != nil {
 		l.OnDecodeError(err)
 	}
 	changes := 0
 	if listed {
-		changes = before.changeCount + 1
+		changes = previous.changeCount + 1
 	}
 	l.hasRepeatedChanges = l.hasRepeatedChanges || changes > 1
 	return listEntry[T]{value: value, isDecoded: err == nil, revision: item.Revision, lastUnchangedAt: l.lastLoadAt, changeCount: changes}
