--- a/internal/edge/addresses.go
+++ b/internal/edge/addresses.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// maxPeerAddresses is how many other processes a process remembers: enough that some of them
-// live and are reached, few enough to be told in every answer.
+// maxPeerAddresses bounds the addresses that a process keeps: enough that some of them are
+// reachable, few enough to be sent in every response.
 const maxPeerAddresses = 8
 
-// peerAddresses are where some other processes serve their peers.
+// peerAddresses holds the peer-listener addresses of some other processes.
 type peerAddresses struct {
 	self string
 
@@ -18,7 +18,7 @@
 	addresses []string
 }
 
-// add remembers processes; where there are too many, new ones take the place of any.
+// add adds addresses; at the limit each new one replaces a random one.
 func (a *peerAddresses) add(list ...string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,14 +33,14 @@
 	}
 }
 
-// remove forgets a process that does not answer.
+// remove drops the address of an unresponsive process.
 func (a *peerAddresses) remove(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.addresses = slices.DeleteFunc(a.addresses, func(other string) bool { return other == address })
 }
 
-// list returns the processes but one, in random order.
+// list returns all addresses except one, in random order.
 func (a *peerAddresses) list(except string) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/edge/configfigures.go
+++ b/internal/edge/configfigures.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// configMetrics are what is known of the configuration in force, as metrics that are
-// worked out when they are asked for.
+// configMetrics exports the state of the configuration in force; values are computed at each
+// scrape.
 type configMetrics struct {
 	config *configuration
 
@@ -43,7 +43,7 @@
 	}
 	gauge(c.version, version)
 	gauge(c.unreadable, unreadable)
-	if ago, ever := c.config.confirmedAge(); ever {
-		gauge(c.confirmedAge, ago.Seconds())
+	if age, ok := c.config.confirmedAge(); ok {
+		gauge(c.confirmedAge, age.Seconds())
 	}
 }
--- a/internal/edge/configpeers.go
+++ b/internal/edge/configpeers.go
@@ -16,43 +16,47 @@
 )
 
 const (
-	// askPeersDelay is how long the store may leave a process without word of the
-	// configuration before it asks its peers: one reading, and an answer that is slow. With
-	// a call to a peer that is less than the 2 s in which a version is to be in force.
+	// askPeersDelay is how long the store may leave a process without confirmation of the
+	// configuration before it asks its peers: one read interval plus a slow response. Together
+	// with one call to a peer it is shorter than the 2 s within which a version must be in
+	// force.
 	askPeersDelay = configReadInterval + 400*time.Millisecond
-	// minAskPeersInterval is the pause between two questions while a peer knows; after rounds in
-	// which none did it grows up to maxAskPeersInterval.
+	// minAskPeersInterval is the pause between rounds while a peer confirms the newest
+	// configuration; after rounds in which none does, the pause grows up to
+	// maxAskPeersInterval.
 	minAskPeersInterval = 500 * time.Millisecond
 	maxAskPeersInterval = 2 * time.Second
-	// minRoundInterval is the least time between two rounds, however many callers wait.
+	// minRoundInterval is the minimum time between the starts of two rounds, whatever the
+	// number of waiting callers.
 	minRoundInterval = 100 * time.Millisecond
-	// peerAnswerTimeout bounds one question.
+	// peerAnswerTimeout bounds one call to a peer.
 	peerAnswerTimeout = 400 * time.Millisecond
-	// maxParallelPeers is how many peers are asked at once where it is not known which of
-	// them knows.
+	// maxParallelPeers is how many peers are asked in parallel while no preferred peer is
+	// known.
 	maxParallelPeers = 3
 )
 
-// configFetcher asks other processes for the configuration, and who leads, while the store
-// does not tell it.
+// configFetcher fetches the configuration and the current leader from other processes while the
+// store does not respond.
 type configFetcher struct {
 	config *configuration
 	peers  *peerAddresses
 	leader func() (leader.Record, bool)
-	// onLeaderReported is told of the leader that a peer knows.
+	// onLeaderReported is called with the leader that a peer reports.
 	onLeaderReported func(r leader.Record, fence int64, peer string)
-	// onPeerResponse is told of each peer that answers.
+	// onPeerResponse is called with the address of each peer that responds.
 	onPeerResponse func(address string)
 	client         *http.Client
 	log            *eventlog.Log
-	// wake ends a pause.
+	// wake interrupts the pause between rounds.
 	wake chan struct{}
-	// preferredPeer is the peer that knew last, "" for none, and lastLeaderAddress the leader at that
-	// time: a new one is asked first again.
+	// preferredPeer is the peer that last confirmed the newest configuration, "" for none;
+	// lastLeaderAddress is the leader at that time. A change of leader clears preferredPeer, so
+	// that the new leader is asked first.
 	preferredPeer, lastLeaderAddress string
 }
 
-// trigger has peers asked now.
+// trigger starts a round of peer requests as soon as minRoundInterval allows.
 func (p *configFetcher) trigger() {
 	select {
 	case p.wake <- struct{}{}:
@@ -70,18 +74,18 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if silent := p.config.sinceRead(); silent < askPeersDelay && !woken {
-			wait, retry = askPeersDelay-silent, minAskPeersInterval
+		if sinceRead := p.config.sinceRead(); sinceRead < askPeersDelay && !woken {
+			wait, retry = askPeersDelay-sinceRead, minAskPeersInterval
 			continue
 		}
-		// Someone who waits needs to know now, not as of a peer's last reading, and what the
-		// peer tells is to serve others for a while.
-		within := time.Duration(0)
+		// A waiting caller needs a current confirmation, not one from a peer's last read; half
+		// of maxConfirmationAge leaves time in which the result also serves later callers.
+		maxAge := time.Duration(0)
 		if woken {
-			within = maxConfirmationAge / 2
+			maxAge = maxConfirmationAge / 2
 		}
 		began = steady.Now()
-		if p.askPeers(ctx, within) {
+		if p.askPeers(ctx, maxAge) {
 			wait, retry = minAskPeersInterval, minAskPeersInterval
 		} else {
 			wait, retry = retry, min(2*retry, maxAskPeersInterval)
@@ -89,7 +93,8 @@
 	}
 }
 
-// waitOrWake waits, and reports whether it was ended by soon.
+// waitOrWake waits for d or until trigger is called, and reports whether it was woken by
+// trigger.
 func (p *configFetcher) waitOrWake(ctx context.Context, d time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
@@ -101,13 +106,14 @@
 	}
 }
 
-// askPeers asks the peer that knew last, and where it does not any more all others, several at
-// once, those included of which it learns meanwhile. It reports whether one knew.
-func (p *configFetcher) askPeers(ctx context.Context, within time.Duration) bool {
+// askPeers asks the preferred peer and, if that one can't confirm the newest configuration, all
+// other peers, several in parallel, including peers learned from responses on the way. It
+// reports whether one confirmed it.
+func (p *configFetcher) askPeers(ctx context.Context, maxAge time.Duration) bool {
 	if record, _ := p.leader(); record.Address != p.lastLeaderAddress {
 		p.preferredPeer, p.lastLeaderAddress = "", record.Address
 	}
-	if p.preferredPeer != "" && p.ask(ctx, p.preferredPeer, within) {
+	if p.preferredPeer != "" && p.ask(ctx, p.preferredPeer, maxAge) {
 		return true
 	}
 	tried := map[string]bool{p.peers.self: true, p.preferredPeer: true}
@@ -117,27 +123,28 @@
 		if len(batch) == 0 {
 			return false
 		}
-		p.preferredPeer = p.askAll(ctx, batch, within)
+		p.preferredPeer = p.askAll(ctx, batch, maxAge)
 	}
 	return true
 }
 
-// askAll asks some peers at once and returns one that knew, "" for none.
-func (p *configFetcher) askAll(ctx context.Context, peers []string, within time.Duration) (knowing string) {
-	knew := make([]bool, len(peers))
-	var asked sync.WaitGroup
+// askAll asks some peers in parallel and returns one that confirmed the newest configuration,
+// or "".
+func (p *configFetcher) askAll(ctx context.Context, peers []string, maxAge time.Duration) (confirming string) {
+	confirmed := make([]bool, len(peers))
+	var calls sync.WaitGroup
 	for i, address := range peers {
-		asked.Go(func() { knew[i] = p.ask(ctx, address, within) })
+		calls.Go(func() { confirmed[i] = p.ask(ctx, address, maxAge) })
 	}
-	asked.Wait()
-	if i := slices.Index(knew, true); i >= 0 {
+	calls.Wait()
+	if i := slices.Index(confirmed, true); i >= 0 {
 		return peers[i]
 	}
 	return ""
 }
 
-// nextPeers are the next peers to ask, and notes them: the leader first, which has just been in
-// touch with the store.
+// nextPeers returns the next peers to ask and adds them to tried. The leader comes first, since
+// it was in contact with the store recently.
 func (p *configFetcher) nextPeers(tried map[string]bool) []string {
 	record, _ := p.leader()
 	var next []string
@@ -150,14 +157,14 @@
 	return next
 }
 
-// ask asks one peer, and reports whether it knew which configuration is the newest. With
-// within set the peer looks up what it knows from longer ago.
-func (p *configFetcher) ask(ctx context.Context, address string, within time.Duration) bool {
+// ask asks one peer, and reports whether it confirmed the newest configuration recently enough.
+// With maxAge set, the peer looks the configuration up again if its own confirmation is older.
+func (p *configFetcher) ask(ctx context.Context, address string, maxAge time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
 	defer cancel()
 	sentAt := steady.Now()
 	remote := scheduling.NewSchedulingProtobufClient("http://"+address, p.client)
-	r, err := remote.Config(ctx, &scheduling.ConfigRequest{Revision: p.config.latest().Revision, Address: p.peers.self, WithinMs: within.Milliseconds()})
+	r, err := remote.Config(ctx, &scheduling.ConfigRequest{Revision: p.config.latest().Revision, Address: p.peers.self, WithinMs: maxAge.Milliseconds()})
 	if err != nil {
 		p.peers.remove(address)
 		p.log.Event("config_peer_failed", eventlog.Fields{"peer": address, "error": err.Error()})
@@ -174,16 +181,17 @@
 	if !r.GetConfirmed() {
 		return false
 	}
-	ago := time.Duration(r.GetConfirmedAgoMs()) * time.Millisecond
-	p.config.recordConfirmation(sentAt - ago)
-	if within > 0 {
-		return ago <= within
+	age := time.Duration(r.GetConfirmedAgoMs()) * time.Millisecond
+	p.config.recordConfirmation(sentAt - age)
+	if maxAge > 0 {
+		return age <= maxAge
 	}
-	return ago < askPeersDelay
+	return age < askPeersDelay
 }
 
-// configResponse answers a peer. Only what this process has read itself counts as confirmed: of hearsay
-// that peers tell each other nobody could say how old it is.
+// configResponse builds the response to a peer. Only this process's own reads of the store
+// count as confirmed: the age of a confirmation passed on between peers could not be
+// determined.
 func (c *configuration) configResponse(r *scheduling.ConfigRequest) *scheduling.ConfigResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +199,7 @@
 	if c.newest.Revision > r.GetRevision() {
 		resp.Value = c.newest.Value
 	}
-	// Rounded up: what is told may be too long, never too short.
+	// Rounded up: the reported age may be too high but never too low.
 	resp.ConfirmedAgoMs = int64((steady.Now() - c.readAt + time.Millisecond - 1) / time.Millisecond)
 	return resp
 }
--- a/internal/edge/configuration.go
+++ b/internal/edge/configuration.go
@@ -11,8 +11,7 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// configuration is what this process knows of the operator's configuration, from the
-// store or from its peers.
+// configuration holds the operator's configuration as received from the store or from peers.
 type configuration struct {
 	decode func([]byte) (*batch.Config, error)
 	log    *eventlog.Log
@@ -20,13 +19,13 @@
 	inForce atomic.Pointer[batch.Config]
 
 	mu sync.Mutex
-	// newest is the newest item that was heard of, readable or not.
+	// newest is the newest item received, decodable or not.
 	newest     durable.Item
 	unreadable bool
-	// confirmedAt is when newest was last known to be the newest there is, readAt when the
-	// store itself last said so, on the steady clock; 0 for never.
+	// confirmedAt is the last time newest was confirmed to be the newest item there is, readAt
+	// the last time the store itself confirmed it; both on the monotonic clock, 0 for never.
 	confirmedAt, readAt time.Duration
-	// confirmationChanged is closed when confirmedAt moves on.
+	// confirmationChanged is closed and replaced when confirmedAt advances.
 	confirmationChanged chan struct{}
 }
 
@@ -34,8 +33,8 @@
 	return &configuration{decode: decode, log: log, confirmationChanged: make(chan struct{})}
 }
 
-// install takes a newer item over; source says where it comes from. An older one, from an
-// answer that was overtaken, is never installed.
+// install stores a newer item and puts it in force if it can be decoded; source is logged. An
+// older item, from a response that was overtaken, is never installed.
 func (c *configuration) install(item *durable.Item, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +54,7 @@
 	c.log.Event("config_installed", eventlog.Fields{"version": config.Version, "revision": item.Revision, "queues": len(config.Queues), "source": source})
 }
 
-// recordStoreRead notes that the store held nothing newer at a time.
+// recordStoreRead records that the store held nothing newer at the given time.
 func (c *configuration) recordStoreRead(at time.Duration) {
 	c.mu.Lock()
 	c.readAt = max(c.readAt, at)
@@ -63,7 +62,7 @@
 	c.recordConfirmation(at)
 }
 
-// recordConfirmation notes that there was nothing newer at a time.
+// recordConfirmation records that there was nothing newer at the given time.
 func (c *configuration) recordConfirmation(at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,43 +74,44 @@
 	c.confirmationChanged = make(chan struct{})
 }
 
-// confirmedAge is how long ago the newest item was known to be that.
-func (c *configuration) confirmedAge() (ago time.Duration, ever bool) {
+// confirmedAge returns the time since newest was confirmed to be the newest item; ok is false
+// if it never was.
+func (c *configuration) confirmedAge() (age time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return steady.Now() - c.confirmedAt, c.confirmedAt > 0
 }
 
-// inForceConfirmedAge is how long ago what is in force was known to be the newest; ever is
-// false while the newest item can't be read.
-func (c *configuration) inForceConfirmedAge() (ago time.Duration, ever bool) {
-	ago, ever = c.confirmedAge()
-	return ago, ever && c.unreadableRevision() == 0
+// inForceConfirmedAge returns the time since the configuration in force was confirmed to be the
+// newest; ok is false also while the newest item can't be decoded.
+func (c *configuration) inForceConfirmedAge() (age time.Duration, ok bool) {
+	age, ok = c.confirmedAge()
+	return age, ok && c.unreadableRevision() == 0
 }
 
-// sinceRead is for how long the store has not told this process which item is the newest.
+// sinceRead returns the time since the store last confirmed which item is the newest.
 func (c *configuration) sinceRead() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return steady.Now() - c.readAt
 }
 
-// latest is the newest item.
+// latest returns the newest item received, decodable or not.
 func (c *configuration) latest() durable.Item {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// confirmedSince reports whether the newest item was known to be that at a time or later,
-// and, where not, what is closed when that may have changed.
+// confirmedSince reports whether newest was confirmed to be the newest item at the given time
+// or later. If not, changed is closed at the next confirmation.
 func (c *configuration) confirmedSince(at time.Duration) (ok bool, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.confirmedAt > 0 && c.confirmedAt >= at, c.confirmationChanged
 }
 
-// unreadableRevision is that of the newest item where it can't be read, else 0.
+// unreadableRevision returns the revision of the newest item if it can't be decoded, else 0.
 func (c *configuration) unreadableRevision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge puts the parts of an entry VM's process together that serve
-// callers and schedule steps, under one supervisor tree, and stops them in order.
+// Package edge assembles the entry VM process, which serves callers and schedules steps: it
+// runs its parts under one supervisor tree and shuts them down in order.
 package edge
 
 import (
@@ -29,82 +29,85 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// Settings of the process.
+// Settings configures the process: listen addresses, the VM's resources and the scheduler's
+// bounds.
 type Settings struct {
-	// Node is the process's name in logs.
+	// Node is the process's name in logs and in its leader record.
 	Node string
 	Zone string
-	// Callers, Readiness, Peers and Operations are the ip:port to listen on.
+	// Callers, Readiness, Peers and Operations are the ip:port addresses to listen on.
 	Callers    string
 	Readiness  string
 	Peers      string
 	Operations string
-	// Metrics is one more ip:port for the metrics alone, "" for none: a place that
-	// scrapers know beforehand, where the other ports change. The process does
-	// without where it can't be had.
+	// Metrics is an additional ip:port that serves only the metrics, "" for none. Its port is
+	// fixed, so that scrapers know it in advance; the other ports change. If it can't be bound,
+	// the process runs without it.
 	Metrics string
-	// Processor is the share of a core that the VM has.
+	// Processor is the VM's share of a processor core.
 	Processor float64
-	// DirectVMs is up to how many VMs this process, while it leads, serves itself; the
-	// orders to more go through relays.
+	// DirectVMs is the maximum number of VMs that this process serves directly while it leads;
+	// with more VMs, orders go through relays.
 	DirectVMs int
-	// LinkMbps is the bandwidth of the VM's link, 0 where it is not told.
+	// LinkMbps is the bandwidth of the VM's network link, 0 if unknown.
 	LinkMbps float64
 	// MemoryMB is the memory limit of the process.
 	MemoryMB float64
-	// Grace is the time from the signal to stop until the process is killed.
+	// Grace is the time between the stop signal and the kill of the process.
 	Grace  time.Duration
 	Bounds scheduler.Settings
 }
 
-// Platform is what the process needs of the outside.
+// Platform holds the external dependencies of the process.
 type Platform struct {
 	Store     durable.Store
 	Agents    leader.Agents
 	Adviser   leader.Adviser
 	Machines  leader.Machines
 	Instances leader.Instances
-	// OperatorPrefix is where the operator writes, ConfigKey the key of the
-	// configuration; DecodeConfig and DecodeWave read what is there.
+	// OperatorPrefix is the store prefix that the operator writes to, ConfigKey the key of the
+	// configuration below it. DecodeConfig and DecodeWave decode the values.
 	OperatorPrefix string
 	ConfigKey      string
 	DecodeConfig   func([]byte) (*batch.Config, error)
 	DecodeWave     func(durable.Item) (batch.Wave, bool, error)
 	ReportWave     leader.WaveReport
-	// CallerHandlers makes the handler of callers' requests, and of the balancer's probe.
+	// CallerHandlers returns the handlers for callers' requests and for the balancer's
+	// readiness probe.
 	CallerHandlers func(*entry.Entry) (callers, ready http.Handler)
-	// PeerClient is the client for the other processes.
+	// PeerClient is the HTTP client for calls to the other processes.
 	PeerClient *http.Client
 }
 
 const (
-	// configWatchTimeout is how long one watch of the configuration waits. What it does not tell,
-	// because its connection went silent or the store's watches hear nothing, is read.
+	// configWatchTimeout bounds one watch of the configuration. Changes that a watch misses,
+	// because its connection is dead or the store's watches deliver nothing, are found by
+	// reading.
 	configWatchTimeout = 5 * time.Second
-	// configReadInterval is how often the configuration is read beside its watch: with two
-	// tries of a reading a version is in force within 2 s that no watch tells of.
+	// configReadInterval is how often the configuration is read in addition to the watch. With
+	// two attempts of a read, a version that no watch delivers is in force within 2 s.
 	configReadInterval = time.Second
-	// maxLeaderResponseAge is how old the leader's last answer may be for it to count as
-	// a way to the store.
+	// maxLeaderResponseAge is the maximum age of the leader's last response for the leader to
+	// count as a path to the store.
 	maxLeaderResponseAge = 3 * time.Second
-	// balancerNoticeDelay is how long the balancer takes to see that a process is not
-	// ready: two probes, one a second, and their way.
+	// balancerNoticeDelay is how long the balancer takes to notice that a process is not ready:
+	// two probes, one a second, plus their latency.
 	balancerNoticeDelay = 2500 * time.Millisecond
-	// shutdownMargin is kept of the grace for the last steps of a stop.
+	// shutdownMargin is the part of the grace period reserved for the last steps of a shutdown.
 	shutdownMargin = 700 * time.Millisecond
-	// headerTimeout bounds the time that a client takes to send its headers,
-	// idleTimeout that between its requests.
+	// headerTimeout bounds the time in which a client sends its headers, idleTimeout the time
+	// between its requests.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 60 * time.Second
-	// memoryLimitShare is the part of the memory limit at which the collector works
-	// harder; the rest is for stacks and bytes not yet read.
+	// memoryLimitShare is the share of the memory limit that is set as the Go runtime's soft
+	// memory limit; the rest is for stacks and bytes not yet read.
 	memoryLimitShare = 0.6
-	// gcPercent is the growth of the heap between collections, in percent: twice
-	// the usual, since the heap is small beside the limit.
+	// gcPercent is the heap growth between collections. It is above the runtime's default,
+	// since the heap is small compared to the memory limit.
 	gcPercent = 400
 )
 
-// Edge is the process.
+// Edge is one entry process with its servers, its leader candidacy and its relay.
 type Edge struct {
 	settings Settings
 	platform Platform
@@ -113,7 +116,7 @@
 	leader   *leader.Leader
 	entry    *entry.Entry
 	config   *configuration
-	// waves are those that the operator asked for, by number.
+	// waves holds the maintenance waves that the operator requested, by number.
 	wavesMu          sync.Mutex
 	waves            map[int64]batch.Wave
 	draining         atomic.Bool
@@ -122,17 +125,17 @@
 	metrics          *metrics
 	operatorFollower *follow.Follower
 	leaderClient     *leaderClient
-	// relays are the processes that carry orders for this one while it leads; relay
-	// carries those of another leader.
+	// relays are the processes that relay this leader's orders; relay relays the orders of
+	// another leader.
 	relays       *relay.Pool
 	relay        *relay.Server
 	relayOfferer *relayOfferer
-	// peerAddresses are some of the other processes; configFetcher asks them.
+	// peerAddresses holds the addresses of some other processes, which configFetcher asks.
 	peerAddresses *peerAddresses
 	configFetcher *configFetcher
 }
 
-// New puts the process together.
+// New assembles the process without starting it.
 func New(s Settings, p Platform, log *eventlog.Log) *Edge {
 	e := &Edge{
 		settings: s, platform: p, log: log, waves: map[int64]batch.Wave{}, aborted: make(chan struct{}),
@@ -185,11 +188,11 @@
 	return e
 }
 
-// Abort makes Run end at once, as if the process had died. For tests; call it at
-// most once.
+// Abort makes Run return immediately, as if the process had crashed. It is for tests and must
+// be called at most once.
 func (e *Edge) Abort() { close(e.aborted) }
 
-// Leads reports whether this process leads and is done with the rebuild.
+// Leads reports whether this process leads and has finished rebuilding its state.
 func (e *Edge) Leads() bool {
 	_, leading := e.leader.Waiting("")
 	return leading
@@ -207,7 +210,7 @@
 	})
 }
 
-// Run serves until ctx ends, then stops in order.
+// Run serves until ctx ends, then shuts down in order.
 func (e *Edge) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(e.settings.MemoryMB * memoryLimitShare * (1 << 20)))
@@ -238,7 +241,7 @@
 	case <-e.aborted:
 	}
 	cancel()
-	// The servers do not know of streams that were taken over from them.
+	// Closing the servers does not close hijacked connections.
 	e.relay.Close()
 	if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
 		e.log.Warn("supervisor_ended", err, nil)
@@ -247,41 +250,42 @@
 	return nil
 }
 
-// ready reports whether callers should come here: the process has a configuration
-// and a way to the store, its own or the leader's.
+// ready reports whether the balancer should send callers to this process: it has a
+// configuration and a path to the store, either its own or through the leader.
 func (e *Edge) ready() bool {
 	return e.config.inForce.Load() != nil && !e.draining.Load() && (e.entry.StoreReachable() || e.leaderReachable())
 }
 
-// leaderReachable reports whether another process that leads has answered of late.
+// leaderReachable reports whether another process that leads has responded recently.
 func (e *Edge) leaderReachable() bool {
 	return e.leaderClient.reachability.RespondedWithin(maxLeaderResponseAge, 0)
 }
 
-// sourceStore is the source of configurations that the store told.
+// sourceStore is the logged source of configurations read from the store.
 const sourceStore = "store"
 
-// recordPeerResponse notes that a peer was reached: the leader is a way to the store.
+// recordPeerResponse records a response from the leader, which counts as a path to the store;
+// responses from other peers are ignored.
 func (e *Edge) recordPeerResponse(address string) {
 	if record, known := e.election.Leader(); known && record.Address == address {
 		e.leaderClient.reachability.RecordResponse()
 	}
 }
 
-// applyOperatorItems takes over what the operator wrote.
+// applyOperatorItems installs configurations and maintenance waves that the operator wrote.
 func (e *Edge) applyOperatorItems(items []durable.Item, _ bool) {
 	for i := range items {
 		if items[i].Key == e.platform.ConfigKey && !items[i].Deleted {
 			e.config.install(&items[i], sourceStore)
 			continue
 		}
-		w, ok, err := e.platform.DecodeWave(items[i])
+		wave, ok, err := e.platform.DecodeWave(items[i])
 		if err != nil {
 			e.log.Warn("wave_unreadable", err, eventlog.Fields{"key": items[i].Key})
 		}
 		if ok {
 			e.wavesMu.Lock()
-			e.waves[w.Number] = w
+			e.waves[wave.Number] = wave
 			e.wavesMu.Unlock()
 		}
 	}
@@ -294,21 +298,21 @@
 }
 
 const (
-	// maxConfirmationAge is how long ago the configuration may have been confirmed for it
-	// not to be looked up again: it bounds the readings that callers of queues which do
-	// not exist bring about to four a second.
+	// maxConfirmationAge is the maximum age of a confirmation of the configuration for which it
+	// is not looked up again. It limits the reads caused by callers of nonexistent queues to
+	// four a second.
 	maxConfirmationAge = 250 * time.Millisecond
-	// confirmTimeout bounds the wait of such a caller: one who comes 250 ms later may not be
-	// answered by an older version than this one is, and both wait for a processor besides.
-	// storeLookupTimeout is how long a reading may take before peers are asked besides.
+	// confirmTimeout bounds the wait of such a caller. A caller that arrives 250 ms later must
+	// not be answered from an older version than this one, and both also wait for a processor.
+	// storeLookupTimeout is how long a read may take before peers are asked as well.
 	confirmTimeout     = 150 * time.Millisecond
 	storeLookupTimeout = confirmTimeout / 2
-	// peerLookupTimeout bounds the wait of a peer that asks for such a caller.
+	// peerLookupTimeout bounds the lookup on behalf of a peer that has such a caller.
 	peerLookupTimeout = confirmTimeout / 2
 )
 
-// confirmConfig looks the newest configuration up, in the store and, where that is silent,
-// at peers, and waits until one has told it.
+// confirmConfig looks up the newest configuration in the store and, if the store does not
+// respond, from peers, and waits a bounded time for a confirmation.
 func (e *Edge) confirmConfig(ctx context.Context) {
 	if e.lookUpConfig(ctx, maxConfirmationAge, storeLookupTimeout) {
 		return
@@ -317,10 +321,10 @@
 	e.lookUpConfig(ctx, maxConfirmationAge, confirmTimeout-storeLookupTimeout)
 }
 
-// lookUpConfig looks the newest configuration up in the store, unless it was confirmed so
-// short ago, and waits for up to timeout until it is. It reports whether it was.
-func (e *Edge) lookUpConfig(ctx context.Context, within, timeout time.Duration) bool {
-	since := steady.Now() - within
+// lookUpConfig reads the configuration from the store unless it was confirmed within maxAge,
+// and waits up to timeout for the confirmation. It reports whether there is one.
+func (e *Edge) lookUpConfig(ctx context.Context, maxAge, timeout time.Duration) bool {
+	since := steady.Now() - maxAge
 	ok, changed := e.config.confirmedSince(since)
 	if ok {
 		return true
@@ -339,9 +343,9 @@
 	return true
 }
 
-// drain is the planned stop. The lead is given up first, by a write, so that
-// another takes over at once. The listener stays open until the balancer has
-// seen that the process is not ready: a request that comes meanwhile is served.
+// drain is the graceful shutdown. Leadership is resigned first, by a write, so that another
+// process takes over immediately. The listeners stay open until the balancer has noticed that
+// the process is not ready, so that requests that arrive in the meantime are served.
 func (e *Edge) drain() {
 	began := time.Now()
 	e.log.Event("process_stopping", eventlog.Fields{"grace_ms": e.settings.Grace.Milliseconds()})
@@ -350,8 +354,8 @@
 	e.election.Resign(context.Background())
 	go e.relay.Leave()
 	time.Sleep(balancerNoticeDelay)
-	limit := began.Add(e.settings.Grace - shutdownMargin)
-	ctx, cancel := context.WithDeadline(context.Background(), limit)
+	deadline := began.Add(e.settings.Grace - shutdownMargin)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for _, s := range e.servers {
 		if err := s.Stop(ctx); err != nil {
@@ -360,7 +364,7 @@
 	}
 }
 
-// httpService runs a server under the supervisor.
+// httpService runs a server as a service of the supervisor.
 type httpService struct{ server *graceful.Server }
 
 // Serve implements suture.Service.
@@ -379,5 +383,5 @@
 	return err
 }
 
-// String names the service in the supervisor's events.
+// String returns the service's name in supervisor events.
 func (s httpService) String() string { return "server " + s.server.Addr() }
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -6,8 +6,8 @@
 	"github.com/rattanwall/rattanwall/internal/leader"
 )
 
-// leaderMetrics are the leader's state as metrics. They are worked out when they are
-// asked for; a process that does not lead tells only that.
+// leaderMetrics exports the leader's state; values are computed at each scrape. A process that
+// does not lead exports only that fact.
 type leaderMetrics struct {
 	readStats func() (f leader.Stats, leading bool)
 
@@ -49,23 +49,23 @@
 	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
-	f, leading := c.readStats()
+	stats, leading := c.readStats()
 	gauge(c.leads, boolToFloat(leading))
 	if !leading {
 		return
 	}
-	gauge(c.confirmed, boolToFloat(f.Confirmed))
-	gauge(c.fence, float64(f.Fence))
-	gauge(c.lease, f.LongestLease.Seconds())
-	gauge(c.runs, float64(f.Runs))
-	gauge(c.ends, float64(f.UnackedEnds))
-	gauge(c.endAge, f.OldestUnacked.Seconds())
-	gauge(c.window, float64(f.StartWindow))
-	gauge(c.waiting, float64(f.StartsWaiting))
-	gauge(c.oldestWaiting, f.OldestWaiting.Seconds())
-	gauge(c.relays, float64(len(f.Relays)))
+	gauge(c.confirmed, boolToFloat(stats.Confirmed))
+	gauge(c.fence, float64(stats.Fence))
+	gauge(c.lease, stats.LongestLease.Seconds())
+	gauge(c.runs, float64(stats.Runs))
+	gauge(c.ends, float64(stats.UnackedEnds))
+	gauge(c.endAge, stats.OldestUnacked.Seconds())
+	gauge(c.window, float64(stats.StartWindow))
+	gauge(c.waiting, float64(stats.StartsWaiting))
+	gauge(c.oldestWaiting, stats.OldestWaiting.Seconds())
+	gauge(c.relays, float64(len(stats.Relays)))
 	relayed := 0
-	for _, vms := range f.Relays {
+	for _, vms := range stats.Relays {
 		relayed += vms
 	}
 	gauge(c.relayed, float64(relayed))
@@ -73,29 +73,28 @@
 		state string
 		count int
 	}{
-		{"known", f.VMs},
-		{"unlisted", f.Unlisted},
-		{"unheard", f.Unreported},
-		{"silent", f.Unresponsive},
-		{"leased", f.Leased},
-		{"leased_silent", f.LeasedUnresponsive},
-		{"waited_for", f.Awaited},
-		{"withheld", f.Withheld},
+		{"known", stats.VMs},
+		{"unlisted", stats.Unlisted},
+		{"unheard", stats.Unreported},
+		{"silent", stats.Unresponsive},
+		{"leased", stats.Leased},
+		{"leased_silent", stats.LeasedUnresponsive},
+		{"waited_for", stats.Awaited},
+		{"withheld", stats.Withheld},
 	} {
 		gauge(c.vms, float64(v.count), v.state)
 	}
 }
 
-func boolToFloat(is bool) float64 {
-	if is {
+func boolToFloat(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// givenUpReasons are the reasons for which a VM or a run is given up, as the
-// scheduler and the leader tell them. What is none of them counts as otherReason,
-// so that the label set stays closed.
+// givenUpReasons are the reasons that the scheduler and the leader give for declaring a VM or a
+// run lost. Any other reason is counted as otherReason, so that the label set stays closed.
 var givenUpReasons = map[string]bool{
 	"lease over":               true,
 	"not listed":               true,
@@ -108,7 +107,7 @@
 
 const otherReason = "other"
 
-// givenUpReason is the label of a reason.
+// givenUpReason maps a reason to its metric label.
 func givenUpReason(reason string) string {
 	if givenUpReasons[reason] {
 		return reason
--- a/internal/edge/offers.go
+++ b/internal/edge/offers.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// offerTimeout bounds one offer.
+	// offerTimeout bounds one call to the leader.
 	offerTimeout = 800 * time.Millisecond
-	// offerRetryDelay is the pause after an offer that the leader did not take: it may
-	// just be taking over.
+	// offerRetryDelay is the minimum pause after an offer that the leader did not accept, as it
+	// may still be taking over.
 	offerRetryDelay = 400 * time.Millisecond
-	// offerJitter spreads the offers of many processes that see a new leader at the
-	// same moment; those with little room wait for up to maxLowCapacityDelay more, so that a
-	// leader has those with the most first.
+	// offerJitter spreads the offers of many processes that see a new leader at the same
+	// moment. Processes with little capacity wait up to maxLowCapacityDelay longer, so that a
+	// leader receives the offers with the most capacity first.
 	offerJitter         = 20 * time.Millisecond
 	maxLowCapacityDelay = 150 * time.Millisecond
 )
 
-// relayOfferer tells each leader that this process can carry orders for it.
+// relayOfferer offers this process to each leader as a relay for its orders.
 type relayOfferer struct {
 	offer         relay.Offer
 	leader        func() (leader.Record, bool)
@@ -37,7 +37,7 @@
 	stopped       atomic.Bool
 }
 
-// trigger has the offer made now.
+// trigger makes Serve send the offer soon, after the initial delay.
 func (o *relayOfferer) trigger() {
 	select {
 	case o.wake <- struct{}{}:
@@ -45,13 +45,13 @@
 	}
 }
 
-// stop ends the offers: the process is about to stop.
+// stop ends the offers, before the process shuts down.
 func (o *relayOfferer) stop() { o.stopped.Store(true) }
 
 // Serve implements suture.Service.
 func (o *relayOfferer) Serve(ctx context.Context) error {
-	small := float64(max(0, relay.MaxCapacity-o.offer.VMs)) / relay.MaxCapacity
-	delay := rand.N(offerJitter) + time.Duration(small*float64(maxLowCapacityDelay))
+	shortfall := float64(max(0, relay.MaxCapacity-o.offer.VMs)) / relay.MaxCapacity
+	delay := rand.N(offerJitter) + time.Duration(shortfall*float64(maxLowCapacityDelay))
 	next := time.NewTimer(delay)
 	defer next.Stop()
 	for {
@@ -71,7 +71,8 @@
 	}
 }
 
-// sendOffer makes the offer, and reports whether it need not be made again soon.
+// sendOffer sends the offer to the current leader, and reports whether no early retry is
+// needed.
 func (o *relayOfferer) sendOffer(ctx context.Context) bool {
 	record, known := o.leader()
 	if !known || record.Address == o.offer.Address || o.stopped.Load() {
--- a/internal/edge/operations.go
+++ b/internal/edge/operations.go
@@ -19,8 +19,8 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// metrics are the process's counters and histograms. Label sets are closed: the
-// events, the callers' operations and the kinds of error.
+// metrics holds the process's counters and histograms. Label sets are closed: events, callers'
+// operations and error kinds.
 type metrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
@@ -28,20 +28,21 @@
 	decisions   *prometheus.CounterVec
 	startWait   prometheus.Histogram
 	runDuration prometheus.Histogram
-	// jobAge is how old jobs are when the leader takes them, jobEnds counts those that ended
-	// by state and by their objective, starts those of tasks by group, delays what waits.
+	// jobAge is the age of jobs when the leader accepts them. jobEnds counts ended jobs by
+	// whether they met their objective, starts counts task starts by queue group, and delays
+	// holds waiting and planning times in the leader.
 	jobAge  prometheus.Histogram
 	jobEnds *prometheus.CounterVec
 	starts  *prometheus.CounterVec
 	delays  *prometheus.HistogramVec
-	// givenUp counts VMs and runs that were given up, by reason; ends those that
-	// VMs told, by how they stood.
+	// givenUp counts VMs and runs declared lost, by reason; ends counts run ends reported by
+	// VMs, by status.
 	givenUp *prometheus.CounterVec
 	ends    *prometheus.CounterVec
 }
 
-// newMetrics returns the process's metrics; read tells the leader's state.
-func newMetrics(read func() (leader.Stats, bool)) *metrics {
+// newMetrics returns the process's metrics; readStats returns the leader's statistics.
+func newMetrics(readStats func() (leader.Stats, bool)) *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -82,19 +83,20 @@
 		m.delays.WithLabelValues(string(d))
 	}
 	m.registry.MustRegister(
-		m.jobAge, m.jobEnds, m.starts, m.delays, m.requests, m.latency, m.decisions, m.startWait, m.runDuration, m.givenUp, m.ends, newLeaderMetrics(read),
-		// Readers cut long answers off, and these stand before the product's own.
+		m.jobAge, m.jobEnds, m.starts, m.delays, m.requests, m.latency, m.decisions, m.startWait, m.runDuration, m.givenUp, m.ends, newLeaderMetrics(readStats),
+		// Scrapers truncate long responses, and the memory statistics would precede the
+		// rattanwall metrics.
 		collectors.NewGoCollector(collectors.WithGoCollectorMemStatsMetricsDisabled(), collectors.WithGoCollectorRuntimeMetrics(collectors.MetricsScheduler)),
 	)
 	return m
 }
 
-// handler serves them as text.
+// handler serves the metrics in the Prometheus text format.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// recordRequest counts a caller's request.
+// recordRequest counts a caller's request and observes its latency.
 func (m *metrics) recordRequest(operation string, took time.Duration, err error) {
 	outcome := "ok"
 	if err != nil {
@@ -104,7 +106,7 @@
 	m.latency.WithLabelValues(operation).Observe(took.Seconds())
 }
 
-// recordDecision counts a decision of the scheduler.
+// recordDecision counts a scheduler decision and observes the times that it carries.
 func (m *metrics) recordDecision(d scheduler.Decision) {
 	m.decisions.WithLabelValues(d.Event).Inc()
 	switch d.Event {
@@ -124,10 +126,11 @@
 	}
 }
 
-// lateFactor times its objective a job still counts as late.
+// lateFactor is the multiple of its objective up to which a job counts as late, not too late.
 const lateFactor = 3
 
-// objectiveLabel is the label of a job that ended at an age with an objective, in seconds.
+// objectiveLabel returns the label for a job that ended at the given age; both values are in
+// seconds.
 func objectiveLabel(age, objective float64) string {
 	switch {
 	case age <= objective:
@@ -138,43 +141,43 @@
 	return "too_late"
 }
 
-// recordDelay notes how long work of the leader waited or took.
+// recordDelay observes how long work of the leader waited or took.
 func (m *metrics) recordDelay(d leader.Delay, took time.Duration) {
 	m.delays.WithLabelValues(string(d)).Observe(took.Seconds())
 }
 
-// recordEnd counts an end that a VM told.
-func (m *metrics) recordEnd(standing scheduler.EndStatus) {
-	m.ends.WithLabelValues(string(standing)).Inc()
+// recordEnd counts a run end that a VM reported to the leader.
+func (m *metrics) recordEnd(status scheduler.EndStatus) {
+	m.ends.WithLabelValues(string(status)).Inc()
 }
 
-// Dump is the process's state, for people who look for a fault.
+// Dump is the process's state, for diagnosis.
 type Dump struct {
 	Node          string `json:"node"`
 	Zone          string `json:"zone"`
 	Ready         bool   `json:"ready"`
 	ConfigVersion int64  `json:"config_version"`
-	// ConfigConfirmedAgoMS is how long ago that version was known to be the newest, -1
+	// ConfigConfirmedAgoMS is the time since that version was confirmed to be the newest, -1
 	// for never.
 	ConfigConfirmedAgoMS int64 `json:"config_confirmed_ago_ms"`
-	// ConfigUnreadable is the revision of a newer configuration that can't be read.
+	// ConfigUnreadable is the revision of a newer configuration that can't be decoded.
 	ConfigUnreadable int64           `json:"config_unreadable,omitempty"`
 	Queues           int             `json:"queues"`
 	Leader           leader.Record   `json:"leader"`
 	Scheduler        *scheduler.Dump `json:"scheduler,omitempty"`
-	// Relays are the processes that carry this leader's orders, with how many VMs each
-	// serves; empty where it gives them itself.
+	// Relays maps the processes that relay this leader's orders to the number of VMs that each
+	// serves; empty if the leader serves all VMs directly.
 	Relays map[string]int `json:"relays,omitempty"`
 }
 
-// Dump returns the process's state.
+// Dump returns a snapshot of the process's state.
 func (e *Edge) Dump() Dump {
 	d := Dump{
 		Node: e.settings.Node, Zone: e.settings.Zone, Ready: e.ready(), Scheduler: e.leader.Dump(),
 		ConfigConfirmedAgoMS: -1, ConfigUnreadable: e.config.unreadableRevision(),
 	}
-	if ago, ever := e.config.confirmedAge(); ever {
-		d.ConfigConfirmedAgoMS = ago.Milliseconds()
+	if age, ok := e.config.confirmedAge(); ok {
+		d.ConfigConfirmedAgoMS = age.Milliseconds()
 	}
 	if d.Scheduler != nil {
 		d.Relays = e.relays.Serving()
@@ -186,7 +189,7 @@
 	return d
 }
 
-// operations serves metrics and the state dump.
+// operations serves metrics, the state dump, job explanations and profiles.
 func (e *Edge) operations() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", e.metrics.handler())
@@ -197,14 +200,14 @@
 		}
 	})
 	mux.HandleFunc("GET /jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
-		x, ok := e.leader.Explain(r.PathValue("id"))
+		explanation, ok := e.leader.Explain(r.PathValue("id"))
 		if !ok {
-			http.Error(w, "this process does not lead, or does not know the job; see leader in /dump", http.StatusNotFound)
+			http.Error(w, "this process does not lead or has no such job; see leader in /dump", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		if err := json.NewEncoder(w).Encode(x); err != nil {
-			e.log.Warn("explanation_not_sent", err, eventlog.Fields{"job": x.Job})
+		if err := json.NewEncoder(w).Encode(explanation); err != nil {
+			e.log.Warn("explanation_not_sent", err, eventlog.Fields{"job": explanation.Job})
 		}
 	})
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
@@ -212,8 +215,8 @@
 	return mux
 }
 
-// hasMetricsListener reports whether the metrics have a port of their own. One that the
-// process needs for something else stays with that.
+// hasMetricsListener reports whether the metrics have a listener of their own. They have none
+// if another server of the process uses the port.
 func (e *Edge) hasMetricsListener() bool {
 	_, port, err := net.SplitHostPort(e.settings.Metrics)
 	if err != nil {
@@ -236,8 +239,8 @@
 	}
 }
 
-// optionalService is a server that the process does without where its port can't
-// be had: one line tells, and nothing else is touched.
+// optionalService is a server that the process runs without if its port can't be bound: it logs
+// one line and does not restart.
 type optionalService struct {
 	httpService
 	log *eventlog.Log
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -21,8 +21,8 @@
 	"github.com/rattanwall/rattanwall/internal/steady"
 )
 
-// peerServer answers the other processes of the deployment. Only a leader knows
-// of jobs.
+// peerServer serves the other processes of the deployment. Only the leader can answer calls
+// about jobs.
 type peerServer struct {
 	node          string
 	leader        *leader.Leader
@@ -31,8 +31,9 @@
 	relays        *relay.Pool
 	config        *configuration
 	peerAddresses *peerAddresses
-	// lookUpConfig has the store asked for the configuration if it was confirmed longer ago.
-	lookUpConfig func(ctx context.Context, within, timeout time.Duration) bool
+	// lookUpConfig reads the configuration from the store if its confirmation is older than
+	// maxAge.
+	lookUpConfig func(ctx context.Context, maxAge, timeout time.Duration) bool
 }
 
 var _ scheduling.Scheduling = (*peerServer)(nil)
@@ -84,33 +85,33 @@
 	return &scheduling.CancelResponse{Known: known}, nil
 }
 
-// LeasesLeft implements scheduling.Scheduling. Another process at the address of the
-// one that led knows nothing of its leases.
+// LeasesLeft implements scheduling.Scheduling. The node name is checked because another process
+// at the former leader's address has no record of its leases.
 func (p *peerServer) LeasesLeft(_ context.Context, r *scheduling.LeasesLeftRequest) (*scheduling.LeasesLeftResponse, error) {
 	if r.GetNode() != p.node {
-		return nil, twirp.NotFoundError("this process is " + p.node)
+		return nil, twirp.NotFoundError("this process is node " + p.node)
 	}
 	if r.GetSuccessor() <= r.GetFence() {
-		return nil, twirp.InvalidArgumentError("successor", "is not later than the tenure asked about")
+		return nil, twirp.InvalidArgumentError("successor", "must be greater than fence")
 	}
 	p.election.EndTenuresBefore(r.GetSuccessor())
-	said := p.leader.LeasesLeft(r.GetFence(), r.GetVms())
-	resp := &scheduling.LeasesLeftResponse{LeftMs: make([]int64, len(said.Remaining)), Remembered: said.Remembered}
-	for i := range said.Crashes {
-		c := &said.Crashes[i]
+	report := p.leader.LeasesLeft(r.GetFence(), r.GetVms())
+	resp := &scheduling.LeasesLeftResponse{LeftMs: make([]int64, len(report.Remaining)), Remembered: report.Remembered}
+	for i := range report.Crashes {
+		crash := &report.Crashes[i]
 		resp.Crashes = append(resp.Crashes, &scheduling.Crash{
-			Job: c.Task.Job, Occurrence: int64(c.Task.Occurrence), Step: int64(c.Task.Step), Index: int64(c.Task.Index),
-			Run: c.Run, Kind: c.Kind, Vm: c.VM, Born: c.Born,
+			Job: crash.Task.Job, Occurrence: int64(crash.Task.Occurrence), Step: int64(crash.Task.Step), Index: int64(crash.Task.Index),
+			Run: crash.Run, Kind: crash.Kind, Vm: crash.VM, Born: crash.Born,
 		})
 	}
-	for i, d := range said.Remaining {
-		// Rounded up: what is told may be too long, never too short.
+	for i, d := range report.Remaining {
+		// Rounded up: the reported remaining time may be too long but never too short.
 		resp.LeftMs[i] = int64((d + time.Millisecond - 1) / time.Millisecond)
 	}
 	return resp, nil
 }
 
-// Offer implements scheduling.Scheduling.
+// Offer implements scheduling.Scheduling; it fails unless this process leads.
 func (p *peerServer) Offer(_ context.Context, r *scheduling.OfferRequest) (*scheduling.OfferResponse, error) {
 	if !p.relays.AddOffer(relay.Offer{Node: r.GetNode(), Address: r.GetAddress(), Zone: r.GetZone(), VMs: max(int(r.GetVms()), 1)}) {
 		return nil, errNotLeading
@@ -119,7 +120,8 @@
 	return &scheduling.OfferResponse{Peers: p.peerAddresses.list(r.GetAddress())}, nil
 }
 
-// Config implements scheduling.Scheduling.
+// Config implements scheduling.Scheduling. The response also carries known peers and the
+// leader.
 func (p *peerServer) Config(ctx context.Context, r *scheduling.ConfigRequest) (*scheduling.ConfigResponse, error) {
 	if r.GetWithinMs() > 0 {
 		p.lookUpConfig(ctx, time.Duration(r.GetWithinMs())*time.Millisecond, peerLookupTimeout)
@@ -132,7 +134,7 @@
 	return resp, nil
 }
 
-// predecessorClient asks processes that led.
+// predecessorClient queries processes that led earlier tenures.
 type predecessorClient struct{ client *http.Client }
 
 var _ leader.Predecessors = (*predecessorClient)(nil)
@@ -144,21 +146,21 @@
 	if err != nil {
 		return leader.LeaseReport{}, err
 	}
-	said := leader.LeaseReport{Remaining: make([]time.Duration, len(r.GetLeftMs())), Remembered: r.GetRemembered()}
+	report := leader.LeaseReport{Remaining: make([]time.Duration, len(r.GetLeftMs())), Remembered: r.GetRemembered()}
 	for i, ms := range r.GetLeftMs() {
-		said.Remaining[i] = time.Duration(ms) * time.Millisecond
+		report.Remaining[i] = time.Duration(ms) * time.Millisecond
 	}
-	for _, c := range r.GetCrashes() {
-		said.Crashes = append(said.Crashes, scheduler.CrashReport{
-			Task: batch.TaskID{Job: c.GetJob(), Occurrence: int(c.GetOccurrence()), Step: int(c.GetStep()), Index: int(c.GetIndex())},
-			Run:  c.GetRun(), Kind: c.GetKind(), VM: c.GetVm(), Born: c.GetBorn(),
+	for _, crash := range r.GetCrashes() {
+		report.Crashes = append(report.Crashes, scheduler.CrashReport{
+			Task: batch.TaskID{Job: crash.GetJob(), Occurrence: int(crash.GetOccurrence()), Step: int(crash.GetStep()), Index: int(crash.GetIndex())},
+			Run:  crash.GetRun(), Kind: crash.GetKind(), VM: crash.GetVm(), Born: crash.GetBorn(),
 		})
 	}
-	return said, nil
+	return report, nil
 }
 
-// toTwirpError tells the asker whether anything may have been written: "unavailable"
-// says that nothing was.
+// toTwirpError converts a store error to a code that says whether anything may have been
+// written: Unavailable means that nothing was.
 func toTwirpError(err error) error {
 	if errors.Is(err, durable.ErrUnknown) || !errors.Is(err, durable.ErrRefused) {
 		return twirp.NewError(twirp.Unknown, err.Error())
@@ -166,14 +168,14 @@
 	return twirp.NewError(twirp.Unavailable, err.Error())
 }
 
-// leaderClient asks the leader, wherever it is.
+// leaderClient calls the leader, whether that is another process or this one.
 type leaderClient struct {
 	self     string
 	election interface{ Leader() (leader.Record, bool) }
 	local    *peerServer
 	client   *http.Client
 
-	// reachability is that of the leader.
+	// reachability is that of a remote leader.
 	reachability entry.Reachability
 
 	mu      sync.Mutex
@@ -183,7 +185,7 @@
 
 var _ entry.Peers = (*leaderClient)(nil)
 
-// errNoLeader: nobody is known to lead; nothing was asked.
+// errNoLeader is returned if no leader is known; nothing was sent.
 var errNoLeader = errors.Mark(errors.New("no leader is known"), durable.ErrRefused)
 
 func (p *leaderClient) leader() (scheduling.Scheduling, error) {
@@ -203,13 +205,13 @@
 	return p.remote, nil
 }
 
-// call makes one call to the leader and notes whether it answered. An error that
-// wraps durable.ErrRefused is certain not to have reached it.
-func (p *leaderClient) call(ctx context.Context, do func(ctx context.Context) error) error {
+// call makes one call to the leader and records whether it responded. An error that wraps
+// durable.ErrRefused is certain not to have reached the leader.
+func (p *leaderClient) call(ctx context.Context, send func(ctx context.Context) error) error {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	sentAt := steady.Now()
-	err := do(httptrace.WithClientTrace(ctx, trace))
+	err := send(httptrace.WithClientTrace(ctx, trace))
 	switch {
 	case isLeaderResponse(err):
 		p.reachability.RecordResponse()
@@ -223,8 +225,8 @@
 	}
 }
 
-// isLeaderResponse reports whether err came from the leader, as any answer does that has
-// one of the codes below.
+// isLeaderResponse reports whether err is a response from the leader: it is if it has one of
+// the codes below.
 func isLeaderResponse(err error) bool {
 	if err == nil {
 		return true
@@ -311,7 +313,8 @@
 	return err
 }
 
-// remoteLeader is the leader's way to the store; a leader has tried its own already.
+// remoteLeader returns the leader as a path to the store. It fails if this process leads, since
+// the leader has already tried its own path.
 func (p *leaderClient) remoteLeader() (scheduling.Scheduling, error) {
 	l, err := p.leader()
 	if err == nil && l == scheduling.Scheduling(p.local) {
@@ -320,7 +323,7 @@
 	return l, err
 }
 
-// toStoreError turns an answer of the leader into an outcome of the store.
+// toStoreError converts an error from the leader to a store error.
 func toStoreError(err error) error {
 	var te twirp.Error
 	if err == nil {
