--- a/internal/edge/configfetcher.go
+++ b/internal/edge/configfetcher.go
@@ -74,8 +74,8 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if sinceRead := p.config.sinceRead(); sinceRead < askPeersDelay && !woken {
-			wait, retry = askPeersDelay-sinceRead, minAskPeersInterval
+		if elapsed := p.config.sinceRead(); elapsed < askPeersDelay && !woken {
+			wait, retry = askPeersDelay-elapsed, minAskPeersInterval
 			continue
 		}
 		// A waiting caller needs a current confirmation, not one from a peer's last read; half
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -41,8 +41,8 @@
 	Peers      string
 	Operations string
 	// Metrics is an additional ip:port that serves only the metrics, "" for none. Its port is
-	// fixed, so that scrapers know it in advance; the other ports change. If it can't be bound,
-	// the process runs without it.
+	// fixed, so that scrapers can be configured in advance; the other ports change. If it can't
+	// be bound, the process runs without it.
 	Metrics string
 	// Processor is the VM's share of a processor core.
 	Processor float64
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -44,9 +44,9 @@
 
 func newMetricsEdge(t *testing.T, address string) (*Edge, *logBuffer) {
 	t.Helper()
-	log := &logBuffer{}
-	e := &Edge{settings: Settings{Metrics: address}, metrics: newMetrics((&leader.Leader{}).Stats), log: eventlog.New(log, logrus.InfoLevel)}
-	return e, log
+	buffer := &logBuffer{}
+	e := &Edge{settings: Settings{Metrics: address}, metrics: newMetrics((&leader.Leader{}).Stats), log: eventlog.New(buffer, logrus.InfoLevel)}
+	return e, buffer
 }
 
 // The metrics listener serves the metrics and nothing else.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
 // Package entry serves callers: it accepts jobs, reports their state and cancels them. A job is
-// in the durable store before its caller is told that it was accepted.
+// acknowledged to its caller only once it is in the durable store.
 package entry
 
 import (
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -218,19 +218,19 @@
 // Announcing every accepted job in full filled a third of a leader's narrow link with jobs that
 // its watch had already delivered. A job is announced only if the leader does not have it.
 func TestJobIsAnnouncedOnlyToALeaderThatDoesNotKnowIt(t *testing.T) {
-	for _, knowsJob := range []bool{true, false} {
-		leader := &recordingPeers{knowsJob: knowsJob, announced: make(chan []byte, 1)}
-		e := &Entry{Peers: leader}
+	for _, hasJob := range []bool{true, false} {
+		peers := &recordingPeers{knowsJob: hasJob, announced: make(chan []byte, 1)}
+		e := &Entry{Peers: peers}
 		e.announce(t.Context(), "j", []byte("record"))
 		select {
-		case record := <-leader.announced:
-			require.False(t, knowsJob)
+		case record := <-peers.announced:
+			require.False(t, hasJob)
 			require.Equal(t, "record", string(record))
 		case <-time.After(5 * announceDelay):
-			require.True(t, knowsJob)
+			require.True(t, hasJob)
 		}
 		e.announce(t.Context(), "j", nil)
-		require.Nil(t, <-leader.announced, "a cancellation is announced immediately")
+		require.Nil(t, <-peers.announced, "a cancellation is announced immediately")
 	}
 }
 
