--- a/internal/edge/operations.go
+++ b/internal/edge/operations.go
@@ -73,10 +73,10 @@
 			Name: "rattanwall_leader_delay_seconds", Help: "How long starts and reports waited within this process, and how long plans took.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 13),
 		}, []string{"of"}),
 		givenUp: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "rattanwall_leader_given_up_total", Help: "VMs, and runs without a reported end, that were declared lost, by reason.",
+			Name: "rattanwall_leader_given_up_total", Help: "VMs, and runs without a told end, that were given up, by reason.",
 		}, []string{"what", "reason"}),
 		ends: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "rattanwall_leader_ends_total", Help: "Run ends that VMs reported to this leader for the first time, by status.",
+			Name: "rattanwall_leader_ends_total", Help: "Ends of runs that VMs told this leader for the first time, by how they stood.",
 		}, []string{"standing"}),
 	}
 	for _, d := range leader.Delays {
@@ -202,7 +202,7 @@
 	mux.HandleFunc("GET /jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
 		explanation, ok := e.leader.Explain(r.PathValue("id"))
 		if !ok {
-			http.Error(w, "this process does not lead or has no such job; see leader in /dump", http.StatusNotFound)
+			http.Error(w, "this process does not lead, or does not know the job; see leader in /dump", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -89,10 +89,10 @@
 // at the former leader's address has no record of its leases.
 func (p *peerServer) LeasesLeft(_ context.Context, r *scheduling.LeasesLeftRequest) (*scheduling.LeasesLeftResponse, error) {
 	if r.GetNode() != p.node {
-		return nil, twirp.NotFoundError("this process is node " + p.node)
+		return nil, twirp.NotFoundError("this process is " + p.node)
 	}
 	if r.GetSuccessor() <= r.GetFence() {
-		return nil, twirp.InvalidArgumentError("successor", "must be greater than fence")
+		return nil, twirp.InvalidArgumentError("successor", "is not later than the tenure asked about")
 	}
 	p.election.EndTenuresBefore(r.GetSuccessor())
 	report := p.leader.LeasesLeft(r.GetFence(), r.GetVms())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -157,7 +157,7 @@
 func (e *Entry) Route(ctx context.Context, host, path string) (*batch.Queue, string, error) {
 	config := e.InForce()
 	if config == nil {
-		return nil, "", unavailableError("no configuration loaded yet", nil)
+		return nil, "", unavailableError("no configuration yet", nil)
 	}
 	if queue, rest := config.Match(host, path); queue != nil {
 		return queue, rest, nil
@@ -169,7 +169,7 @@
 	}
 	err := errkind.Newf(errkind.NotFound, "no such queue")
 	if age, ok := e.ConfirmedAge(); !ok || age > maxConfigPropagationDelay {
-		err = unavailableError("this process cannot confirm whether the queue exists", nil)
+		err = unavailableError("it is not known here whether there is such a queue", nil)
 	}
 	e.logUnknownQueue(host, path, config, err)
 	return nil, "", err
@@ -364,7 +364,7 @@
 		return state, nil
 	}
 	if !e.StoreReachable() {
-		return "", errkind.New(errkind.StoreUnavailable, "the job's state is unavailable to this process", errStoreUnresponsive)
+		return "", errkind.New(errkind.StoreUnavailable, "the job's state is not known here", errStoreUnresponsive)
 	}
 	readCtx, cancel := e.withTimeout(ctx, readTimeout)
 	defer cancel()
@@ -373,7 +373,7 @@
 
 func (e *Entry) storedState(ctx context.Context, id string) (batch.State, error) {
 	unavailable := func(err error) error {
-		return errkind.New(errkind.StoreUnavailable, "the job's state is unavailable to this process", err)
+		return errkind.New(errkind.StoreUnavailable, "the job's state is not known here", err)
 	}
 	items, _, err := e.Store.Range(ctx, leader.JobKey(id))
 	if err != nil {
@@ -418,7 +418,7 @@
 	defer cancel()
 	n, err := e.Peers.Waiting(ctx, queue.Name)
 	if err != nil {
-		return 0, errkind.New(errkind.NoOwner, "no leader responded", err)
+		return 0, errkind.New(errkind.NoOwner, "no leader answers", err)
 	}
 	return n, nil
 }
--- a/internal/relay/payloads.go
+++ b/internal/relay/payloads.go
@@ -200,7 +200,7 @@
 	compressed, err := compressPayload(text)
 	if err != nil {
 		s.Log.Warn("payload_not_served", err, eventlog.Fields{"job": job})
-		http.Error(w, "the payload cannot be compressed", http.StatusInternalServerError)
+		http.Error(w, "the payload can't be packed", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -50,7 +50,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocol {
 		w.Header().Set("Upgrade", protocol)
-		http.Error(w, "this path requires an upgrade to "+protocol, http.StatusUpgradeRequired)
+		http.Error(w, "this address takes streams of "+protocol, http.StatusUpgradeRequired)
 		return
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
@@ -76,10 +76,10 @@
 }
 
 // errSuperseded is returned if a leader with a higher fencing token has opened a stream.
-var errSuperseded = errors.New("a leader with a higher fencing token has opened a stream")
+var errSuperseded = errors.New("a later leader is served")
 
 // errClosed is returned after Server.Close.
-var errClosed = errors.New("the relay is closed")
+var errClosed = errors.New("this process carries no orders any more")
 
 // serve reads the hello of a stream and executes its orders until it ends.
 func (s *Server) serve(conn net.Conn, reader *bufio.Reader, compressed bool) {
@@ -283,7 +283,7 @@
 	}
 	for _, c := range m.Paces {
 		if stale {
-			st.refuse(c.Head.Call, "the order was too long in transit to the relay")
+			st.refuse(c.Head.Call, "it was too long under way to this relay")
 			continue
 		}
 		st.runVMCall(ctx, c.Head, func(ctx context.Context, vm *batch.Instance, _ *result) error {
@@ -292,7 +292,7 @@
 	}
 	for _, c := range m.Starts {
 		if stale {
-			st.refuse(c.Head.Call, "the order was too long in transit to the relay")
+			st.refuse(c.Head.Call, "it was too long under way to this relay")
 			continue
 		}
 		st.startTask(ctx, c)
@@ -346,7 +346,7 @@
 func (st *servedStream) runVMCall(ctx context.Context, head callHead, do func(context.Context, *batch.Instance, *result) error) {
 	vm := st.instances[head.VM]
 	if vm == nil {
-		st.refuse(head.Call, "the VM's number is unknown on this stream")
+		st.refuse(head.Call, "the stream has not named the VM")
 		return
 	}
 	st.runCall(ctx, head, func(ctx context.Context, r *result) error { return do(ctx, vm, r) })
