--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -118,7 +118,7 @@
 }
 
 // Reserve implements jobs.Cluster.
-func (c *Cluster) Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.Room) ([]vms.Attempt, error) {
+func (c *Cluster) Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.TaskRequirements) ([]vms.Attempt, error) {
 	if node == c.node {
 		return c.vms.Reserve(refs, room), nil
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -319,9 +319,9 @@
 	})
 	switch {
 	case nothingListens(err):
-		return ownership.PromiseDead
+		return ownership.PromiseNotListening
 	case err != nil:
-		return ownership.PromiseSilent
+		return ownership.PromiseNoResponse
 	case answer.Granted:
 		return ownership.PromiseGiven
 	}
@@ -341,7 +341,7 @@
 	case nothingListens(err):
 		return nil, ownership.OwnerStopped
 	}
-	return nil, ownership.OwnerSilent
+	return nil, ownership.OwnerNoResponse
 }
 
 // callError gives an error of a call to a peer its kind.
--- a/internal/cluster/server.go
+++ b/internal/cluster/server.go
@@ -58,7 +58,7 @@
 
 // Reserve implements pb.Peer.
 func (s Server) Reserve(_ context.Context, in *pb.ReserveRequest) (*pb.ReserveResponse, error) {
-	reserved := s.vms.Reserve(refsOf(in.Attempts), vms.Room{PerTask: resources(in.PerTask), Zones: in.Zones, Urgent: in.Urgent})
+	reserved := s.vms.Reserve(refsOf(in.Attempts), vms.TaskRequirements{PerTask: resources(in.PerTask), Zones: in.Zones, Urgent: in.Urgent})
 	return &pb.ReserveResponse{Attempts: toWire(reserved)}, nil
 }
 
--- a/internal/jobs/leader.go
+++ b/internal/jobs/leader.go
@@ -33,19 +33,19 @@
 	Owner(vm string) (node string, listed, known bool)
 	// FitsNowhere explains why a task can never run, or returns "".
 	FitsNowhere(spec model.JobSpec) string
-	Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.Room) ([]vms.Attempt, error)
+	Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.TaskRequirements) ([]vms.Attempt, error)
 	Start(ctx context.Context, node string, attempts []vms.Attempt, durationMS int64) ([]vms.Attempt, error)
 	Stop(ctx context.Context, node string, attempts []vms.Attempt, checkpoint bool) error
 	Audit(ctx context.Context, node string, attempts []vms.Attempt) (ended []vms.Attempt, notOwned []string, err error)
 }
 
 const (
-	// batchLimit bounds the commands committed with one entry.
-	batchLimit = 256
-	// planEvery is the longest time between two looks at the queue.
-	planEvery = 100 * time.Millisecond
-	// keepEnded is how many ended jobs a shard remembers.
-	keepEnded = 200
+	// maxBatch bounds the commands committed with one entry.
+	maxBatch = 256
+	// planInterval is the longest time between two looks at the queue.
+	planInterval = 100 * time.Millisecond
+	// maxEndedJobs is how many ended jobs a shard remembers.
+	maxEndedJobs = 200
 	// maxOpenTasks bounds the tasks of a shard's open jobs, so that its snapshot
 	// stays far below the store's largest value.
 	maxOpenTasks = 20_000
@@ -66,9 +66,9 @@
 	log     log
 	cluster Cluster
 	config  func() *config.Installed
-	// leads reports whether the node may still act for the shard.
-	leads  func() bool
-	logger *logrus.Entry
+	// isLeader reports whether the node may still act for the shard.
+	isLeader func() bool
+	logger   *logrus.Entry
 
 	commands chan command
 	stopped  chan struct{}
@@ -80,9 +80,9 @@
 
 func newLeader(shard, node string, store hosting.Store, cluster Cluster, cfg func() *config.Installed, leads func() bool, logger *logrus.Entry) *Leader {
 	l := &Leader{
-		shard: shard, node: node, cluster: cluster, config: cfg, leads: leads, logger: logger.WithField("shard", shard),
+		shard: shard, node: node, cluster: cluster, config: cfg, isLeader: leads, logger: logger.WithField("shard", shard),
 		log:      log{store: store, prefix: "jobs/" + shard + "/"},
-		commands: make(chan command, batchLimit), stopped: make(chan struct{}),
+		commands: make(chan command, maxBatch), stopped: make(chan struct{}),
 	}
 	l.planner = newPlanner(l)
 	return l
@@ -91,14 +91,14 @@
 // run leads the shard until ctx ends or another node has taken over.
 func (l *Leader) run(ctx context.Context) {
 	defer close(l.stopped)
-	if !l.begin(ctx) {
+	if !l.takeOver(ctx) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.logger.WithField("jobs", len(l.state.Jobs)).Info("leading job shard")
 	go l.planner.auditLoop(ctx)
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		var batch []command
@@ -106,7 +106,7 @@
 		case <-ctx.Done():
 			return
 		case c := <-l.commands:
-			batch = l.gather(c)
+			batch = l.collectBatch(c)
 		case <-ticker.C:
 		}
 		if err := l.process(ctx, batch); err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// begin reads the shard and writes the entry that shuts earlier leaders out.
-func (l *Leader) begin(ctx context.Context) bool {
+// takeOver reads the shard and writes the entry that shuts earlier leaders out.
+func (l *Leader) takeOver(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		state, err := l.log.load(ctx)
 		if err == nil {
@@ -135,15 +135,15 @@
 			return true
 		}
 		l.logger.WithError(err).Warn("job shard could not be taken up; trying again")
-		pause.For(ctx, commitPause)
+		pause.For(ctx, commitRetryDelay)
 	}
 	return false
 }
 
-// gather takes what else waits, so that it shares one entry.
-func (l *Leader) gather(first command) []command {
+// collectBatch takes what else waits, so that it shares one entry.
+func (l *Leader) collectBatch(first command) []command {
 	batch := []command{first}
-	for len(batch) < batchLimit {
+	for len(batch) < maxBatch {
 		select {
 		case c := <-l.commands:
 			batch = append(batch, c)
@@ -162,19 +162,19 @@
 	for _, c := range batch {
 		more, err := c.ops(l.state)
 		if err != nil || len(more) == 0 {
-			c.done(l.unwritten(err))
+			c.done(l.uncommittedResult(err))
 			continue
 		}
 		applied := l.applyAll(more)
 		ops = append(ops, applied...)
 		waiting = append(waiting, c)
 	}
-	for _, key := range l.state.Forgettable(keepEnded) {
+	for _, key := range l.state.Forgettable(maxEndedJobs) {
 		ops = append(ops, l.applyAll([]Op{{Kind: OpForget, Job: key}})...)
 	}
 	if len(ops) == 0 {
 		for _, c := range waiting {
-			c.done(l.unwritten(nil))
+			c.done(l.uncommittedResult(nil))
 		}
 		return nil
 	}
@@ -185,11 +185,11 @@
 	return err
 }
 
-// unwritten is the answer to a command for which nothing is committed. Only a commit
+// uncommittedResult is the answer to a command for which nothing is committed. Only a commit
 // shows that nobody else leads: without one a leader that was paused would say of an
 // end that it does not know that it is recorded, or of a job that there is none.
-func (l *Leader) unwritten(err error) error {
-	if !l.leads() {
+func (l *Leader) uncommittedResult(err error) error {
+	if !l.isLeader() {
 		return ErrSuperseded
 	}
 	return err
@@ -201,7 +201,7 @@
 	for _, op := range ops {
 		if err := l.state.Apply(op); err == nil {
 			applied = append(applied, op)
-			l.planner.noted(op)
+			l.planner.recordOp(op)
 		}
 	}
 	return applied
@@ -223,7 +223,7 @@
 			break
 		}
 		l.logger.WithError(err).Warn("snapshot of job shard failed; the ring is full, trying again")
-		pause.For(ctx, commitPause)
+		pause.For(ctx, commitRetryDelay)
 	}
 	return ctx.Err()
 }
@@ -337,7 +337,7 @@
 				continue
 			}
 			if current(s, key, index, a.Attempt) {
-				l.planner.heard(a.Ref, now)
+				l.planner.recordReport(a.Ref, now)
 			} else {
 				obsolete = append(obsolete, a.Ref)
 			}
--- a/internal/jobs/log.go
+++ b/internal/jobs/log.go
@@ -29,11 +29,11 @@
 // docs/design/003-jobs.md has the figures.
 const (
 	ringSize = 64
-	// snapshotMinBytes of entries are written before a snapshot is worth it.
-	snapshotMinBytes = 16 << 10
+	// minSnapshotBytes of entries are written before a snapshot is worth it.
+	minSnapshotBytes = 16 << 10
 	logCallTimeout   = 2 * time.Second
-	// commitPause is the least time between two tries of the same entry.
-	commitPause = 200 * time.Millisecond
+	// commitRetryDelay is the least time between two tries of the same entry.
+	commitRetryDelay = 200 * time.Millisecond
 )
 
 // entry is one element of the log.
@@ -61,13 +61,13 @@
 	snapRev  hosting.Revision
 	snapSize int
 	// pending counts the bytes of entries since the snapshot.
-	pending int
-	places  [ringSize]hosting.Revision
+	pending   int
+	revisions [ringSize]hosting.Revision
 }
 
 func (l *log) snapKey() string { return l.prefix + "snap" }
 
-func (l *log) placeKey(sequence int64) string {
+func (l *log) entryKey(sequence int64) string {
 	return fmt.Sprintf("%slog/%02d", l.prefix, sequence%ringSize)
 }
 
@@ -93,7 +93,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l.places[place] = e.Revision
+		l.revisions[place] = e.Revision
 		bySequence[one.Sequence] = one
 	}
 	return l.replay(snap, bySequence)
@@ -104,7 +104,7 @@
 		return one, 0, errors.Wrapf(err, "decode %s", e.Key)
 	}
 	place = one.Sequence % ringSize
-	if one.Sequence <= 0 || l.placeKey(one.Sequence) != e.Key {
+	if one.Sequence <= 0 || l.entryKey(one.Sequence) != e.Key {
 		return one, 0, errors.Newf("%s holds entry %d, which belongs elsewhere", e.Key, one.Sequence)
 	}
 	return one, place, nil
@@ -158,7 +158,7 @@
 		switch {
 		case err == nil:
 			l.sequence = e.Sequence
-			l.places[e.Sequence%ringSize] = rev
+			l.revisions[e.Sequence%ringSize] = rev
 			l.pending += len(value)
 			return nil
 		case errors.Is(err, ErrSuperseded):
@@ -166,7 +166,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
-		pause.For(ctx, commitPause)
+		pause.For(ctx, commitRetryDelay)
 	}
 }
 
@@ -175,7 +175,7 @@
 func (l *log) tryAppend(ctx context.Context, e entry, value []byte) (hosting.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
-	key, expect := l.placeKey(e.Sequence), l.places[e.Sequence%ringSize]
+	key, expect := l.entryKey(e.Sequence), l.revisions[e.Sequence%ringSize]
 	rev, err := l.store.Put(ctx, key, value, expect, "")
 	if err == nil || errors.Is(err, hosting.ErrUnavailable) {
 		return rev, err
@@ -197,18 +197,18 @@
 // snapshotDue reports whether the ring is nearly full of entries that the
 // snapshot lacks, or a snapshot costs no more than what it replaces.
 func (l *log) snapshotDue() bool {
-	return l.sequence-l.snapSeq >= ringSize-8 || l.pending > max(snapshotMinBytes, l.snapSize)
+	return l.sequence-l.snapSeq >= ringSize-8 || l.pending > max(minSnapshotBytes, l.snapSize)
 }
 
 // snapshotOverdue reports that the ring is full: no entry may be written before
 // the next snapshot, since it would overwrite one that is still needed.
 func (l *log) snapshotOverdue() bool { return l.sequence-l.snapSeq >= ringSize-1 }
 
-// otherSnapshot looks at a snapshot that is there in place of the one that was
+// resolveSnapshotConflict looks at a snapshot that is there in place of the one that was
 // written with err. One that goes no further is replaced by the next try: it is this
 // leader's own, whose answer was lost, or tells the same. Where another leader has
 // committed since, to replace it would bring an old state back.
-func (l *log) otherSnapshot(found hosting.Entry, err error) error {
+func (l *log) resolveSnapshotConflict(found hosting.Entry, err error) error {
 	var snap snapshot
 	if decodeErr := cbor.Unmarshal(found.Value, &snap); decodeErr != nil {
 		return errors.Wrapf(decodeErr, "decode %s", found.Key)
@@ -236,7 +236,7 @@
 			return err
 		}
 		if string(found.Value) != string(value) {
-			return l.otherSnapshot(found, err)
+			return l.resolveSnapshotConflict(found, err)
 		}
 		rev = found.Revision
 	}
--- a/internal/jobs/log_test.go
+++ b/internal/jobs/log_test.go
@@ -18,14 +18,14 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// lossy is a store that loses answers: of writes that took effect, and of
+// lossyStore is a store that loses answers: of writes that took effect, and of
 // writes that did not.
-type lossy struct {
+type lossyStore struct {
 	hosting.Store
 	rng *rand.Rand
 }
 
-func (l lossy) Put(ctx context.Context, key string, value []byte, expect hosting.Revision, lease hosting.LeaseID) (hosting.Revision, error) {
+func (l lossyStore) Put(ctx context.Context, key string, value []byte, expect hosting.Revision, lease hosting.LeaseID) (hosting.Revision, error) {
 	switch l.rng.IntN(3) {
 	case 0:
 		_, _ = l.Store.Put(ctx, key, value, expect, lease)
@@ -44,9 +44,9 @@
 	return model.JobSpec{ID: id, Team: "t", Tasks: tasks, PerTask: model.Resources{MilliCPU: 1}}
 }
 
-// naive is a scheduler's record kept in the plainest way: for each task its
+// referenceRecord is a scheduler's record kept in the plainest way: for each task its
 // attempts and their ends, in a map.
-type naive struct {
+type referenceRecord struct {
 	current  map[string]int64
 	placed   map[string]bool
 	finished map[string]int
@@ -61,11 +61,11 @@
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			store := lossy{newStore(), rng}
+			store := lossyStore{newStore(), rng}
 			l := newLog(store)
 			state, err := l.load(t.Context())
 			require.NoError(t, err)
-			n := naive{map[string]int64{}, map[string]bool{}, map[string]int{}}
+			n := referenceRecord{map[string]int64{}, map[string]bool{}, map[string]int{}}
 			for step := range 1200 {
 				ops := commitRandom(t, rng, state, n, step)
 				require.NoError(t, l.append(t.Context(), ops))
@@ -80,7 +80,7 @@
 					require.NoError(t, err)
 				}
 			}
-			compare(t, state, n)
+			requireSameRecord(t, state, n)
 		})
 	}
 }
@@ -89,7 +89,7 @@
 
 // commitRandom applies a random operation to the state and, by its own simpler
 // rules, to the naive record; both must agree on whether it fits.
-func commitRandom(t *testing.T, rng *rand.Rand, s *State, n naive, step int) []Op {
+func commitRandom(t *testing.T, rng *rand.Rand, s *State, n referenceRecord, step int) []Op {
 	if step < differentialJobs {
 		sp := spec(fmt.Sprintf("j%d", step), differentialTasks)
 		op := Op{Kind: OpSubmit, Spec: &sp}
@@ -124,7 +124,7 @@
 	return []Op{op}
 }
 
-func compare(t *testing.T, s *State, n naive) {
+func requireSameRecord(t *testing.T, s *State, n referenceRecord) {
 	done := int64(0)
 	for key, j := range s.Jobs {
 		for i, task := range j.Tasks {
@@ -190,7 +190,7 @@
 	f.Fuzz(func(t *testing.T, entryBytes, snapBytes []byte) {
 		store := newStore()
 		l := newLog(store)
-		_, _ = store.Put(t.Context(), l.placeKey(1), entryBytes, 0, "")
+		_, _ = store.Put(t.Context(), l.entryKey(1), entryBytes, 0, "")
 		_, _ = store.Put(t.Context(), l.snapKey(), snapBytes, 0, "")
 		state, err := l.load(t.Context())
 		if err == nil {
--- a/internal/jobs/planner.go
+++ b/internal/jobs/planner.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// reserveBatch bounds the tasks of one request for room.
-	reserveBatch = 32
-	// reservingLimit bounds the requests for room under way.
-	reservingLimit = 4
-	// noRoomPause keeps a node unasked after it had no room.
-	noRoomPause = 200 * time.Millisecond
+	// maxReserveBatch bounds the tasks of one request for room.
+	maxReserveBatch = 32
+	// maxPendingReservations bounds the requests for room under way.
+	maxPendingReservations = 4
+	// noCapacityDelay keeps a node unasked after it had no room.
+	noCapacityDelay = 200 * time.Millisecond
 	// callTimeout bounds one call to a peer.
 	callTimeout = 5 * time.Second
-	// auditEvery is how often attempts not heard of are asked for.
-	auditEvery = 3 * time.Second
-	// heardWithin is how long an attempt may go unreported before it is asked for:
+	// auditInterval is how often attempts not heard of are asked for.
+	auditInterval = 3 * time.Second
+	// reportTimeout is how long an attempt may go unreported before it is asked for:
 	// two reports may be missed.
-	heardWithin = 75 * time.Second
-	// placedWithin is how long after its commitment an attempt is asked for first:
+	reportTimeout = 75 * time.Second
+	// firstAuditDelay is how long after its commitment an attempt is asked for first:
 	// its start may have been lost.
-	placedWithin = 6 * time.Second
-	// unlistedLimit is how long an attempt on a VM that the platform no longer
+	firstAuditDelay = 6 * time.Second
+	// unlistedTimeout is how long an attempt on a VM that the platform no longer
 	// lists counts as running: longer than any lease and any owner's fence.
-	unlistedLimit = 60 * time.Second
+	unlistedTimeout = 60 * time.Second
 	// failureBackoff is doubled with each failure of a task, up to maxBackoff.
 	failureBackoff = 500 * time.Millisecond
 	maxBackoff     = 30 * time.Second
@@ -44,19 +44,19 @@
 type planner struct {
 	leader *Leader
 
-	mu        sync.Mutex
-	reserving map[worker.Ref]bool
-	underway  int
-	noRoom    map[string]time.Time
-	notBefore map[string]time.Time
-	lastHeard map[worker.Ref]time.Time
-	unlisted  map[worker.Ref]time.Time
+	mu                  sync.Mutex
+	reserving           map[worker.Ref]bool
+	pendingReservations int
+	noCapacityUntil     map[string]time.Time
+	notBefore           map[string]time.Time
+	lastReport          map[worker.Ref]time.Time
+	unlistedSince       map[worker.Ref]time.Time
 }
 
 func newPlanner(l *Leader) *planner {
 	return &planner{
-		leader: l, reserving: map[worker.Ref]bool{}, noRoom: map[string]time.Time{},
-		notBefore: map[string]time.Time{}, lastHeard: map[worker.Ref]time.Time{}, unlisted: map[worker.Ref]time.Time{},
+		leader: l, reserving: map[worker.Ref]bool{}, noCapacityUntil: map[string]time.Time{},
+		notBefore: map[string]time.Time{}, lastReport: map[worker.Ref]time.Time{}, unlistedSince: map[worker.Ref]time.Time{},
 	}
 }
 
@@ -82,24 +82,24 @@
 	for key, j := range s.Jobs {
 		for i, t := range j.Tasks {
 			if t.State == Placed {
-				p.lastHeard[attemptOf(key, i, t).Ref] = now.Add(-heardWithin)
+				p.lastReport[attemptOf(key, i, t).Ref] = now.Add(-reportTimeout)
 			}
 		}
 	}
 }
 
-// noted takes up the effect of an applied operation.
-func (p *planner) noted(op Op) {
+// recordOp takes up the effect of an applied operation.
+func (p *planner) recordOp(op Op) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	task := taskName(op.Job, op.Index)
 	ref := worker.Ref{Task: task, Attempt: op.Attempt}
 	switch op.Kind {
 	case OpPlace:
-		p.lastHeard[ref] = time.Now().Add(placedWithin - heardWithin)
+		p.lastReport[ref] = time.Now().Add(firstAuditDelay - reportTimeout)
 	case OpEnd:
-		delete(p.lastHeard, ref)
-		delete(p.unlisted, ref)
+		delete(p.lastReport, ref)
+		delete(p.unlistedSince, ref)
 		if op.End == vms.EndFailed {
 			j := p.leader.state.Jobs[op.Job]
 			backoff := min(failureBackoff<<min(j.Tasks[op.Index].Failures, 8), maxBackoff)
@@ -110,10 +110,10 @@
 	}
 }
 
-func (p *planner) heard(ref worker.Ref, now time.Time) {
+func (p *planner) recordReport(ref worker.Ref, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lastHeard[ref] = now
+	p.lastReport[ref] = now
 }
 
 // plan asks for room for queued tasks, urgent jobs first, each team within its
@@ -121,7 +121,7 @@
 func (p *planner) plan(ctx context.Context, s *State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.underway >= reservingLimit {
+	if p.pendingReservations >= maxPendingReservations {
 		return
 	}
 	var usage map[string]model.Resources
@@ -144,10 +144,10 @@
 		for _, ref := range refs {
 			p.reserving[ref] = true
 		}
-		p.underway++
+		p.pendingReservations++
 		checkpoints := checkpointsOf(j, refs)
 		go p.place(ctx, node, j.Spec, refs, checkpoints)
-		if p.underway >= reservingLimit {
+		if p.pendingReservations >= maxPendingReservations {
 			return
 		}
 	}
@@ -157,7 +157,7 @@
 func (p *planner) withinQuota(j *Job, usage map[string]model.Resources) int {
 	quota := p.leader.config().Document.Teams[j.Spec.Team].Quota
 	used, need := usage[j.Spec.Team], j.Spec.PerTask
-	n := int64(reserveBatch)
+	n := int64(maxReserveBatch)
 	bound := func(quota, used, need int64) {
 		if quota > 0 && need > 0 {
 			n = min(n, max(quota-used, 0)/need)
@@ -201,7 +201,7 @@
 	var total int64
 	var picked string
 	for _, o := range p.leader.cluster.Offers() {
-		if now.Before(p.noRoom[o.Node]) || !spec.PerTask.FitsIn(o.Free) || !model.InZones(spec.Zones, o.Zone) {
+		if now.Before(p.noCapacityUntil[o.Node]) || !spec.PerTask.FitsIn(o.Free) || !model.InZones(spec.Zones, o.Zone) {
 			continue
 		}
 		weight := max(o.Free.MilliCPU, 1)
@@ -221,17 +221,17 @@
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.underway--
+		p.pendingReservations--
 		for _, ref := range refs {
 			delete(p.reserving, ref)
 		}
 	}()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reserved, err := p.leader.cluster.Reserve(callCtx, node, refs, vms.Room{PerTask: spec.PerTask, Zones: spec.Zones, Urgent: spec.Urgent})
+	reserved, err := p.leader.cluster.Reserve(callCtx, node, refs, vms.TaskRequirements{PerTask: spec.PerTask, Zones: spec.Zones, Urgent: spec.Urgent})
 	if err != nil || len(reserved) < len(refs) {
 		p.mu.Lock()
-		p.noRoom[node] = time.Now().Add(noRoomPause)
+		p.noCapacityUntil[node] = time.Now().Add(noCapacityDelay)
 		p.mu.Unlock()
 	}
 	if err != nil || len(reserved) == 0 {
@@ -309,9 +309,9 @@
 // auditLoop asks for the attempts that were not heard of. It finds those whose
 // start was lost, whose VM's owner died, or whose VM is gone.
 func (p *planner) auditLoop(ctx context.Context) {
-	pause.Every(ctx, auditEvery, func() {
+	pause.Every(ctx, auditInterval, func() {
 		var unheard []vms.Attempt
-		if p.leader.Read(ctx, func(s *State) { unheard = p.unheard(s, time.Now()) }) != nil {
+		if p.leader.Read(ctx, func(s *State) { unheard = p.unreported(s, time.Now()) }) != nil {
 			// The shard's leadership ended, and with it ctx.
 			return
 		}
@@ -338,22 +338,22 @@
 	now := time.Now()
 	for _, a := range list {
 		if !unknown[a.VM] {
-			p.heard(a.Ref, now)
+			p.recordReport(a.Ref, now)
 		}
 	}
 	for _, a := range ended {
-		p.forgetHeard(a.Ref)
+		p.forgetReport(a.Ref)
 	}
 }
 
-func (p *planner) forgetHeard(ref worker.Ref) {
+func (p *planner) forgetReport(ref worker.Ref) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.lastHeard, ref)
+	delete(p.lastReport, ref)
 }
 
-// unheard lists the placed attempts that were not reported lately.
-func (p *planner) unheard(s *State, now time.Time) []vms.Attempt {
+// unreported lists the placed attempts that were not reported lately.
+func (p *planner) unreported(s *State, now time.Time) []vms.Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []vms.Attempt
@@ -366,7 +366,7 @@
 				continue
 			}
 			a := attemptOf(key, i, t)
-			if now.Sub(p.lastHeard[a.Ref]) >= heardWithin {
+			if now.Sub(p.lastReport[a.Ref]) >= reportTimeout {
 				list = append(list, a)
 			}
 		}
@@ -387,13 +387,13 @@
 		case known:
 			byNode[node] = append(byNode[node], a)
 		case listed:
-		case p.unlisted[a.Ref].IsZero():
-			p.unlisted[a.Ref] = now
-		case now.Sub(p.unlisted[a.Ref]) > unlistedLimit:
+		case p.unlistedSince[a.Ref].IsZero():
+			p.unlistedSince[a.Ref] = now
+		case now.Sub(p.unlistedSince[a.Ref]) > unlistedTimeout:
 			gone = append(gone, a)
 		}
 		if listed {
-			delete(p.unlisted, a.Ref)
+			delete(p.unlistedSince, a.Ref)
 		}
 	}
 	return byNode, gone
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -19,9 +19,9 @@
 
 const (
 	// shardCount is the same at all nodes of a deployment, for good.
-	shardCount  = 24
-	shardPrefix = "jobs/"
-	syncEvery   = 500 * time.Millisecond
+	shardCount   = 24
+	shardPrefix  = "jobs/"
+	syncInterval = 500 * time.Millisecond
 )
 
 // Shards returns the ownership shards of job records. Any node may lead one.
@@ -54,12 +54,12 @@
 	config    func() *config.Installed
 	logger    *logrus.Entry
 
-	mu      sync.Mutex
-	leaders map[string]*running
-	synced  chan struct{}
+	mu           sync.Mutex
+	leaders      map[string]*runningLeader
+	syncRequests chan struct{}
 }
 
-type running struct {
+type runningLeader struct {
 	leader *Leader
 	epoch  int64
 	cancel context.CancelFunc
@@ -69,28 +69,28 @@
 func NewService(node string, store hosting.Store, own vms.Ownership, cluster Cluster, cfg func() *config.Installed, logger *logrus.Entry) *Service {
 	return &Service{
 		node: node, store: store, ownership: own, cluster: cluster, config: cfg, logger: logger,
-		leaders: map[string]*running{}, synced: make(chan struct{}, 1),
+		leaders: map[string]*runningLeader{}, syncRequests: make(chan struct{}, 1),
 	}
 }
 
 // Sync asks for a look at who owns what; it does not wait for it.
 func (s *Service) Sync() {
 	select {
-	case s.synced <- struct{}{}:
+	case s.syncRequests <- struct{}{}:
 	default:
 	}
 }
 
 // Serve implements suture.Service.
 func (s *Service) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(syncEvery)
+	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
 	for {
 		s.sync(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.synced:
+		case <-s.syncRequests:
 		case <-ticker.C:
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (s *Service) start(ctx context.Context, shard string, epoch int64) *running {
+func (s *Service) start(ctx context.Context, shard string, epoch int64) *runningLeader {
 	ctx, cancel := context.WithCancel(ctx)
 	short := strings.TrimPrefix(shard, shardPrefix)
 	leads := func() bool {
@@ -122,10 +122,10 @@
 	}
 	l := newLeader(short, s.node, s.store, s.cluster, s.config, leads, s.logger)
 	go l.run(ctx)
-	return &running{leader: l, epoch: epoch, cancel: cancel}
+	return &runningLeader{leader: l, epoch: epoch, cancel: cancel}
 }
 
-func (r *running) ended() bool {
+func (r *runningLeader) ended() bool {
 	select {
 	case <-r.leader.stopped:
 		return true
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -66,7 +66,7 @@
 	// Order is the job's place among the shard's submissions.
 	Order int64 `cbor:"6,keyasint"`
 
-	final int
+	finalTasks int
 }
 
 // Key names the job across teams: team/id.
@@ -126,8 +126,8 @@
 	Jobs map[string]*Job `cbor:"1,keyasint"`
 	// Totals count what has ended, for good, jobs forgotten included.
 	Totals Totals `cbor:"2,keyasint"`
-	// Orders counts the submissions.
-	Orders int64 `cbor:"3,keyasint"`
+	// Submissions counts the submissions.
+	Submissions int64 `cbor:"3,keyasint"`
 }
 
 // Totals of a shard since its beginning.
@@ -156,10 +156,10 @@
 		s.Jobs = map[string]*Job{}
 	}
 	for _, j := range s.Jobs {
-		j.final = 0
+		j.finalTasks = 0
 		for _, t := range j.Tasks {
 			if t.State.Final() {
-				j.final++
+				j.finalTasks++
 			}
 		}
 	}
@@ -198,8 +198,8 @@
 	if s.Jobs[key] != nil {
 		return ErrExists
 	}
-	s.Orders++
-	s.Jobs[key] = &Job{Spec: *op.Spec, SubmittedMS: op.AtMS, Tasks: make([]Task, op.Spec.Tasks), Order: s.Orders}
+	s.Submissions++
+	s.Jobs[key] = &Job{Spec: *op.Spec, SubmittedMS: op.AtMS, Tasks: make([]Task, op.Spec.Tasks), Order: s.Submissions}
 	return nil
 }
 
@@ -274,8 +274,8 @@
 	case Cancelled:
 		s.Totals.Cancelled++
 	}
-	j.final++
-	if j.final == len(j.Tasks) {
+	j.finalTasks++
+	if j.finalTasks == len(j.Tasks) {
 		j.EndedMS = max(atMS, 1)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -16,26 +16,26 @@
 
 // Keys in the store. One prefix holds both kinds, so that one watch sees both.
 const (
-	prefix     = "members/"
-	nodePrefix = prefix + "node/"
-	ownPrefix  = prefix + "own/"
+	prefix      = "members/"
+	nodePrefix  = prefix + "node/"
+	ownerPrefix = prefix + "own/"
 )
 
 const (
-	// planEvery is how often the machine is asked what to do.
-	planEvery = 200 * time.Millisecond
+	// planInterval is how often the machine is asked what to do.
+	planInterval = 200 * time.Millisecond
 	// callTimeout bounds one call to the store or a peer, so that a hanging call
 	// cannot outlast the fence that it is meant to renew.
 	callTimeout = 1200 * time.Millisecond
-	// watchPause is the least time between two failed watches.
-	watchPause = 300 * time.Millisecond
-	// watchWait is short, because a watch may go silent and only its timeout
+	// watchRetryDelay is the least time between two failed watches.
+	watchRetryDelay = 300 * time.Millisecond
+	// watchTimeout is short, because a watch may go silent and only its timeout
 	// shows it.
-	watchWait = 3 * time.Second
+	watchTimeout = 3 * time.Second
 )
 
-// Promiser asks other nodes what the decisions of package ownership need.
-type Promiser interface {
+// PeerClient asks other nodes what the decisions of package ownership need.
+type PeerClient interface {
 	// AskPromise asks a peer not to take over this node's VMs for a time.
 	AskPromise(ctx context.Context, peer, self ownership.Node, d time.Duration) ownership.PromiseState
 	// AskOwner asks for which of the shards an owner still acts; state is
@@ -46,28 +46,28 @@
 // Membership is the service that runs one node's Machine.
 type Membership struct {
 	store  hosting.Store
-	peers  Promiser
+	peers  PeerClient
 	timing ownership.Timing
 	log    *logrus.Entry
 
-	mu       sync.Mutex
-	machine  *ownership.Machine
-	lease    hosting.LeaseID
-	nodeRev  hosting.Revision
-	entries  map[string]hosting.Entry
-	revision hosting.Revision
-	listed   bool
-	onChange []func()
-	planNow  chan struct{}
-	drained  bool
+	mu           sync.Mutex
+	machine      *ownership.Machine
+	lease        hosting.LeaseID
+	nodeRev      hosting.Revision
+	entries      map[string]hosting.Entry
+	revision     hosting.Revision
+	listed       bool
+	onChange     []func()
+	planRequests chan struct{}
+	hasLeft      bool
 }
 
 // New returns the membership of a node; Serve runs it.
-func New(self ownership.Node, timing ownership.Timing, store hosting.Store, peers Promiser, log *logrus.Entry) *Membership {
+func New(self ownership.Node, timing ownership.Timing, store hosting.Store, peers PeerClient, log *logrus.Entry) *Membership {
 	return &Membership{
 		store: store, peers: peers, timing: timing, log: log,
 		machine: ownership.New(self, timing, time.Now()),
-		entries: map[string]hosting.Entry{}, planNow: make(chan struct{}, 1),
+		entries: map[string]hosting.Entry{}, planRequests: make(chan struct{}, 1),
 	}
 }
 
@@ -94,7 +94,7 @@
 	m.mu.Lock()
 	m.machine.SetShards(shards)
 	m.mu.Unlock()
-	m.wake()
+	m.requestPlan()
 }
 
 // Epoch returns the epoch under which this node may act for a shard right now.
@@ -140,7 +140,7 @@
 func (m *Membership) Promise(node string, d time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.machine.Promise(node, min(d, m.timing.PromiseFor), time.Now())
+	return m.machine.Promise(node, min(d, m.timing.PromiseDuration), time.Now())
 }
 
 // StoreReachable reports whether the store answered last.
@@ -155,13 +155,13 @@
 	m.mu.Lock()
 	m.machine.Drain()
 	m.mu.Unlock()
-	if m.publish(ctx) != nil {
+	if m.publishNode(ctx) != nil {
 		return
 	}
-	ticker := time.NewTicker(planEvery / 4)
+	ticker := time.NewTicker(planInterval / 4)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		m.wake()
+		m.requestPlan()
 		m.mu.Lock()
 		left := len(m.machine.Owned(time.Now()))
 		m.mu.Unlock()
@@ -179,21 +179,21 @@
 func (m *Membership) Leave(ctx context.Context) {
 	m.mu.Lock()
 	lease := m.lease
-	m.drained = true
+	m.hasLeft = true
 	m.mu.Unlock()
 	if lease != "" {
 		_ = m.store.Revoke(ctx, lease)
 	}
 }
 
-func (m *Membership) wake() {
+func (m *Membership) requestPlan() {
 	select {
-	case m.planNow <- struct{}{}:
+	case m.planRequests <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Membership) changed() {
+func (m *Membership) notifyChange() {
 	for _, f := range m.onChange {
 		f()
 	}
@@ -204,7 +204,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	until, extended := m.machine.Until()
+	until, extended := m.machine.MayActUntil()
 	return map[string]any{
 		"self": m.machine.Self(), "store_reachable": m.machine.StoreReachable(),
 		"may_act_for_ms": until.Sub(now).Milliseconds(), "by_promises": extended,
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -14,14 +14,14 @@
 
 // planLoop asks the machine what to do and does it.
 func (m *Membership) planLoop(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.planNow:
+		case <-m.planRequests:
 		}
 		m.mu.Lock()
 		var actions []ownership.Action
@@ -43,7 +43,7 @@
 			asked.Add(1)
 			go func() {
 				defer asked.Done()
-				m.ask(ctx, a.Peer)
+				m.askPromise(ctx, a.Peer)
 			}()
 		case ownership.AskOwner:
 			asked.Add(1)
@@ -79,9 +79,9 @@
 	if a.Kind == ownership.Release {
 		// Stop acting before others may start.
 		m.forget(a.Shard)
-		m.changed()
+		m.notifyChange()
 	}
-	key := ownPrefix + a.Shard
+	key := ownerPrefix + a.Shard
 	rev, err := m.store.Put(ctx, key, value, hosting.Revision(a.Expect), "")
 	written := hosting.Entry{Key: key, Value: value, Revision: rev}
 	if err != nil {
@@ -97,25 +97,25 @@
 		m.rebuildView()
 	}
 	m.mu.Unlock()
-	m.changed()
+	m.notifyChange()
 }
 
 // forget drops a shard's record from the view until the store shows it again.
 func (m *Membership) forget(shard string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.entries, ownPrefix+shard)
+	delete(m.entries, ownerPrefix+shard)
 	m.rebuildView()
 }
 
-func (m *Membership) ask(ctx context.Context, peer ownership.Node) {
+func (m *Membership) askPromise(ctx context.Context, peer ownership.Node) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	askedAt := time.Now()
-	state := m.peers.AskPromise(ctx, peer, m.Self(), m.timing.PromiseFor)
+	state := m.peers.AskPromise(ctx, peer, m.Self(), m.timing.PromiseDuration)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.machine.PromiseAnswer(peer.ID, state, askedAt)
+	m.machine.RecordPromiseState(peer.ID, state, askedAt)
 }
 
 func (m *Membership) askOwner(ctx context.Context, a ownership.Action) {
@@ -133,9 +133,9 @@
 		if acts[shard] {
 			answer = ownership.OwnerActs
 		}
-		m.machine.OwnerAnswer(shard, answer, time.Now())
+		m.machine.RecordOwnerState(shard, answer, time.Now())
 	}
 	if len(acts) == 0 && state == ownership.OwnerStopped {
-		m.wake()
+		m.requestPlan()
 	}
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -14,7 +14,7 @@
 
 // renewLoop keeps the session's lease.
 func (m *Membership) renewLoop(ctx context.Context) {
-	ticker := time.NewTicker(m.timing.RenewEvery)
+	ticker := time.NewTicker(m.timing.RenewInterval)
 	defer ticker.Stop()
 	for {
 		m.renew(ctx)
@@ -30,13 +30,13 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mu.Lock()
-	lease, session, drained := m.lease, m.machine.Self().Session, m.drained
+	lease, session, drained := m.lease, m.machine.Self().Session, m.hasLeft
 	m.mu.Unlock()
 	if drained {
 		return
 	}
 	if lease == "" {
-		m.open(ctx)
+		m.openSession(ctx)
 		return
 	}
 	sentAt := time.Now()
@@ -55,8 +55,8 @@
 	}
 }
 
-// open starts a session: a lease, then the node's record bound to it.
-func (m *Membership) open(ctx context.Context) {
+// openSession starts a session: a lease, then the node's record bound to it.
+func (m *Membership) openSession(ctx context.Context) {
 	sentAt := time.Now()
 	lease, err := m.store.Grant(ctx, m.timing.TTL)
 	if err != nil {
@@ -80,11 +80,11 @@
 	m.lease, m.nodeRev = lease, rev
 	m.machine.Renewed(session, sentAt)
 	m.mu.Unlock()
-	m.wake()
+	m.requestPlan()
 }
 
-// publish writes the node's record anew under the present session.
-func (m *Membership) publish(ctx context.Context) error {
+// publishNode writes the node's record anew under the present session.
+func (m *Membership) publishNode(ctx context.Context) error {
 	m.mu.Lock()
 	self, lease := m.machine.Self(), m.lease
 	m.mu.Unlock()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -18,7 +18,7 @@
 			m.mu.Lock()
 			m.listed = false
 			m.mu.Unlock()
-			pause.For(ctx, watchPause)
+			pause.For(ctx, watchRetryDelay)
 		}
 	}
 }
@@ -37,13 +37,13 @@
 		m.install(entries, rev)
 		return nil
 	}
-	events, rev, err := m.store.Watch(ctx, prefix, after, watchWait)
+	events, rev, err := m.store.Watch(ctx, prefix, after, watchTimeout)
 	if err != nil {
 		return err
 	}
 	if !m.apply(events, rev) && len(events) > 0 {
 		// A watch that replays what is known answers at once, again and again.
-		pause.For(ctx, watchPause)
+		pause.For(ctx, watchRetryDelay)
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	m.listed = true
 	m.rebuildView()
 	m.mu.Unlock()
-	m.changed()
-	m.wake()
+	m.notifyChange()
+	m.requestPlan()
 }
 
 // apply adds events to the view and reports whether any was new. Events of
@@ -88,8 +88,8 @@
 	}
 	m.mu.Unlock()
 	if changed {
-		m.changed()
-		m.wake()
+		m.notifyChange()
+		m.requestPlan()
 	}
 	return changed
 }
@@ -104,7 +104,7 @@
 				v.Nodes[id] = n
 			}
 		}
-		if shard, ok := strings.CutPrefix(key, ownPrefix); ok {
+		if shard, ok := strings.CutPrefix(key, ownerPrefix); ok {
 			var o ownership.Owner
 			if json.Unmarshal(e.Value, &o) == nil {
 				o.Epoch = int64(e.Revision)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,15 +107,15 @@
 	ttl := time.Duration(l.SessionMS) * time.Millisecond
 	scale := func(d time.Duration) time.Duration { return time.Duration(float64(d) * float64(ttl) / float64(t.TTL)) }
 	return ownership.Timing{
-		TTL: ttl, RenewEvery: scale(t.RenewEvery), FenceMargin: scale(t.FenceMargin),
-		PromiseFor: scale(t.PromiseFor), Quiet: scale(t.Quiet), HandOverEvery: t.HandOverEvery,
+		TTL: ttl, RenewInterval: scale(t.RenewInterval), FenceMargin: scale(t.FenceMargin),
+		PromiseDuration: scale(t.PromiseDuration), QuietPeriod: scale(t.QuietPeriod), HandOverInterval: t.HandOverInterval,
 	}
 }
 
 func taskTiming(l settings.Leases) vms.Timing {
 	t := vms.DefaultTiming()
 	lease := time.Duration(l.TaskMS) * time.Millisecond
-	return vms.Timing{Lease: lease, RenewEvery: lease / 3, CheckpointEvery: t.CheckpointEvery, DoubtFor: t.DoubtFor}
+	return vms.Timing{Lease: lease, RenewInterval: lease / 3, CheckpointInterval: t.CheckpointInterval, UnreachableGrace: t.UnreachableGrace}
 }
 
 // Run serves until ctx ends, then stops in order: see drain.
--- a/internal/ownership/explore_test.go
+++ b/internal/ownership/explore_test.go
@@ -26,7 +26,7 @@
 const tick = time.Second
 
 // exploreTiming is small, in ticks, with the proportions of DefaultTiming.
-var exploreTiming = Timing{TTL: 4 * tick, RenewEvery: tick, FenceMargin: tick, PromiseFor: 3 * tick, Quiet: 4 * tick}
+var exploreTiming = Timing{TTL: 4 * tick, RenewInterval: tick, FenceMargin: tick, PromiseDuration: 3 * tick, QuietPeriod: 4 * tick}
 
 // bounds limit the search; breaks make the world worse than the design allows.
 type bounds struct {
@@ -37,11 +37,11 @@
 	slowClock bool
 	// noCondition makes the store write without comparing revisions.
 	noCondition bool
-	// earlyLapse makes the store end leases after half their time.
-	earlyLapse bool
-	// cut makes an owner that is asked look stopped, as when nodes of a zone are
+	// earlyExpiry makes the store end leases after half their time.
+	earlyExpiry bool
+	// partitioned makes an owner that is asked look stopped, as when nodes of a zone are
 	// cut off from each other: the open case of docs/design/002-ownership.md.
-	cut bool
+	partitioned bool
 }
 
 // world is one state of the search.
@@ -64,7 +64,7 @@
 
 func nodeID(i int) string { return string(rune('a' + i)) }
 
-func (b bounds) local(w *world, i int) time.Time {
+func (b bounds) localTime(w *world, i int) time.Time {
 	n := w.now
 	if b.slowClock && i == 0 {
 		n = n * 3 / 4
@@ -73,7 +73,7 @@
 }
 
 func (b bounds) machine(w *world, i int) *Machine {
-	m := New(Node{ID: nodeID(i), Zone: "z", PeerAddress: nodeID(i)}, b.timing, b.local(w, i))
+	m := New(Node{ID: nodeID(i), Zone: "z", PeerAddress: nodeID(i)}, b.timing, b.localTime(w, i))
 	m.SetShards([]Shard{exploreShard})
 	return m
 }
@@ -90,7 +90,7 @@
 	c := *w
 	for i, m := range w.nodes {
 		n := *m
-		n.given, n.got, n.lost, n.asked = maps.Clone(m.given), maps.Clone(m.got), maps.Clone(m.lost), maps.Clone(m.asked)
+		n.promisesGiven, n.promisesReceived, n.retained, n.inquiries = maps.Clone(m.promisesGiven), maps.Clone(m.promisesReceived), maps.Clone(m.retained), maps.Clone(m.inquiries)
 		n.view = View{Nodes: maps.Clone(m.view.Nodes), Owners: maps.Clone(m.view.Owners)}
 		c.nodes[i] = &n
 	}
@@ -124,33 +124,33 @@
 		number(w.now % 4)
 	}
 	for i, m := range w.nodes {
-		now := b.local(w, i)
+		now := b.localTime(w, i)
 		rel := func(t time.Time) { number(int(t.Sub(now) / tick)) }
 		session(w.session[i])
 		number(max(w.expires[i]-w.now, -1))
 		session(m.session)
 		rel(m.fence)
-		rel(m.extended)
-		number(int(now.Sub(m.started) / tick))
+		rel(m.extendedUntil)
+		number(int(now.Sub(m.startedAt) / tick))
 		for _, id := range []string{"a", "b"} {
-			n, p := m.view.Nodes[id], m.got[id]
+			n, p := m.view.Nodes[id], m.promisesReceived[id]
 			session(n.Session)
-			rel(m.given[id])
+			rel(m.promisesGiven[id])
 			rel(p.until)
 			flag(p.given, p.refused, p.unreachable)
 		}
-		o, q := m.view.Owners["s"], m.asked["s"]
+		o, q := m.view.Owners["s"], m.inquiries["s"]
 		session(o.Session)
 		session(q.session)
-		rel(q.clear)
+		rel(q.stoppedAt)
 		buf = append(buf, o.Node...)
-		flag(m.storeOK, o.Epoch == w.owner.Epoch, m.lost["s"], w.down[i])
+		flag(m.storeOK, o.Epoch == w.owner.Epoch, m.retained["s"], w.down[i])
 	}
 	return xxhash.Sum64(buf)
 }
 
-// lapse ends the sessions whose lease has run out at the store.
-func (w *world) lapse() {
+// expireSessions ends the sessions whose lease has run out at the store.
+func (w *world) expireSessions() {
 	for i := range w.nodes {
 		if w.session[i] != "" && w.now >= w.expires[i] {
 			w.session[i] = ""
@@ -160,7 +160,7 @@
 
 func (b bounds) ttl() int {
 	ttl := int(b.timing.TTL / tick)
-	if b.earlyLapse {
+	if b.earlyExpiry {
 		ttl /= 2
 	}
 	return ttl
@@ -175,16 +175,16 @@
 		w.session[i] = fmt.Sprintf("%s%d", nodeID(i), w.sessions)
 		w.expires[i] = w.now + b.ttl()
 		if answered {
-			m.Renewed(w.session[i], b.local(w, i))
+			m.Renewed(w.session[i], b.localTime(w, i))
 		}
 	case w.session[i] != m.session:
 		if answered {
-			m.SessionGone(b.local(w, i))
+			m.SessionGone(b.localTime(w, i))
 		}
 	default:
 		w.expires[i] = w.now + b.ttl()
 		if answered {
-			m.Renewed(m.session, b.local(w, i))
+			m.Renewed(m.session, b.localTime(w, i))
 		}
 	}
 	if !answered {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (w *world) look(i int) {
+func (w *world) refreshView(i int) {
 	v := View{Nodes: map[string]Node{}, Owners: map[string]Owner{}}
 	for j := range w.nodes {
 		if w.session[j] != "" {
@@ -208,30 +208,30 @@
 // perform carries out what the node plans.
 func (b bounds) perform(w *world, i int, reached, answered bool) {
 	m := w.nodes[i]
-	for _, a := range m.Plan(b.local(w, i)) {
+	for _, a := range m.Plan(b.localTime(w, i)) {
 		switch a.Kind {
 		case AskPromise:
 			j := 1 - i
-			state := PromiseSilent
+			state := PromiseNoResponse
 			switch {
 			case reached && w.down[j]:
-				state = PromiseDead
-			case reached && w.nodes[j].Promise(nodeID(i), b.timing.PromiseFor, b.local(w, j)):
+				state = PromiseNotListening
+			case reached && w.nodes[j].Promise(nodeID(i), b.timing.PromiseDuration, b.localTime(w, j)):
 				state = PromiseGiven
 			case reached:
 				state = PromiseRefused
 			}
-			m.PromiseAnswer(nodeID(j), state, b.local(w, i))
+			m.RecordPromiseState(nodeID(j), state, b.localTime(w, i))
 		case AskOwner:
 			// A live owner answers for itself, a restarted one acts for nothing. That
 			// two live nodes of a zone reach each other is assumed here.
 			state := OwnerStopped
-			if j := int(a.Peer.ID[0] - 'a'); !b.cut && !w.down[j] {
-				if _, ok := w.nodes[j].Epoch("s", b.local(w, j)); ok {
+			if j := int(a.Peer.ID[0] - 'a'); !b.partitioned && !w.down[j] {
+				if _, ok := w.nodes[j].Epoch("s", b.localTime(w, j)); ok {
 					state = OwnerActs
 				}
 			}
-			m.OwnerAnswer("s", state, b.local(w, i))
+			m.RecordOwnerState("s", state, b.localTime(w, i))
 		case Acquire, Release:
 			if w.owner.Epoch != a.Expect && !b.noCondition {
 				continue
@@ -261,7 +261,7 @@
 }
 
 func (b bounds) steps(w *world) []step {
-	steps := []step{{"tick", func(w *world) { w.now++; w.lapse() }}}
+	steps := []step{{"tick", func(w *world) { w.now++; w.expireSessions() }}}
 	for i := range w.nodes {
 		id := nodeID(i)
 		if w.down[i] {
@@ -274,14 +274,14 @@
 		steps = append(steps,
 			step{id + " renews, looks and acts", func(w *world) {
 				b.renew(w, i, true)
-				w.look(i)
+				w.refreshView(i)
 				// Once to ask, once to act on the answer.
 				b.perform(w, i, true, true)
 				b.perform(w, i, true, true)
 			}},
 			step{id + " renews, answer lost", func(w *world) { b.renew(w, i, false) }},
 			step{id + " renews with an old view", func(w *world) { b.renew(w, i, true) }},
-			step{id + " looks and acts, answers lost", func(w *world) { w.look(i); b.perform(w, i, true, false) }},
+			step{id + " looks and acts, answers lost", func(w *world) { w.refreshView(i); b.perform(w, i, true, false) }},
 			step{id + " acts on an old view", func(w *world) { b.perform(w, i, true, true) }},
 			step{id + " does not reach the store", func(w *world) {
 				w.nodes[i].RenewFailed()
@@ -306,7 +306,7 @@
 func (b bounds) acting(w *world) []string {
 	var acting []string
 	for i, m := range w.nodes {
-		if _, ok := m.Epoch("s", b.local(w, i)); ok {
+		if _, ok := m.Epoch("s", b.localTime(w, i)); ok {
 			acting = append(acting, nodeID(i))
 		}
 	}
@@ -374,10 +374,10 @@
 	noMargin := exploreTiming
 	noMargin.FenceMargin = -tick
 	breaks := map[string]bounds{
-		"fence after the lease":         {depth: 9, timing: noMargin, cut: true},
+		"fence after the lease":         {depth: 9, timing: noMargin, partitioned: true},
 		"writes without condition":      {depth: 12, timing: exploreTiming, noCondition: true},
-		"leases lapse early":            {depth: 9, timing: exploreTiming, earlyLapse: true, cut: true},
-		"an owner unknown to the taker": {depth: 9, timing: exploreTiming, cut: true},
+		"leases lapse early":            {depth: 9, timing: exploreTiming, earlyExpiry: true, partitioned: true},
+		"an owner unknown to the taker": {depth: 9, timing: exploreTiming, partitioned: true},
 	}
 	var names []string
 	for name := range breaks {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -62,24 +62,24 @@
 type Timing struct {
 	// TTL is the store lease's time to live; default 5 s.
 	TTL time.Duration
-	// RenewEvery is how often the lease is renewed; default 1.5 s.
-	RenewEvery time.Duration
+	// RenewInterval is how often the lease is renewed; default 1.5 s.
+	RenewInterval time.Duration
 	// FenceMargin is how long before the lease may lapse the holder stops; it
 	// covers clocks that run at different rates; default 1 s.
 	FenceMargin time.Duration
-	// PromiseFor is how long a peer's promise holds; default 4 s.
-	PromiseFor time.Duration
-	// Quiet is how long a new process takes over nothing by expiry; default 5 s.
-	Quiet time.Duration
-	// HandOverEvery is the least time between two hand-overs for balance; default 500 ms.
-	HandOverEvery time.Duration
+	// PromiseDuration is how long a peer's promise holds; default 4 s.
+	PromiseDuration time.Duration
+	// QuietPeriod is how long a new process takes over nothing by expiry; default 5 s.
+	QuietPeriod time.Duration
+	// HandOverInterval is the least time between two hand-overs for balance; default 500 ms.
+	HandOverInterval time.Duration
 }
 
 // DefaultTiming returns the defaults named in Timing.
 func DefaultTiming() Timing {
 	return Timing{
-		TTL: 5 * time.Second, RenewEvery: 1500 * time.Millisecond, FenceMargin: time.Second,
-		PromiseFor: 4 * time.Second, Quiet: 5 * time.Second, HandOverEvery: 500 * time.Millisecond,
+		TTL: 5 * time.Second, RenewInterval: 1500 * time.Millisecond, FenceMargin: time.Second,
+		PromiseDuration: 4 * time.Second, QuietPeriod: 5 * time.Second, HandOverInterval: 500 * time.Millisecond,
 	}
 }
 
@@ -113,11 +113,11 @@
 	PromiseGiven PromiseState = iota
 	// PromiseRefused: it reaches the store.
 	PromiseRefused
-	// PromiseDead: its host is there and nothing listens. Whatever starts in its
+	// PromiseNotListening: its host is there and nothing listens. Whatever starts in its
 	// place asks the owner before it takes over.
-	PromiseDead
-	// PromiseSilent: no answer. It may be cut off from us only.
-	PromiseSilent
+	PromiseNotListening
+	// PromiseNoResponse: no answer. It may be cut off from us only.
+	PromiseNoResponse
 )
 
 // OwnerState is what became of asking an owner whose session has ended.
@@ -129,22 +129,22 @@
 	OwnerActs OwnerState = iota
 	// OwnerStopped: it does not, or nothing listens at its address.
 	OwnerStopped
-	// OwnerSilent: no answer. It may be dead, cut off or paused.
-	OwnerSilent
+	// OwnerNoResponse: no answer. It may be dead, cut off or paused.
+	OwnerNoResponse
 )
 
 // inquiry is what is known of an owner whose session has ended.
 type inquiry struct {
 	session string
-	// clear is when it was last found not to act; zero for not yet.
-	clear time.Time
-	// silentSince is when it first did not answer; zero when it did.
-	silentSince time.Time
+	// stoppedAt is when it was last found not to act; zero for not yet.
+	stoppedAt time.Time
+	// noResponseSince is when it first did not answer; zero when it did.
+	noResponseSince time.Time
 }
 
-// clearFor is how long an owner found not to act counts as such: it acts again
+// ownerStoppedValidity is how long an owner found not to act counts as such: it acts again
 // only after it has acquired the shard anew.
-const clearFor = 3 * time.Second
+const ownerStoppedValidity = 3 * time.Second
 
 // Action is something for the shell to do.
 type Action struct {
@@ -168,9 +168,9 @@
 
 // Machine is the state of one node. It is not safe for concurrent use.
 type Machine struct {
-	timing  Timing
-	self    Node
-	started time.Time
+	timing    Timing
+	self      Node
+	startedAt time.Time
 
 	session  string
 	fence    time.Time
@@ -179,22 +179,22 @@
 	shards   []Shard
 	draining bool
 
-	lastHandOver time.Time
-	given        map[string]time.Time
-	got          map[string]promise
-	extended     time.Time
-	// lost are shards of a session that lapsed while promises kept them ours.
-	lost map[string]bool
-	// asked tells of owners whose session has ended, by shard.
-	asked map[string]inquiry
+	lastHandOver     time.Time
+	promisesGiven    map[string]time.Time
+	promisesReceived map[string]promise
+	extendedUntil    time.Time
+	// retained are shards of a session that lapsed while promises kept them ours.
+	retained map[string]bool
+	// inquiries tells of owners whose session has ended, by shard.
+	inquiries map[string]inquiry
 }
 
 // New returns the machine of a node that started at now and has no session.
 func New(self Node, timing Timing, now time.Time) *Machine {
 	return &Machine{
-		timing: timing, self: self, started: now,
-		view:  View{Nodes: map[string]Node{}, Owners: map[string]Owner{}},
-		given: map[string]time.Time{}, got: map[string]promise{}, lost: map[string]bool{}, asked: map[string]inquiry{},
+		timing: timing, self: self, startedAt: now,
+		view:          View{Nodes: map[string]Node{}, Owners: map[string]Owner{}},
+		promisesGiven: map[string]time.Time{}, promisesReceived: map[string]promise{}, retained: map[string]bool{}, inquiries: map[string]inquiry{},
 	}
 }
 
@@ -209,7 +209,7 @@
 	if f := sentAt.Add(m.timing.TTL - m.timing.FenceMargin); f.After(m.fence) {
 		m.fence = f
 	}
-	m.got = map[string]promise{}
+	m.promisesReceived = map[string]promise{}
 }
 
 // RenewFailed tells that the store did not answer a renewal.
@@ -218,10 +218,10 @@
 // SessionGone tells that the store has ended the session. What promises still
 // protect stays ours to act on, and to acquire again under the next session.
 func (m *Machine) SessionGone(now time.Time) {
-	protected := now.Before(m.extended)
+	protected := now.Before(m.extendedUntil)
 	for key, o := range m.view.Owners {
 		if o.Node == m.self.ID && o.Session == m.session && protected {
-			m.lost[key] = true
+			m.retained[key] = true
 		}
 	}
 	m.session = ""
@@ -231,15 +231,15 @@
 // SetView replaces what the store holds.
 func (m *Machine) SetView(v View) {
 	m.view = v
-	for key, q := range m.asked {
+	for key, q := range m.inquiries {
 		if v.Owners[key].Session != q.session {
-			delete(m.asked, key)
+			delete(m.inquiries, key)
 		}
 	}
-	for key := range m.lost {
+	for key := range m.retained {
 		o := v.Owners[key]
 		if o.Node != m.self.ID || o.Session == m.session {
-			delete(m.lost, key)
+			delete(m.retained, key)
 		}
 	}
 }
@@ -259,11 +259,11 @@
 // StoreReachable reports whether the last renewal was answered.
 func (m *Machine) StoreReachable() bool { return m.storeOK }
 
-// Until returns when the node's right to act for what it owns ends unless it
+// MayActUntil returns when the node's right to act for what it owns ends unless it
 // is renewed; extended reports that it rests on promises rather than the store.
-func (m *Machine) Until() (until time.Time, extended bool) {
-	if m.extended.After(m.fence) {
-		return m.extended, true
+func (m *Machine) MayActUntil() (until time.Time, extended bool) {
+	if m.extendedUntil.After(m.fence) {
+		return m.extendedUntil, true
 	}
 	return m.fence, false
 }
@@ -271,14 +271,14 @@
 // Epoch returns the epoch under which the node may act for a shard at now, and
 // false when it may not.
 func (m *Machine) Epoch(shard string, now time.Time) (int64, bool) {
-	if until, _ := m.Until(); !now.Before(until) {
+	if until, _ := m.MayActUntil(); !now.Before(until) {
 		return 0, false
 	}
 	o, ok := m.view.Owners[shard]
 	if !ok || o.Node != m.self.ID || o.Session == "" {
 		return 0, false
 	}
-	if o.Session != m.session && !m.lost[shard] {
+	if o.Session != m.session && !m.retained[shard] {
 		return 0, false
 	}
 	return o.Epoch, true
@@ -331,7 +331,7 @@
 	want := m.Desired(s)
 	mine := known && o.Node == m.self.ID && o.Session != ""
 	switch {
-	case mine && m.lost[s.Key]:
+	case mine && m.retained[s.Key]:
 		return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
 	case mine && o.Session == m.session:
 		return m.planHandOver(s, o, want, now)
@@ -341,46 +341,46 @@
 		return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
 	case m.sessionLive(o):
 		return Action{}, false
-	case now.Sub(m.started) < m.timing.Quiet || now.Before(m.given[o.Node]):
+	case now.Sub(m.startedAt) < m.timing.QuietPeriod || now.Before(m.promisesGiven[o.Node]):
 		// The owner's lease lapsed, but this process, or an earlier one of the
 		// same node, may have promised the owner not to take over.
 		return Action{}, false
-	case !m.ownerClear(s.Key, o, now):
+	case !m.ownerStopped(s.Key, o, now):
 		return Action{Kind: AskOwner, Shard: s.Key, Peer: Node{ID: o.Node, PeerAddress: o.PeerAddress}}, true
 	}
 	return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
 }
 
-// ownerClear reports whether the owner, whose session has ended, was lately
+// ownerStopped reports whether the owner, whose session has ended, was lately
 // found not to act. Without asking, a node that the owner does not know of, and
 // so asked for no promise, would take over while the owner goes on.
-func (m *Machine) ownerClear(shard string, o Owner, now time.Time) bool {
+func (m *Machine) ownerStopped(shard string, o Owner, now time.Time) bool {
 	if o.PeerAddress == m.self.PeerAddress {
 		// An earlier process at this very address.
 		return true
 	}
-	q := m.asked[shard]
-	return q.session == o.Session && !q.clear.IsZero() && now.Sub(q.clear) < clearFor
+	q := m.inquiries[shard]
+	return q.session == o.Session && !q.stoppedAt.IsZero() && now.Sub(q.stoppedAt) < ownerStoppedValidity
 }
 
-// OwnerAnswer tells what became of asking a shard's owner. One that is silent
-// counts as stopped after PromiseFor: a paused process asks for no promises, so
+// RecordOwnerState tells what became of asking a shard's owner. One that is silent
+// counts as stopped after PromiseDuration: a paused process asks for no promises, so
 // by then what it had has run out.
-func (m *Machine) OwnerAnswer(shard string, state OwnerState, now time.Time) {
+func (m *Machine) RecordOwnerState(shard string, state OwnerState, now time.Time) {
 	o := m.view.Owners[shard]
-	q := m.asked[shard]
+	q := m.inquiries[shard]
 	if q.session != o.Session {
 		q = inquiry{session: o.Session}
 	}
 	switch {
-	case state == OwnerSilent && q.silentSince.IsZero():
-		q.silentSince = now
-	case state == OwnerStopped, state == OwnerSilent && now.Sub(q.silentSince) >= m.timing.PromiseFor:
-		q.clear = now
+	case state == OwnerNoResponse && q.noResponseSince.IsZero():
+		q.noResponseSince = now
+	case state == OwnerStopped, state == OwnerNoResponse && now.Sub(q.noResponseSince) >= m.timing.PromiseDuration:
+		q.stoppedAt = now
 	case state == OwnerActs:
 		q = inquiry{session: o.Session}
 	}
-	m.asked[shard] = q
+	m.inquiries[shard] = q
 }
 
 // planHandOver gives an own shard to the node that should have it, one at a
@@ -389,7 +389,7 @@
 	if want == m.self.ID || want == "" {
 		return Action{}, false
 	}
-	if !m.draining && now.Sub(m.lastHandOver) < m.timing.HandOverEvery {
+	if !m.draining && now.Sub(m.lastHandOver) < m.timing.HandOverInterval {
 		return Action{}, false
 	}
 	m.lastHandOver = now
@@ -433,7 +433,7 @@
 
 // planOutage asks for promises while the store does not answer.
 func (m *Machine) planOutage(now time.Time) []Action {
-	if until, _ := m.Until(); !now.Before(until) {
+	if until, _ := m.MayActUntil(); !now.Before(until) {
 		// The fence has passed: a peer may own the shards by now.
 		return nil
 	}
@@ -447,18 +447,18 @@
 	return actions
 }
 
-// PromiseAnswer tells what a peer said to a question sent at askedAt.
-func (m *Machine) PromiseAnswer(peer string, state PromiseState, askedAt time.Time) {
-	p := m.got[peer]
-	p.unreachable = state == PromiseSilent
+// RecordPromiseState tells what a peer said to a question sent at askedAt.
+func (m *Machine) RecordPromiseState(peer string, state PromiseState, askedAt time.Time) {
+	p := m.promisesReceived[peer]
+	p.unreachable = state == PromiseNoResponse
 	switch state {
-	case PromiseGiven, PromiseDead:
+	case PromiseGiven, PromiseNotListening:
 		p.given, p.refused = true, false
-		p.until = askedAt.Add(m.timing.PromiseFor - m.timing.FenceMargin)
+		p.until = askedAt.Add(m.timing.PromiseDuration - m.timing.FenceMargin)
 	case PromiseRefused:
 		p.refused = true
 	}
-	m.got[peer] = p
+	m.promisesReceived[peer] = p
 	m.extend(askedAt)
 }
 
@@ -468,9 +468,9 @@
 	if m.storeOK {
 		return
 	}
-	until := askedAt.Add(m.timing.PromiseFor - m.timing.FenceMargin)
+	until := askedAt.Add(m.timing.PromiseDuration - m.timing.FenceMargin)
 	for _, n := range m.zonePeers() {
-		p := m.got[n.ID]
+		p := m.promisesReceived[n.ID]
 		switch {
 		case p.refused:
 			return
@@ -482,8 +482,8 @@
 			until = p.until
 		}
 	}
-	if until.After(m.extended) {
-		m.extended = until
+	if until.After(m.extendedUntil) {
+		m.extendedUntil = until
 	}
 }
 
@@ -493,6 +493,6 @@
 	if m.storeOK {
 		return false
 	}
-	m.given[node] = now.Add(d)
+	m.promisesGiven[node] = now.Add(d)
 	return true
 }
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -118,7 +118,7 @@
 	got, err := grant.Target.Send(ctx, &target.Request{
 		HopID: grant.HopID, OriginID: req.origin, Class: req.class, Deadline: req.deadline, Resume: req.resume,
 		Method: req.http.Method, Path: req.path, RawQuery: req.http.URL.RawQuery,
-		Header: req.forwarded(), Body: reader, Length: b.length, Patience: rt.patience(req, grant.Patience()),
+		Header: req.forwarded(), Body: reader, Length: b.length, Patience: rt.patience(req, grant.SuspectTimeout()),
 	})
 	if err != nil {
 		return nil, endFailed(err, grant)
@@ -252,7 +252,7 @@
 		rt.Metrics.cutOff.Inc()
 		panic(http.ErrAbortHandler)
 	}
-	got.finish(vms.EndWhole)
+	got.finish(vms.EndCompleted)
 	return ""
 }
 
--- a/internal/vms/absence_test.go
+++ b/internal/vms/absence_test.go
@@ -63,16 +63,16 @@
 
 // fakeReporter records ends once it is told to.
 type fakeReporter struct {
-	mu       sync.Mutex
-	records  bool
-	reported int
+	mu          sync.Mutex
+	isRecording bool
+	reported    int
 }
 
 func (r *fakeReporter) Report(_ context.Context, attempts []Attempt) (recorded, obsolete []worker.Ref) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range attempts {
-		if a.End != "" && r.records {
+		if a.End != "" && r.isRecording {
 			r.reported++
 			recorded = append(recorded, a.Ref)
 		}
@@ -123,9 +123,9 @@
 	m.SetList(oneVM)
 	require.Eventually(t, func() bool { d := m.Dump(); return len(d) == 1 && d[0].Tasks == 1 }, 5*time.Second, time.Millisecond)
 	m.SetList(nil)
-	time.Sleep(2 * tickEvery)
+	time.Sleep(2 * tickInterval)
 	reporter.mu.Lock()
-	reporter.records = true
+	reporter.isRecording = true
 	reporter.mu.Unlock()
 	require.Eventually(t, func() bool { return reporter.count() == 1 }, 5*time.Second, 10*time.Millisecond, "the end is never recorded")
 	m.SetList(nil)
@@ -146,7 +146,7 @@
 	ref := worker.Ref{Task: "t/j:0", Attempt: 1}
 	var reserved []Attempt
 	require.Eventually(t, func() bool {
-		reserved = m.Reserve([]worker.Ref{ref}, Room{PerTask: model.Resources{MilliCPU: 1}})
+		reserved = m.Reserve([]worker.Ref{ref}, TaskRequirements{PerTask: model.Resources{MilliCPU: 1}})
 		return len(reserved) == 1
 	}, 5*time.Second, 10*time.Millisecond)
 	own.mu.Lock()
@@ -157,6 +157,6 @@
 	defer own.mu.Unlock()
 	own.suspend = 0
 	start := <-agent.starts
-	countedFrom := time.UnixMilli(start.NotAfterUnixMS).Add(-startWithin)
+	countedFrom := time.UnixMilli(start.NotAfterUnixMS).Add(-startTimeout)
 	require.False(t, countedFrom.After(own.askedAt), "counted from %v after the question", countedFrom.Sub(own.askedAt))
 }
--- a/internal/vms/machine.go
+++ b/internal/vms/machine.go
@@ -18,12 +18,12 @@
 	// each costs a few hundred bytes for each VM; that a VM is gone shows at once
 	// in what else is sent to it.
 	statusWait = 15 * time.Second
-	// settleEvery is how often the status is read while something is uncertain.
-	settleEvery = 100 * time.Millisecond
-	// reportRetry is how soon an end that was not recorded is reported again.
-	reportRetry = time.Second
-	// retryPause is the least time between failed status calls.
-	retryPause = 500 * time.Millisecond
+	// uncertainInterval is how often the status is read while something is uncertain.
+	uncertainInterval = 100 * time.Millisecond
+	// reportRetryDelay is how soon an end that was not recorded is reported again.
+	reportRetryDelay = time.Second
+	// statusRetryDelay is the least time between failed status calls.
+	statusRetryDelay = 500 * time.Millisecond
 	// lostMargin is added to the lease before an attempt counts as lost: it covers
 	// a renewal still on its way and clocks that run at different rates.
 	lostMargin = 5 * time.Second
@@ -41,15 +41,15 @@
 	target target.Target
 	cancel context.CancelFunc
 
-	// since is when this node took the VM over.
-	since time.Time
-	// listAsked is when the newest list was asked for; a call that waited for a
+	// takenOverAt is when this node took the VM over.
+	takenOverAt time.Time
+	// listRequestedAt is when the newest list was asked for; a call that waited for a
 	// change may have been asked for long before it was answered.
-	listAsked time.Time
-	// trustAfter is when the list tells of all attempts: what an earlier owner, or
+	listRequestedAt time.Time
+	// listCompleteAfter is when the list tells of all attempts: what an earlier owner, or
 	// the VM at an earlier address, may still run is over by then.
-	trustAfter time.Time
-	reachable  bool
+	listCompleteAfter time.Time
+	reachable         bool
 	// unlisted is set while the platform's list lacks the VM.
 	unlisted bool
 	// leaving is set while the VM must get nothing new and is emptied.
@@ -59,32 +59,32 @@
 	lastContactEnd time.Time
 	// suspectUntil keeps requests off a VM that just refused a connection.
 	suspectUntil time.Time
-	// unreached counts the connections refused in a row.
-	unreached int
-	tasks     map[worker.Ref]*taskHold
+	// connectFailures counts the connections refused in a row.
+	connectFailures int
+	tasks           map[worker.Ref]*heldTask
 	// list is a copy of the VM's own list, as of its boot.
 	list map[worker.Ref]worker.Task
 	boot string
 	// latency is a moving average over whole requests.
 	latency  time.Duration
 	slowdown float64
-	// abandonStatus ends the present status call; it may be called any number of
+	// cancelStatus ends the present status call; it may be called any number of
 	// times.
-	abandonStatus func()
+	cancelStatus func()
 }
 
-// taskHold is an attempt that the VM holds or held.
-type taskHold struct {
+// heldTask is an attempt that the VM holds or held.
+type heldTask struct {
 	checkpoint string
 	// end is set once the attempt has ended; it stays listed until recorded.
 	end End
 	// starting is set while the start's outcome is not known.
 	starting bool
-	// settledAt is when the start's outcome was settled. A list asked for earlier
+	// startResolvedAt is when the start's outcome was settled. A list asked for earlier
 	// may lack the task although it runs: taking that for its end would start it
 	// a second time elsewhere.
-	settledAt time.Time
-	stopping  bool
+	startResolvedAt time.Time
+	stopping        bool
 }
 
 func ledgerID(ref worker.Ref) string {
@@ -99,7 +99,7 @@
 		own := mc.target.Connections()
 		whole := after < 0
 		status, uncertain, err := m.readStatus(ctx, mc, after)
-		if errors.Is(err, errAbandoned) {
+		if errors.Is(err, errStatusCancelled) {
 			continue
 		}
 		if err != nil {
@@ -110,15 +110,15 @@
 		}
 		after = status.Sequence
 		m.observe(mc, status, whole, askedAt, own)
-		m.settle(ctx, mc)
+		m.processEnds(ctx, mc)
 		if uncertain {
-			pause.For(ctx, settleEvery)
+			pause.For(ctx, uncertainInterval)
 		}
 	}
 }
 
-// errAbandoned: a status call was ended to read the list at once.
-var errAbandoned = errors.New("status call abandoned")
+// errStatusCancelled: a status call was ended to read the list at once.
+var errStatusCancelled = errors.New("status call abandoned")
 
 // readStatus reads the VM's list: at once while anything is uncertain, else when
 // it changes. machine.again abandons the call; whatever becomes uncertain after
@@ -128,18 +128,18 @@
 	defer cancel(nil)
 	wait := statusWait
 	m.mu.Lock()
-	mc.abandonStatus = func() { cancel(errAbandoned) }
+	mc.cancelStatus = func() { cancel(errStatusCancelled) }
 	uncertain = mc.ledger.Uncertain() || !mc.ledger.Ready()
 	if mc.unrecorded() {
-		wait = reportRetry
+		wait = reportRetryDelay
 	}
 	m.mu.Unlock()
 	if uncertain {
 		wait = 0
 	}
 	s, err = mc.agent.Status(ctx, after, wait)
-	if err != nil && errors.Is(context.Cause(ctx), errAbandoned) {
-		err = errAbandoned
+	if err != nil && errors.Is(context.Cause(ctx), errStatusCancelled) {
+		err = errStatusCancelled
 	}
 	return s, uncertain, err
 }
@@ -159,7 +159,7 @@
 func (m *Manager) statusFailed(ctx context.Context, mc *machine) {
 	m.mu.Lock()
 	mc.reachable = false
-	if m.attemptsOver(mc, time.Now()) {
+	if m.attemptsLost(mc, time.Now()) {
 		for _, t := range mc.tasks {
 			if t.end == "" {
 				t.end = EndLost
@@ -167,30 +167,30 @@
 		}
 	}
 	m.mu.Unlock()
-	m.settle(ctx, mc)
-	pause.For(ctx, retryPause)
+	m.processEnds(ctx, mc)
+	pause.For(ctx, statusRetryDelay)
 }
 
-// leasesOver reports whether every lease that anyone gave to tasks on the VM
+// leasesExpired reports whether every lease that anyone gave to tasks on the VM
 // has run out. Renewals stop while the VM is not reached, so that this point
 // comes; an earlier owner's last renewal ended before its fence, which lies
 // before this node took over. m.mu is held.
-func (m *Manager) leasesOver(mc *machine, now time.Time) bool {
+func (m *Manager) leasesExpired(mc *machine, now time.Time) bool {
 	return now.Sub(mc.lastContactEnd) > m.Timing.Lease+lostMargin
 }
 
-// attemptsOver reports whether attempts on a VM that is not reached count as
+// attemptsLost reports whether attempts on a VM that is not reached count as
 // lost: their leases have run out, and the VM is gone or was waited for.
-func (m *Manager) attemptsOver(mc *machine, now time.Time) bool {
-	doubt := now.Sub(mc.lastContactEnd) < m.Timing.Lease+lostMargin+m.Timing.DoubtFor
-	return m.leasesOver(mc, now) && (mc.unlisted || !doubt)
+func (m *Manager) attemptsLost(mc *machine, now time.Time) bool {
+	doubt := now.Sub(mc.lastContactEnd) < m.Timing.Lease+lostMargin+m.Timing.UnreachableGrace
+	return m.leasesExpired(mc, now) && (mc.unlisted || !doubt)
 }
 
 // observe takes the VM's own list into the ledger.
 func (m *Manager) observe(mc *machine, s worker.Status, whole bool, askedAt time.Time, own int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mc.reachable, mc.slowdown, mc.listAsked = true, s.Usage.Slowdown, askedAt
+	mc.reachable, mc.slowdown, mc.listRequestedAt = true, s.Usage.Slowdown, askedAt
 	o := ledger.Observation{AskedAt: askedAt, Tasks: map[string]model.Resources{}, InFlight: s.InFlight}
 	if !mc.ledger.Ready() || mc.ledger.Uncertain() {
 		o.ForeignConnections = max(int64(s.Connections)-max(own, mc.target.Connections()), 0)
@@ -202,7 +202,7 @@
 		}
 		h := mc.tasks[t.Ref]
 		if h == nil {
-			h = &taskHold{}
+			h = &heldTask{}
 			mc.tasks[t.Ref] = h
 		}
 		h.starting = false
@@ -213,7 +213,7 @@
 	}
 	mc.ledger.Observe(o)
 	for ref, h := range mc.tasks {
-		if _, listed := mc.list[ref]; !listed && h.end == "" && !h.starting && askedAt.After(h.settledAt) {
+		if _, listed := mc.list[ref]; !listed && h.end == "" && !h.starting && askedAt.After(h.startResolvedAt) {
 			// The VM restarted and holds nothing of it.
 			h.end = EndLost
 		}
@@ -247,9 +247,9 @@
 	return EndStopped
 }
 
-// settle reports the attempts that ended, forgets those whose end is recorded,
+// processEnds reports the attempts that ended, forgets those whose end is recorded,
 // and empties a VM that is leaving.
-func (m *Manager) settle(ctx context.Context, mc *machine) {
+func (m *Manager) processEnds(ctx context.Context, mc *machine) {
 	m.mu.Lock()
 	var report []Attempt
 	var evict []worker.Ref
@@ -343,7 +343,7 @@
 // keepLeases renews the leases of the VM's tasks and checkpoints them. It does
 // neither while the VM is not reached or no longer owned.
 func (m *Manager) keepLeases(ctx context.Context, mc *machine) {
-	ticker := time.NewTicker(m.Timing.RenewEvery)
+	ticker := time.NewTicker(m.Timing.RenewInterval)
 	defer ticker.Stop()
 	lastCheckpoint := time.Now()
 	for {
@@ -354,7 +354,7 @@
 			err := mc.agent.Renew(ctx, m.Timing.Lease)
 			m.contactEnded(mc, err)
 		}
-		if due && time.Since(lastCheckpoint) >= m.Timing.CheckpointEvery {
+		if due && time.Since(lastCheckpoint) >= m.Timing.CheckpointInterval {
 			lastCheckpoint = time.Now()
 			m.checkpointAll(ctx, mc)
 		}
@@ -374,15 +374,15 @@
 	mc.lastContactEnd = time.Now()
 	if err != nil && !errors.Is(err, worker.ErrRefused) {
 		mc.reachable = false
-		mc.again()
+		mc.refreshStatus()
 	}
 }
 
-// again makes the present status call end, so that the list is read at once: a
+// refreshStatus makes the present status call end, so that the list is read at once: a
 // call that waits for a change of tasks does not tell that a request has ended.
-func (mc *machine) again() {
-	if mc.abandonStatus != nil {
-		mc.abandonStatus()
+func (mc *machine) refreshStatus() {
+	if mc.cancelStatus != nil {
+		mc.cancelStatus()
 	}
 }
 
--- a/internal/vms/manager.go
+++ b/internal/vms/manager.go
@@ -75,21 +75,21 @@
 	// Lease is how long a task runs without a renewal; default 30 s. Each renewal
 	// costs some 350 bytes for each VM.
 	Lease time.Duration
-	// RenewEvery is how often leases are renewed; default 10 s.
-	RenewEvery time.Duration
-	// CheckpointEvery is how often running tasks are checkpointed; default 60 s.
-	CheckpointEvery time.Duration
-	// DoubtFor is how long the tasks of a VM that is listed but not reached are
+	// RenewInterval is how often leases are renewed; default 10 s.
+	RenewInterval time.Duration
+	// CheckpointInterval is how often running tasks are checkpointed; default 60 s.
+	CheckpointInterval time.Duration
+	// UnreachableGrace is how long the tasks of a VM that is listed but not reached are
 	// waited for after their leases have run out; default 2 min. A task may have
 	// finished there just before, and to run it again would double it; the VM
 	// tells when it comes back. A VM off the list is not waited for.
-	DoubtFor time.Duration
+	UnreachableGrace time.Duration
 }
 
 // DefaultTiming returns the defaults named in Timing.
 func DefaultTiming() Timing {
 	return Timing{
-		Lease: 30 * time.Second, RenewEvery: 10 * time.Second, CheckpointEvery: time.Minute, DoubtFor: 2 * time.Minute,
+		Lease: 30 * time.Second, RenewInterval: 10 * time.Second, CheckpointInterval: time.Minute, UnreachableGrace: 2 * time.Minute,
 	}
 }
 
@@ -111,20 +111,20 @@
 type Manager struct {
 	Options
 
-	mu     sync.Mutex
-	listed map[string]model.VM
-	owned  map[string]*machine
-	queues map[model.Class]*queue
-	ctx    context.Context
-	synced chan struct{}
-	hops   uint64
+	mu           sync.Mutex
+	listed       map[string]model.VM
+	owned        map[string]*machine
+	queues       map[model.Class]*queue
+	ctx          context.Context
+	syncRequests chan struct{}
+	hopCount     uint64
 }
 
 // New returns a manager without VMs.
 func New(o Options) *Manager {
 	return &Manager{
 		Options: o, listed: map[string]model.VM{}, owned: map[string]*machine{},
-		queues: map[model.Class]*queue{model.Quick: {}, model.Heavy: {}, model.Standing: {}}, synced: make(chan struct{}, 1),
+		queues: map[model.Class]*queue{model.Quick: {}, model.Heavy: {}, model.Standing: {}}, syncRequests: make(chan struct{}, 1),
 	}
 }
 
@@ -134,35 +134,35 @@
 	m.ctx = ctx
 	m.mu.Unlock()
 	go m.reportLoop(ctx)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		m.sync()
 		select {
 		case <-ctx.Done():
-			m.dropAll()
+			m.removeAllVMs()
 			return ctx.Err()
-		case <-m.synced:
+		case <-m.syncRequests:
 		case <-ticker.C:
 		}
 	}
 }
 
-// reportEvery is how often running attempts are reported, so that those that
+// reportInterval is how often running attempts are reported, so that those that
 // should not run are found.
-const reportEvery = 30 * time.Second
+const reportInterval = 30 * time.Second
 
 func (m *Manager) reportLoop(ctx context.Context) {
-	pause.Every(ctx, reportEvery, func() { m.reportRunning(ctx) })
+	pause.Every(ctx, reportInterval, func() { m.reportRunning(ctx) })
 }
 
-// tickEvery is how often reservations and waiters are looked at.
-const tickEvery = 250 * time.Millisecond
+// tickInterval is how often reservations and waiters are looked at.
+const tickInterval = 250 * time.Millisecond
 
 // Sync asks for a look at who owns what; it does not wait for it.
 func (m *Manager) Sync() {
 	select {
-	case m.synced <- struct{}{}:
+	case m.syncRequests <- struct{}{}:
 	default:
 	}
 }
@@ -241,15 +241,15 @@
 		mc := m.owned[name]
 		moved := mc != nil && (mc.vm.AgentAddress != vm.AgentAddress || mc.vm.TargetAddress != vm.TargetAddress)
 		if mc != nil && (!own || mc.epoch != epoch || moved) {
-			m.drop(mc)
+			m.removeVM(mc)
 			mc = nil
 		}
 		if own && mc == nil {
-			mc = m.take(vm, epoch, now)
+			mc = m.addVM(vm, epoch, now)
 		}
 		if moved && mc != nil {
 			// What runs at the old address is not in the new one's list.
-			mc.trustAfter = now.Add(m.Timing.Lease + lostMargin)
+			mc.listCompleteAfter = now.Add(m.Timing.Lease + lostMargin)
 		}
 		if mc != nil {
 			mc.setLeaving(vm.State != model.VMLive || doc.DrainedVMs[name])
@@ -259,7 +259,7 @@
 	}
 	for name, mc := range m.owned {
 		if _, ok := m.listed[name]; !ok {
-			m.drop(mc)
+			m.removeVM(mc)
 		}
 	}
 	m.wakeWaiters()
@@ -271,7 +271,7 @@
 func (mc *machine) setLeaving(leaving bool) {
 	mc.ledger.SetLeaving(leaving)
 	if leaving && !mc.leaving {
-		mc.again()
+		mc.refreshStatus()
 	}
 	mc.leaving = leaving
 }
@@ -287,15 +287,15 @@
 	return sum
 }
 
-// take starts to manage a VM. m.mu is held.
-func (m *Manager) take(vm model.VM, epoch int64, now time.Time) *machine {
+// addVM starts to manage a VM. m.mu is held.
+func (m *Manager) addVM(vm model.VM, epoch int64, now time.Time) *machine {
 	ctx, cancel := context.WithCancel(m.ctx)
 	mc := &machine{
-		vm: vm, shard: ShardOf(vm).Key, epoch: epoch, since: now, trustAfter: now.Add(startWithin), lastContactEnd: now,
+		vm: vm, shard: ShardOf(vm).Key, epoch: epoch, takenOverAt: now, listCompleteAfter: now.Add(startTimeout), lastContactEnd: now,
 		ledger: ledger.New(vm.Capacity, model.Resources{}),
 		agent:  m.NewAgent(vm.AgentAddress),
 		target: m.NewTarget(vm.TargetAddress, maxConnections(vm)),
-		cancel: cancel, tasks: map[worker.Ref]*taskHold{}, latency: initialLatency,
+		cancel: cancel, tasks: map[worker.Ref]*heldTask{}, latency: initialLatency,
 	}
 	m.owned[vm.Name] = mc
 	go m.watchStatus(ctx, mc)
@@ -308,9 +308,9 @@
 	return int(max(vm.Capacity.Connections-4, 1))
 }
 
-// drop stops managing a VM. Requests under way go on to their end; the next
+// removeVM stops managing a VM. Requests under way go on to their end; the next
 // owner sees them in the VM's own list. m.mu is held.
-func (m *Manager) drop(mc *machine) {
+func (m *Manager) removeVM(mc *machine) {
 	mc.cancel()
 	mc.target.CloseIdle()
 	if c, ok := mc.agent.(interface{ Close() }); ok {
@@ -319,11 +319,11 @@
 	delete(m.owned, mc.vm.Name)
 }
 
-func (m *Manager) dropAll() {
+func (m *Manager) removeAllVMs() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, mc := range m.owned {
-		m.drop(mc)
+		m.removeVM(mc)
 	}
 }
 
@@ -340,11 +340,11 @@
 	// Free is what tasks may still take, summed over the VMs.
 	Free model.Resources
 	// Services maps a service's name to the requests it could take now.
-	Services map[string]ServiceRoom
+	Services map[string]ServiceCapacity
 }
 
-// ServiceRoom is how many requests of each class could be admitted now.
-type ServiceRoom struct {
+// ServiceCapacity is how many requests of each class could be admitted now.
+type ServiceCapacity struct {
 	Quick, Heavy, Standing int64
 	Waiting                int64
 }
@@ -353,7 +353,7 @@
 func (m *Manager) Summary() Summary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := Summary{Services: map[string]ServiceRoom{}}
+	s := Summary{Services: map[string]ServiceCapacity{}}
 	doc := m.Config().Document
 	waiting := m.waiting()
 	for _, mc := range m.owned {
--- a/internal/vms/requests.go
+++ b/internal/vms/requests.go
@@ -18,14 +18,14 @@
 var admitOrder = []model.Class{model.Quick, model.Heavy, model.Standing}
 
 const (
-	// suspectFor keeps requests off a VM that was not connected to; it is doubled
-	// with each such try in a row, up to maxSuspect.
-	suspectFor = 500 * time.Millisecond
-	maxSuspect = 30 * time.Second
-	// minQueue may wait in any case; beyond that the queue is as long as is served
-	// within the longest wait, so that nobody waits in vain. maxQueue bounds memory.
-	minQueue = 8
-	maxQueue = 4096
+	// suspectDuration keeps requests off a VM that was not connected to; it is doubled
+	// with each such try in a row, up to maxSuspectDuration.
+	suspectDuration    = 500 * time.Millisecond
+	maxSuspectDuration = 30 * time.Second
+	// minQueueLimit may wait in any case; beyond that the queue is as long as is served
+	// within the longest wait, so that nobody waits in vain. maxQueueLimit bounds memory.
+	minQueueLimit = 8
+	maxQueueLimit = 4096
 	// latencyWeight is the weight of the newest request in the moving average.
 	latencyWeight = 0.1
 )
@@ -93,8 +93,8 @@
 
 // How a request ended.
 const (
-	// EndWhole: the whole answer was read.
-	EndWhole EndKind = iota
+	// EndCompleted: the whole answer was read.
+	EndCompleted EndKind = iota
 	// EndNotRun: the target certainly did not run it.
 	EndNotRun
 	// EndUnreached: the target could not be connected to.
@@ -109,16 +109,16 @@
 
 // The bounds of Patience.
 const (
-	minPatience    = 250 * time.Millisecond
-	patienceFactor = 20
+	minSuspectTimeout    = 250 * time.Millisecond
+	suspectTimeoutFactor = 20
 )
 
-// Patience is how long an answer may take before the connection is suspected:
+// SuspectTimeout is how long an answer may take before the connection is suspected:
 // the VM's usual time many times over.
-func (g *Grant) Patience() time.Duration {
+func (g *Grant) SuspectTimeout() time.Duration {
 	g.manager.mu.Lock()
 	defer g.manager.mu.Unlock()
-	return max(patienceFactor*g.machine.latency, minPatience)
+	return max(suspectTimeoutFactor*g.machine.latency, minSuspectTimeout)
 }
 
 // End gives the place back as far as the ending allows.
@@ -130,14 +130,14 @@
 	switch kind {
 	case EndUncertain:
 		g.machine.ledger.MarkUncertain(g.HopID, now)
-		g.machine.again()
+		g.machine.refreshStatus()
 		return
 	case EndUnreached:
-		g.machine.unreached++
-		g.machine.again()
-		g.machine.suspectUntil = now.Add(min(suspectFor<<min(g.machine.unreached, 10), maxSuspect))
-	case EndWhole:
-		g.machine.unreached = 0
+		g.machine.connectFailures++
+		g.machine.refreshStatus()
+		g.machine.suspectUntil = now.Add(min(suspectDuration<<min(g.machine.connectFailures, 10), maxSuspectDuration))
+	case EndCompleted:
+		g.machine.connectFailures = 0
 		if g.class == model.Standing {
 			break
 		}
@@ -153,8 +153,8 @@
 // say NotRun.
 func (m *Manager) Acquire(ctx context.Context, service string, class model.Class, wait time.Duration) (*Grant, error) {
 	m.mu.Lock()
-	m.hops++
-	hopID := itoa(int64(m.hops)) + "-" + strconv.FormatUint(rand.Uint64(), 36)
+	m.hopCount++
+	hopID := itoa(int64(m.hopCount)) + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	q := m.queues[class]
 	// Whoever waits for the same service is served first, and while quick
 	// requests wait, no other class takes what comes free.
@@ -188,7 +188,7 @@
 			perWait += float64(mc.ledger.Capacity().Slots) * wait.Seconds() / mc.latency.Seconds()
 		}
 	}
-	return min(max(int(perWait/2), minQueue), maxQueue)
+	return min(max(int(perWait/2), minQueueLimit), maxQueueLimit)
 }
 
 func (m *Manager) await(ctx context.Context, w *waiter, wait time.Duration) (*Grant, error) {
--- a/internal/vms/tasks.go
+++ b/internal/vms/tasks.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// reservationFor is how long room is kept for an attempt whose commitment is
+	// reservationTimeout is how long room is kept for an attempt whose commitment is
 	// being written to the store.
-	reservationFor = 8 * time.Second
-	// startWithin bounds the time between a start being sent and the agent
+	reservationTimeout = 8 * time.Second
+	// startTimeout bounds the time between a start being sent and the agent
 	// acting on it.
-	startWithin = 4 * time.Second
-	// parallelStarts bounds the starts under way at once.
-	parallelStarts = 16
+	startTimeout = 4 * time.Second
+	// maxParallelStarts bounds the starts under way at once.
+	maxParallelStarts = 16
 )
 
-// Room is what attempts need.
-type Room struct {
+// TaskRequirements is what attempts need.
+type TaskRequirements struct {
 	PerTask model.Resources
 	// Zones limits the availability zones; none means any.
 	Zones []string
@@ -35,7 +35,7 @@
 
 // Reserve finds room for attempts and returns those that got it, with their VM.
 // While quick requests wait here, only urgent ones do: batch work is shed first.
-func (m *Manager) Reserve(refs []worker.Ref, room Room) []Attempt {
+func (m *Manager) Reserve(refs []worker.Ref, room TaskRequirements) []Attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !room.Urgent && len(m.queues[model.Quick].waiters) > 0 {
@@ -53,7 +53,7 @@
 			Name: mc.vm.Name, Free: mc.ledger.FreeForTasks(), Capacity: mc.ledger.Capacity(), Slowdown: mc.slowdown,
 		})
 	}
-	expires := time.Now().Add(reservationFor)
+	expires := time.Now().Add(reservationTimeout)
 	var reserved []Attempt
 	for _, ref := range refs {
 		i := placement.Choose(candidates, need)
@@ -77,7 +77,7 @@
 	var mu sync.Mutex
 	var refused []Attempt
 	var wg sync.WaitGroup
-	limit := make(chan struct{}, parallelStarts)
+	limit := make(chan struct{}, maxParallelStarts)
 	for _, a := range attempts {
 		wg.Add(1)
 		limit <- struct{}{}
@@ -99,7 +99,7 @@
 	id := ledgerID(a.Ref)
 	// From before the question whether the VM is ours: a process that is suspended
 	// after it must not start what the next owner has found not to run.
-	notAfter := time.Now().Add(startWithin)
+	notAfter := time.Now().Add(startTimeout)
 	m.mu.Lock()
 	mc := m.owned[a.VM]
 	if mc == nil || mc.tasks[a.Ref] != nil {
@@ -113,7 +113,7 @@
 		m.mu.Unlock()
 		return false
 	}
-	h := &taskHold{starting: true}
+	h := &heldTask{starting: true}
 	mc.tasks[a.Ref] = h
 	need := mc.ledger.HeldBy(id)
 	m.mu.Unlock()
@@ -128,24 +128,24 @@
 	defer m.mu.Unlock()
 	switch {
 	case err == nil:
-		h.starting, h.settledAt = false, time.Now()
+		h.starting, h.startResolvedAt = false, time.Now()
 	case errors.Is(err, worker.ErrRefused) || errors.Is(err, worker.ErrUnreachable):
 		mc.ledger.Release(id)
 		delete(mc.tasks, a.Ref)
 		return false
 	default:
-		// The answer was lost. The agent acts on the start within startWithin or
+		// The answer was lost. The agent acts on the start within startTimeout or
 		// never; the first list asked for after that tells.
-		time.AfterFunc(startWithin, func() { m.startSettled(h) })
+		time.AfterFunc(startTimeout, func() { m.resolveStart(h) })
 	}
 	return true
 }
 
-// startSettled lets the VM's list decide about a start whose answer was lost.
-func (m *Manager) startSettled(h *taskHold) {
+// resolveStart lets the VM's list decide about a start whose answer was lost.
+func (m *Manager) resolveStart(h *heldTask) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h.starting, h.settledAt = false, time.Now()
+	h.starting, h.startResolvedAt = false, time.Now()
 }
 
 // Stop ends attempts, with a checkpoint if asked. Their end is reported as any
@@ -179,14 +179,14 @@
 		case h != nil && h.end == "", mc.ledger.Reserved(ledgerID(a.Ref)):
 		case h != nil:
 			ended = append(ended, Attempt{Ref: a.Ref, VM: a.VM, End: h.end, Checkpoint: h.checkpoint})
-		case mc.ledger.Ready() && mc.reachable && mc.listAsked.After(mc.trustAfter), m.attemptsOver(mc, now):
+		case mc.ledger.Ready() && mc.reachable && mc.listRequestedAt.After(mc.listCompleteAfter), m.attemptsLost(mc, now):
 			// The VM's own list does not have it, and was asked for when no earlier
 			// owner's start could still be on its way; or the VM is gone for longer
 			// than any lease.
 			ended = append(ended, Attempt{Ref: a.Ref, VM: a.VM, End: EndLost})
-		case now.After(mc.trustAfter):
+		case now.After(mc.listCompleteAfter):
 			// The list is older than that: read it again before the next audit.
-			mc.again()
+			mc.refreshStatus()
 		}
 	}
 	return ended, notOwned
