--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -266,13 +266,13 @@
 				continue
 			}
 			found = append(found, route.Peer{
-				Node: n.ID, Address: n.PeerAddress, Free: freeOf(svc, class), Near: n.Zone == zone, Waiting: svc.Waiting,
+				Node: n.ID, Address: n.PeerAddress, Free: freeOf(svc, class), SameZone: n.Zone == zone, Waiting: svc.Waiting,
 			})
 		}
 	})
 	sort.Slice(found, func(i, j int) bool {
-		if found[i].Near != found[j].Near {
-			return found[i].Near
+		if found[i].SameZone != found[j].SameZone {
+			return found[i].SameZone
 		}
 		return found[i].Free > found[j].Free
 	})
@@ -289,8 +289,8 @@
 	return s.FreeQuick
 }
 
-// Heard implements route.Peers.
-func (c *Cluster) Heard(node, service string, class model.Class, free int64) {
+// SetFree implements route.Peers.
+func (c *Cluster) SetFree(node, service string, class model.Class, free int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[node]
--- a/internal/faults/processes_test.go
+++ b/internal/faults/processes_test.go
@@ -77,7 +77,7 @@
 }
 
 func (w *world) port() string {
-	if len(w.ports) == 0 || w.used == ports.Most {
+	if len(w.ports) == 0 || w.used == ports.MaxPorts {
 		b, err := ports.Claim()
 		require.NoError(w.t, err)
 		w.ports, w.used = append(w.ports, b), 0
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -31,9 +31,9 @@
 	NotRun bool
 	// Connected is set when a connection was had.
 	Connected bool
-	// Silent is set when the other side gave no sign of life on an open connection.
-	Silent bool
-	cause  error
+	// Unresponsive is set when the other side gave no sign of life on an open connection.
+	Unresponsive bool
+	cause        error
 }
 
 // Error implements error.
@@ -45,8 +45,8 @@
 var (
 	// errAbandoned ends a body that was given up before it was released.
 	errAbandoned = errors.New("request given up before its body was sent")
-	// errSilent is the cause when no "100 Continue" came in time.
-	errSilent = errors.New("no sign of life on the connection")
+	// errUnresponsive is the cause when no "100 Continue" came in time.
+	errUnresponsive = errors.New("no sign of life on the connection")
 )
 
 // Options of a Client. Zero fields take the defaults below.
@@ -61,15 +61,15 @@
 	IdleTimeout time.Duration
 }
 
-// Patience says how a request deals with a connection that shows no sign of life.
-type Patience struct {
+// SendPolicy says how a request deals with a connection that shows no sign of life.
+type SendPolicy struct {
 	// Guarded holds the body back until the other side says "100 Continue".
 	Guarded bool
-	// For is how long to wait for that, or, on a reused connection, for the
+	// Timeout is how long to wait for that, or, on a reused connection, for the
 	// answer to a request that is not guarded. Zero waits as long as the request.
-	For time.Duration
-	// GiveUp, if set, is asked before an unguarded request is given up.
-	GiveUp func() bool
+	Timeout time.Duration
+	// MayAbandon, if set, is asked before an unguarded request is given up.
+	MayAbandon func() bool
 }
 
 const (
@@ -77,10 +77,10 @@
 	// dialTimeout is short: all hops are within a few milliseconds, and what could
 	// not be connected to is tried elsewhere.
 	dialTimeout = 300 * time.Millisecond
-	// never keeps the HTTP library from sending a guarded body by itself.
-	never = 365 * 24 * time.Hour
-	// copyBuffer is the size of the library's buffers for a connection.
-	copyBuffer = 8 << 10
+	// effectivelyNever keeps the HTTP library from sending a guarded body by itself.
+	effectivelyNever = 365 * 24 * time.Hour
+	// connBufferSize is the size of the library's buffers for a connection.
+	connBufferSize = 8 << 10
 )
 
 // Client sends requests to one or more addresses. Its connections are its own.
@@ -112,10 +112,10 @@
 		MaxConnsPerHost:       o.MaxConnections,
 		MaxIdleConnsPerHost:   max(o.MaxConnections, 64),
 		IdleConnTimeout:       o.IdleTimeout,
-		ExpectContinueTimeout: never,
+		ExpectContinueTimeout: effectivelyNever,
 		DisableCompression:    true,
-		ReadBufferSize:        copyBuffer,
-		WriteBufferSize:       copyBuffer,
+		ReadBufferSize:        connBufferSize,
+		WriteBufferSize:       connBufferSize,
 	}
 	return c
 }
@@ -148,14 +148,14 @@
 	gateAbandoned
 )
 
-// gate is a body that can be given up as long as no byte was asked of it.
-type gate struct {
+// gatedBody is a body that can be given up as long as no byte was asked of it.
+type gatedBody struct {
 	io.Reader
 	state atomic.Int32
 }
 
 // Read releases the body, unless it was abandoned first.
-func (g *gate) Read(b []byte) (int, error) {
+func (g *gatedBody) Read(b []byte) (int, error) {
 	if g.state.Load() != gateReleased && !g.state.CompareAndSwap(gateHeld, gateReleased) {
 		return 0, errAbandoned
 	}
@@ -163,10 +163,10 @@
 }
 
 // Close implements io.Closer; the body belongs to whoever made the request.
-func (g *gate) Close() error { return nil }
+func (g *gatedBody) Close() error { return nil }
 
 // abandon reports whether the body was never asked for, and never will be.
-func (g *gate) abandon() bool {
+func (g *gatedBody) abandon() bool {
 	return g.state.CompareAndSwap(gateHeld, gateAbandoned) || g.state.Load() == gateAbandoned
 }
 
@@ -184,33 +184,33 @@
 //
 // The body of a guarded request is read only once the other side has shown that
 // it is there, so after an error with NotRun it may be sent elsewhere.
-func (c *Client) Do(r *http.Request, p Patience) (*http.Response, error) {
+func (c *Client) Do(r *http.Request, p SendPolicy) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
-	watch := &silenceWatch{patience: p, cancel: cancel}
+	watch := &responseWatch{policy: p, cancel: cancel}
 	out := r.Clone(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: watch.gotConn}))
 	out.GetBody = nil
-	watch.prepare(out)
+	watch.prepareBody(out)
 	resp, err := c.transport.RoundTrip(out)
 	watch.stop()
 	if err != nil {
-		silent := errors.Is(context.Cause(ctx), errSilent)
+		silent := errors.Is(context.Cause(ctx), errUnresponsive)
 		notRun := watch.notRun()
 		cancel(nil)
 		if silent {
 			// What swallowed this connection's bytes may have lost the others too.
 			c.CloseIdle()
 		}
-		return nil, &Error{NotRun: notRun, Connected: watch.connected.Load(), Silent: silent, cause: err}
+		return nil, &Error{NotRun: notRun, Connected: watch.connected.Load(), Unresponsive: silent, cause: err}
 	}
 	resp.Body = &cancelBody{ReadCloser: resp.Body, cancel: func() { cancel(nil) }}
 	return resp, nil
 }
 
-// silenceWatch gives a request up when its connection shows no sign of life.
-type silenceWatch struct {
-	patience  Patience
+// responseWatch gives a request up when its connection shows no sign of life.
+type responseWatch struct {
+	policy    SendPolicy
 	cancel    context.CancelCauseFunc
-	gate      *gate
+	gate      *gatedBody
 	connected atomic.Bool
 
 	mu      sync.Mutex
@@ -218,15 +218,15 @@
 	timer   *time.Timer
 }
 
-// prepare gives out the body that the watch needs.
-func (w *silenceWatch) prepare(out *http.Request) {
-	if !w.patience.Guarded {
+// prepareBody gives out the body that the watch needs.
+func (w *responseWatch) prepareBody(out *http.Request) {
+	if !w.policy.Guarded {
 		if out.Body == nil || out.Body == http.NoBody {
 			out.Body, out.ContentLength = emptyBody{}, 0
 		}
 		return
 	}
-	w.gate = &gate{Reader: out.Body}
+	w.gate = &gatedBody{Reader: out.Body}
 	if out.Body == nil || out.Body == http.NoBody {
 		w.gate.Reader = emptyBody{}
 	}
@@ -241,33 +241,33 @@
 // gotConn starts the clock: waiting for a free connection is not silence, and
 // an unguarded request is timed only on a connection that was used before,
 // since it is open ones that go silent.
-func (w *silenceWatch) gotConn(info httptrace.GotConnInfo) {
+func (w *responseWatch) gotConn(info httptrace.GotConnInfo) {
 	w.connected.Store(true)
-	if w.patience.For <= 0 || w.gate == nil && !info.Reused {
+	if w.policy.Timeout <= 0 || w.gate == nil && !info.Reused {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && w.timer == nil {
-		w.timer = time.AfterFunc(w.patience.For, w.expired)
+		w.timer = time.AfterFunc(w.policy.Timeout, w.expired)
 	}
 }
 
-func (w *silenceWatch) expired() {
+func (w *responseWatch) expired() {
 	switch {
 	case w.gate != nil && !w.gate.abandon():
 		return
-	case w.gate == nil && w.patience.GiveUp != nil && !w.patience.GiveUp():
+	case w.gate == nil && w.policy.MayAbandon != nil && !w.policy.MayAbandon():
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.cancel(errSilent)
+		w.cancel(errUnresponsive)
 	}
 }
 
-func (w *silenceWatch) stop() {
+func (w *responseWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
@@ -278,7 +278,7 @@
 
 // notRun reports, after a failure, whether the other side cannot have run the
 // request, and makes sure of it.
-func (w *silenceWatch) notRun() bool {
+func (w *responseWatch) notRun() bool {
 	if w.gate != nil {
 		return w.gate.abandon()
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -28,24 +28,24 @@
 	connectionHeadroom = 4
 )
 
-// Verdict says whether something was admitted, and if not, why.
-type Verdict string
+// Decision says whether something was admitted, and if not, why.
+type Decision string
 
 // The verdicts.
 const (
-	Admitted     Verdict = "admitted"
-	NotReady     Verdict = "not ready: the VM's own list was not read yet"
-	Leaving      Verdict = "the VM is leaving"
-	NoSlot       Verdict = "no free slot"
-	NoConnection Verdict = "no free connection"
-	ClassLimit   Verdict = "the class has its share of the VM"
-	ServiceLimit Verdict = "the service has its share of the VM"
-	NoRoom       Verdict = "processors, memory or accelerators do not suffice"
-	AlreadyHeld  Verdict = "already held"
+	Admitted              Decision = "admitted"
+	NotReady              Decision = "not ready: the VM's own list was not read yet"
+	Leaving               Decision = "the VM is leaving"
+	NoSlot                Decision = "no free slot"
+	NoConnection          Decision = "no free connection"
+	ClassLimit            Decision = "the class has its share of the VM"
+	ServiceLimit          Decision = "the service has its share of the VM"
+	InsufficientResources Decision = "processors, memory or accelerators do not suffice"
+	AlreadyHeld           Decision = "already held"
 )
 
-// hold is one thing that the VM holds.
-type hold struct {
+// allocation is one thing that the VM holds.
+type allocation struct {
 	class     model.Class // empty for a task
 	service   string      // of a request
 	resources model.Resources
@@ -62,10 +62,10 @@
 	used     model.Resources
 	byClass  map[model.Class]int64
 	// byService counts the slots that each service's requests hold.
-	byService map[string]int64
-	holds     map[string]hold
-	ready     bool
-	leaving   bool
+	byService   map[string]int64
+	allocations map[string]allocation
+	ready       bool
+	leaving     bool
 	// foreignConnections are open at the target but not ours.
 	foreignConnections int64
 }
@@ -73,7 +73,7 @@
 // New returns a ledger that admits nothing until Rebuild was called.
 // reserve is kept free of tasks for the VM's services.
 func New(capacity, reserve model.Resources) *Ledger {
-	return &Ledger{capacity: capacity, reserve: reserve, byClass: map[model.Class]int64{}, byService: map[string]int64{}, holds: map[string]hold{}}
+	return &Ledger{capacity: capacity, reserve: reserve, byClass: map[model.Class]int64{}, byService: map[string]int64{}, allocations: map[string]allocation{}}
 }
 
 // RequestResources is what a request of a class takes.
@@ -93,8 +93,8 @@
 // SetReserve changes what is kept free of tasks.
 func (l *Ledger) SetReserve(reserve model.Resources) { l.reserve = reserve }
 
-// Ask is a request that wants a place.
-type Ask struct {
+// RequestSpec is a request that wants a place.
+type RequestSpec struct {
 	Service string
 	Class   model.Class
 	// Shared is set when other services use the VM too: the service then gets
@@ -103,22 +103,22 @@
 }
 
 // AdmitRequest takes a slot and a connection, as the class needs, under id.
-func (l *Ledger) AdmitRequest(id string, a Ask) Verdict {
+func (l *Ledger) AdmitRequest(id string, a RequestSpec) Decision {
 	if v := l.MayRequest(a); v != Admitted {
 		return v
 	}
-	return l.add(id, hold{class: a.Class, service: a.Service, resources: RequestResources(a.Class)})
+	return l.add(id, allocation{class: a.Class, service: a.Service, resources: RequestResources(a.Class)})
 }
 
 // MayRequest decides without taking anything.
-func (l *Ledger) MayRequest(a Ask) Verdict {
+func (l *Ledger) MayRequest(a RequestSpec) Decision {
 	if a.Shared && a.Class != model.Standing && l.byService[a.Service] >= l.capacity.Slots*serviceShareNumerator/serviceShareDenominator {
 		return ServiceLimit
 	}
-	return l.mayRequest(a.Class)
+	return l.checkClass(a.Class)
 }
 
-func (l *Ledger) mayRequest(class model.Class) Verdict {
+func (l *Ledger) checkClass(class model.Class) Decision {
 	switch {
 	case !l.ready:
 		return NotReady
@@ -141,7 +141,7 @@
 
 // FreeRequests returns how many requests of a class could be admitted now.
 func (l *Ledger) FreeRequests(class model.Class) int64 {
-	if l.mayRequest(class) != Admitted {
+	if l.checkClass(class) != Admitted {
 		return 0
 	}
 	free := l.free()
@@ -157,22 +157,22 @@
 
 // Reserve takes resources for a task under id until expires, when the
 // reservation ends by itself unless Keep was called.
-func (l *Ledger) Reserve(id string, r model.Resources, expires time.Time) Verdict {
+func (l *Ledger) Reserve(id string, r model.Resources, expires time.Time) Decision {
 	if v := l.MayPlace(r); v != Admitted {
 		return v
 	}
-	return l.add(id, hold{resources: r, expires: expires})
+	return l.add(id, allocation{resources: r, expires: expires})
 }
 
 // MayPlace decides whether a task would fit, without taking anything.
-func (l *Ledger) MayPlace(r model.Resources) Verdict {
+func (l *Ledger) MayPlace(r model.Resources) Decision {
 	switch {
 	case !l.ready:
 		return NotReady
 	case l.leaving:
 		return Leaving
 	case !r.FitsIn(l.FreeForTasks()):
-		return NoRoom
+		return InsufficientResources
 	}
 	return Admitted
 }
@@ -184,25 +184,25 @@
 	return free
 }
 
-// Keep turns a reservation into a hold; it reports false when the reservation
+// Confirm turns a reservation into a hold; it reports false when the reservation
 // is not there, and the task must then not be started.
-func (l *Ledger) Keep(id string) bool {
-	h, ok := l.holds[id]
+func (l *Ledger) Confirm(id string) bool {
+	h, ok := l.allocations[id]
 	if !ok {
 		return false
 	}
 	h.expires = time.Time{}
-	l.holds[id] = h
+	l.allocations[id] = h
 	return true
 }
 
 // Release frees id; it does nothing when id is not held.
 func (l *Ledger) Release(id string) {
-	h, ok := l.holds[id]
+	h, ok := l.allocations[id]
 	if !ok {
 		return
 	}
-	delete(l.holds, id)
+	delete(l.allocations, id)
 	l.used = l.used.Sub(h.resources)
 	l.countRequest(h, -1)
 }
@@ -210,15 +210,15 @@
 // MarkUncertain keeps a request's slot taken although we gave it up at now: the
 // target may still be executing it.
 func (l *Ledger) MarkUncertain(id string, now time.Time) {
-	if h, ok := l.holds[id]; ok {
+	if h, ok := l.allocations[id]; ok {
 		h.uncertainSince = now
-		l.holds[id] = h
+		l.allocations[id] = h
 	}
 }
 
 // Uncertain reports whether any request's slot waits for the VM's word.
 func (l *Ledger) Uncertain() bool {
-	for _, h := range l.holds {
+	for _, h := range l.allocations {
 		if !h.uncertainSince.IsZero() {
 			return true
 		}
@@ -226,9 +226,9 @@
 	return l.foreignConnections > 0
 }
 
-// Tick ends the reservations that were not used by now.
-func (l *Ledger) Tick(now time.Time) {
-	for id, h := range l.holds {
+// ExpireReservations ends the reservations that were not used by now.
+func (l *Ledger) ExpireReservations(now time.Time) {
+	for id, h := range l.allocations {
 		if !h.expires.IsZero() && now.After(h.expires) {
 			l.Release(id)
 		}
@@ -252,20 +252,20 @@
 // holds and we did not know, and makes the ledger ready.
 func (l *Ledger) Observe(o Observation) {
 	for id, r := range o.Tasks {
-		if _, ok := l.holds[id]; !ok {
-			l.add(id, hold{resources: r})
+		if _, ok := l.allocations[id]; !ok {
+			l.add(id, allocation{resources: r})
 		}
 	}
 	executing := make(map[string]bool, len(o.InFlight))
 	for _, id := range o.InFlight {
 		executing[id] = true
-		if _, ok := l.holds[id]; !ok {
+		if _, ok := l.allocations[id]; !ok {
 			// A request of an earlier owner.
-			h := hold{class: model.Quick, resources: RequestResources(model.Quick), uncertainSince: o.AskedAt}
+			h := allocation{class: model.Quick, resources: RequestResources(model.Quick), uncertainSince: o.AskedAt}
 			l.add(id, h)
 		}
 	}
-	for id, h := range l.holds {
+	for id, h := range l.allocations {
 		if !h.uncertainSince.IsZero() && h.uncertainSince.Before(o.AskedAt) && !executing[id] {
 			l.Release(id)
 		}
@@ -280,8 +280,8 @@
 // Capacity returns what the VM can hold.
 func (l *Ledger) Capacity() model.Resources { return l.capacity }
 
-// Holds returns the number of things held.
-func (l *Ledger) Holds() int { return len(l.holds) }
+// HeldCount returns the number of things held.
+func (l *Ledger) HeldCount() int { return len(l.allocations) }
 
 func (l *Ledger) free() model.Resources {
 	free := l.capacity.Sub(l.used)
@@ -289,18 +289,18 @@
 	return free
 }
 
-func (l *Ledger) add(id string, h hold) Verdict {
-	if _, ok := l.holds[id]; ok {
+func (l *Ledger) add(id string, h allocation) Decision {
+	if _, ok := l.allocations[id]; ok {
 		return AlreadyHeld
 	}
-	l.holds[id] = h
+	l.allocations[id] = h
 	l.used = l.used.Add(h.resources)
 	l.countRequest(h, 1)
 	return Admitted
 }
 
 // countRequest keeps the counts by class and service; tasks have neither.
-func (l *Ledger) countRequest(h hold, n int64) {
+func (l *Ledger) countRequest(h allocation, n int64) {
 	if h.class == "" {
 		return
 	}
@@ -311,10 +311,10 @@
 }
 
 // HeldBy returns what id holds, nothing if it is not held.
-func (l *Ledger) HeldBy(id string) model.Resources { return l.holds[id].resources }
+func (l *Ledger) HeldBy(id string) model.Resources { return l.allocations[id].resources }
 
-// Reserved reports whether id is held, as a reservation or for good.
-func (l *Ledger) Reserved(id string) bool {
-	_, ok := l.holds[id]
+// IsHeld reports whether id is held, as a reservation or for good.
+func (l *Ledger) IsHeld(id string) bool {
+	_, ok := l.allocations[id]
 	return ok
 }
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	probeEvery   = 200 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
 )
 
 // NewBalancer returns a balancer without nodes.
@@ -87,7 +87,7 @@
 // Run probes until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
 	defer b.client.CloseIdleConnections()
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		var wg sync.WaitGroup
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -163,7 +163,7 @@
 	wg.Wait()
 }
 
-func (g *Generator) draw() (id string, float float64) {
+func (g *Generator) nextRequestID() (id string, float float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.next++
@@ -176,7 +176,7 @@
 	if !ok {
 		return
 	}
-	id, p := g.draw()
+	id, p := g.nextRequestID()
 	work := quickWorkMS
 	if class == model.Heavy {
 		work = heavyWorkMS
@@ -218,7 +218,7 @@
 		if !ok {
 			continue
 		}
-		id, _ := g.draw()
+		id, _ := g.nextRequestID()
 		body := io.MultiReader(strings.NewReader(strings.Repeat("x", 2*deployment.MaxBodyBytes)))
 		g.send(context.WithoutCancel(ctx), request{node: node, id: id, class: model.Quick, method: http.MethodPost, body: body})
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	req.GetBody = nil
-	g.sign(req, r.id, r.class)
+	g.setHeaders(req, r.id, r.class)
 	g.Recorder.Add(record.Event{Kind: record.CallerSent, Node: r.node.Name, ID: r.id, Class: r.class, Idempotent: r.idempotent})
 	started := time.Now()
 	e := g.exchange(req, r.id)
@@ -241,7 +241,7 @@
 	g.count(r.class, e)
 }
 
-func (g *Generator) sign(req *http.Request, id string, class model.Class) {
+func (g *Generator) setHeaders(req *http.Request, id string, class model.Class) {
 	req.Header.Set("Authorization", "Bearer "+g.Token)
 	req.Header.Set(route.HeaderRequestID, id)
 	req.Header.Set(route.HeaderClass, string(class))
@@ -251,7 +251,7 @@
 func (g *Generator) exchange(req *http.Request, id string) record.Event {
 	resp, err := g.client.Do(req)
 	if err != nil {
-		return record.Event{Outcome: string(errkind.Unknown), Reason: reasonOf(err)}
+		return record.Event{Outcome: string(errkind.Unknown), Reason: failureReason(err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
@@ -269,8 +269,8 @@
 	return e
 }
 
-// reasonOf tells a connection that was never made from one that broke.
-func reasonOf(err error) string {
+// failureReason tells a connection that was never made from one that broke.
+func failureReason(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return "refused"
@@ -319,13 +319,13 @@
 	if !ok {
 		return
 	}
-	id, _ := g.draw()
+	id, _ := g.nextRequestID()
 	url := fmt.Sprintf("http://%s/svc/%s/watch?interval_ms=%d", node.Callers, g.Service, watchIntervalMS)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return
 	}
-	g.sign(req, id, model.Standing)
+	g.setHeaders(req, id, model.Standing)
 	if *seen > 0 {
 		req.Header.Set(route.HeaderResume, strconv.FormatInt(*seen, 10))
 	}
@@ -343,7 +343,7 @@
 func (g *Generator) readEvents(req *http.Request, seen *int64) (outcome, reason string) {
 	resp, err := g.client.Do(req)
 	if err != nil {
-		return string(errkind.Unknown), reasonOf(err)
+		return string(errkind.Unknown), failureReason(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(route.HeaderOutcome) != string(errkind.Ran) {
@@ -358,11 +358,11 @@
 			}
 			return string(errkind.Ran), resp.Trailer.Get(route.HeaderEnd)
 		}
-		g.noteEvent(line, seen)
+		g.countEvent(line, seen)
 	}
 }
 
-func (g *Generator) noteEvent(line string, seen *int64) {
+func (g *Generator) countEvent(line string, seen *int64) {
 	n, _ := strconv.ParseInt(strings.TrimPrefix(line, "event "), 10, 64)
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/load/teams.go
+++ b/internal/load/teams.go
@@ -26,23 +26,23 @@
 	tasksDone                   int64
 	evictions                   int
 	// urgentStart is from submission to the first sight of a placed task.
-	turnaround *hdrhistogram.Histogram
-	submitAt   map[string]time.Time
+	turnaround  *hdrhistogram.Histogram
+	submittedAt map[string]time.Time
 }
 
 const (
-	pollJobsEvery = 250 * time.Millisecond
-	taskMilliCPU  = 2_000
-	taskMemoryMB  = 4_000
-	taskMS        = 1_500
-	// urgentEvery jobs one is urgent.
-	urgentEvery = 5
+	pollInterval = 250 * time.Millisecond
+	taskMilliCPU = 2_000
+	taskMemoryMB = 4_000
+	taskMS       = 1_500
+	// jobsPerUrgentJob jobs one is urgent.
+	jobsPerUrgentJob = 5
 	// httpTimeout bounds an administration call.
 	httpTimeout = 10 * time.Second
 )
 
-// api calls the administration API of some ready node.
-func (g *Generator) api(ctx context.Context, token string, build func(*sling.Sling) *sling.Sling, answer any) (int, error) {
+// callAdmin calls the administration API of some ready node.
+func (g *Generator) callAdmin(ctx context.Context, token string, build func(*sling.Sling) *sling.Sling, answer any) (int, error) {
 	node, ok := g.Balancer.Pick()
 	if !ok {
 		return 0, fmt.Errorf("no node is ready")
@@ -67,9 +67,9 @@
 		return
 	}
 	g.mu.Lock()
-	g.jobs = jobStats{open: map[string]int{}, submitAt: map[string]time.Time{}, turnaround: hdrhistogram.New(1, maxLatencyUS, 3)}
+	g.jobs = jobStats{open: map[string]int{}, submittedAt: map[string]time.Time{}, turnaround: hdrhistogram.New(1, maxLatencyUS, 3)}
 	g.mu.Unlock()
-	submit, poll := time.NewTicker(g.JobEvery), time.NewTicker(pollJobsEvery)
+	submit, poll := time.NewTicker(g.JobEvery), time.NewTicker(pollInterval)
 	defer submit.Stop()
 	defer poll.Stop()
 	for n := 0; ; {
@@ -87,10 +87,10 @@
 
 func (g *Generator) submitJob(ctx context.Context, n int) {
 	spec := model.JobSpec{
-		ID: fmt.Sprintf("job-%d", n), Team: g.BatchTeam, Tasks: g.JobTasks, DurationMS: taskMS, Urgent: n%urgentEvery == 0,
+		ID: fmt.Sprintf("job-%d", n), Team: g.BatchTeam, Tasks: g.JobTasks, DurationMS: taskMS, Urgent: n%jobsPerUrgentJob == 0,
 		PerTask: model.Resources{MilliCPU: taskMilliCPU, MemoryMB: taskMemoryMB},
 	}
-	status, err := g.api(ctx, g.BatchToken, func(s *sling.Sling) *sling.Sling {
+	status, err := g.callAdmin(ctx, g.BatchToken, func(s *sling.Sling) *sling.Sling {
 		return s.Post("/v1/teams/" + g.BatchTeam + "/jobs").BodyJSON(spec)
 	}, nil)
 	g.mu.Lock()
@@ -99,7 +99,7 @@
 	case status == http.StatusOK:
 		g.jobs.submitted++
 		g.jobs.open[g.BatchTeam+"/"+spec.ID] = spec.Tasks
-		g.jobs.submitAt[g.BatchTeam+"/"+spec.ID] = time.Now()
+		g.jobs.submittedAt[g.BatchTeam+"/"+spec.ID] = time.Now()
 	case status != 0 && err == nil:
 		g.jobs.refused++
 	default:
@@ -110,7 +110,7 @@
 // pollJobs looks which of the open jobs have ended.
 func (g *Generator) pollJobs(ctx context.Context) {
 	var listing jobs.Listing
-	status, err := g.api(ctx, g.BatchToken, func(s *sling.Sling) *sling.Sling {
+	status, err := g.callAdmin(ctx, g.BatchToken, func(s *sling.Sling) *sling.Sling {
 		return s.Get("/v1/teams/" + g.BatchTeam + "/jobs")
 	}, &listing)
 	if err != nil || status != http.StatusOK {
@@ -129,7 +129,7 @@
 		delete(g.jobs.open, key)
 		g.jobs.done++
 		g.jobs.tasksDone += int64(tasks)
-		_ = g.jobs.turnaround.RecordValue(time.Since(g.jobs.submitAt[key]).Microseconds())
+		_ = g.jobs.turnaround.RecordValue(time.Since(g.jobs.submittedAt[key]).Microseconds())
 		g.Recorder.Add(record.Event{Kind: record.JobDone, ID: key, Version: int64(tasks)})
 	}
 }
@@ -147,7 +147,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollJobsEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -158,7 +158,7 @@
 	if g.PatchEvery <= 0 {
 		return
 	}
-	patch, look := time.NewTicker(g.PatchEvery), time.NewTicker(pollJobsEvery)
+	patch, look := time.NewTicker(g.PatchEvery), time.NewTicker(pollInterval)
 	defer patch.Stop()
 	defer look.Stop()
 	for n := 1; ; {
@@ -169,19 +169,19 @@
 			n++
 			g.patchOnce(ctx, n)
 		case <-look.C:
-			g.lookAtConfig(ctx)
+			g.recordConfigVersions(ctx)
 		}
 	}
 }
 
 func (g *Generator) patchOnce(ctx context.Context, n int) {
 	var cur admin.ConfigAnswer
-	if status, err := g.api(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling { return s.Get("/v1/config") }, &cur); err != nil || status != http.StatusOK {
+	if status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling { return s.Get("/v1/config") }, &cur); err != nil || status != http.StatusOK {
 		return
 	}
 	body := map[string]any{"weights": map[string]any{"tail": n, "throughput": n}}
 	var made admin.PatchAnswer
-	status, err := g.api(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling {
+	status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling {
 		return s.Patch("/v1/config").Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(cur.Version))).BodyJSON(body)
 	}, &made)
 	if err == nil && status == http.StatusOK {
@@ -189,8 +189,8 @@
 	}
 }
 
-// lookAtConfig records the version that each node uses.
-func (g *Generator) lookAtConfig(ctx context.Context) {
+// recordConfigVersions records the version that each node uses.
+func (g *Generator) recordConfigVersions(ctx context.Context) {
 	for _, node := range g.Balancer.All() {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		req, err := http.NewRequestWithContext(callCtx, http.MethodGet, "http://"+node.Admin+"/v1/config", nil)
--- a/internal/ports/ports.go
+++ b/internal/ports/ports.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// lowest and highest bound the ports handed out: above those of well-known
+	// minPort and highest bound the ports handed out: above those of well-known
 	// services, below 32768, from where Linux gives ports to those who ask for any.
-	lowest, highest = 12_000, 32_000
+	minPort, maxPort = 12_000, 32_000
 	// blockPorts is the size of a block, the claiming port among them.
 	blockPorts = 16
-	blocks     = (highest - lowest) / blockPorts
-	// Most is how many ports one block has for its owner.
-	Most = blockPorts - 1
-	host = "127.0.0.1"
+	blocks     = (maxPort - minPort) / blockPorts
+	// MaxPorts is how many ports one block has for its owner.
+	MaxPorts = blockPorts - 1
+	host     = "127.0.0.1"
 )
 
 // Block is a block of ports that nobody else is given until it is released.
@@ -38,11 +38,11 @@
 func Claim() (*Block, error) {
 	start := rand.IntN(blocks)
 	for i := range blocks {
-		if b := claim(lowest + (start+i)%blocks*blockPorts); b != nil {
+		if b := claim(minPort + (start+i)%blocks*blockPorts); b != nil {
 			return b, nil
 		}
 	}
-	return nil, fmt.Errorf("none of %d blocks of ports from %d on is free", blocks, lowest)
+	return nil, fmt.Errorf("none of %d blocks of ports from %d on is free", blocks, minPort)
 }
 
 // claim takes the block that begins at a port, or returns nil.
@@ -52,7 +52,7 @@
 		return nil
 	}
 	b := &Block{claim: ln, first: first}
-	for i := range Most {
+	for i := range MaxPorts {
 		// Another program, or a process that outlived its test, may listen there.
 		used, err := net.Listen("tcp", b.Address(i))
 		if err != nil {
--- a/internal/ports/ports_test.go
+++ b/internal/ports/ports_test.go
@@ -16,8 +16,8 @@
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	for range 4 {
-		others.Go(func() { takeAny(stop) })
-		others.Go(func() { claimAny(stop) })
+		others.Go(func() { bindRandomPorts(stop) })
+		others.Go(func() { claimBlocks(stop) })
 	}
 	defer others.Wait()
 	defer close(stop)
@@ -26,7 +26,7 @@
 		require.NoError(t, err)
 		for range 5 {
 			// The owner ends and starts anew.
-			for i := range Most {
+			for i := range MaxPorts {
 				ln, err := net.Listen("tcp", b.Address(i))
 				require.NoError(t, err)
 				require.NoError(t, ln.Close())
@@ -36,8 +36,8 @@
 	}
 }
 
-// takeAny holds some hundred ports that the system chose, others all the time.
-func takeAny(stop chan struct{}) {
+// bindRandomPorts holds some hundred ports that the system chose, others all the time.
+func bindRandomPorts(stop chan struct{}) {
 	var held [200]net.Listener
 	for i := 0; ; i = (i + 1) % len(held) {
 		select {
@@ -57,7 +57,7 @@
 	}
 }
 
-func claimAny(stop chan struct{}) {
+func claimBlocks(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -72,11 +72,11 @@
 
 // A block of which any port is in use is passed over, and is free again once it is
 // released.
-func TestBlocksInUseArePassedOver(t *testing.T) {
+func TestClaimSkipsBlocksInUse(t *testing.T) {
 	b, err := Claim()
 	require.NoError(t, err)
 	require.Nil(t, claim(b.first))
-	used, err := net.Listen("tcp", b.Address(Most-1))
+	used, err := net.Listen("tcp", b.Address(MaxPorts-1))
 	require.NoError(t, err)
 	b.Release()
 	require.Nil(t, claim(b.first))
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -23,8 +23,8 @@
 // replayLimit is how much of an idempotent request's body is kept for a repeat.
 const replayLimit = 64 << 10
 
-// body is a request's body on its way to one place or, if that fails, another.
-type body struct {
+// requestBody is a request's body on its way to one place or, if that fails, another.
+type requestBody struct {
 	source   io.Reader
 	length   int64
 	buffered []byte
@@ -35,9 +35,9 @@
 
 // body returns the request's body, limited to what the service takes. Small
 // bodies of idempotent requests are kept, so that they can be repeated.
-func (req *request) body(w http.ResponseWriter) *body {
+func (req *request) body(w http.ResponseWriter) *requestBody {
 	r := req.http
-	b := &body{length: r.ContentLength}
+	b := &requestBody{length: r.ContentLength}
 	if r.Body == nil || r.Body == http.NoBody {
 		b.keep = true
 		return b
@@ -63,10 +63,10 @@
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
 // repeatable reports whether the body can be sent once more.
-func (b *body) repeatable() bool { return b.keep || !b.read.Load() }
+func (b *requestBody) repeatable() bool { return b.keep || !b.read.Load() }
 
 // reader returns the body for one try.
-func (b *body) reader() (io.ReadCloser, error) {
+func (b *requestBody) reader() (io.ReadCloser, error) {
 	if b.source == nil {
 		return http.NoBody, nil
 	}
@@ -83,16 +83,16 @@
 	return io.NopCloser(bytes.NewReader(b.buffered)), nil
 }
 
-// forwarded returns the caller's headers without those of one hop and those
+// forwardedHeader returns the caller's headers without those of one hop and those
 // between nodes.
-func (req *request) forwarded() http.Header {
+func (req *request) forwardedHeader() http.Header {
 	h := req.http.Header.Clone()
 	strip(h, hopByHop)
 	strip(h, internalHeaders)
 	return h
 }
 
-func (req *request) leftMS() int64 {
+func (req *request) remainingMS() int64 {
 	return max((time.Until(req.deadline) - answerMargin).Milliseconds(), 1)
 }
 
@@ -106,7 +106,7 @@
 }
 
 // toTarget sends the request to an own VM.
-func (rt *Router) toTarget(ctx context.Context, req *request, b *body, grant *vms.Grant) (*answer, error) {
+func (rt *Router) toTarget(ctx context.Context, req *request, b *requestBody, grant *vms.Grant) (*answer, error) {
 	reader, err := b.reader()
 	if err == nil && !grant.MayAct() {
 		err = errkind.New(errkind.NotOwner, "", nil)
@@ -118,7 +118,7 @@
 	got, err := grant.Target.Send(ctx, &target.Request{
 		HopID: grant.HopID, OriginID: req.origin, Class: req.class, Deadline: req.deadline, Resume: req.resume,
 		Method: req.http.Method, Path: req.path, RawQuery: req.http.URL.RawQuery,
-		Header: req.forwarded(), Body: reader, Length: b.length, Patience: rt.patience(req, grant.SuspectTimeout()),
+		Header: req.forwardedHeader(), Body: reader, Length: b.length, Policy: rt.sendPolicy(req, grant.SuspectTimeout()),
 	})
 	if err != nil {
 		return nil, endFailed(err, grant)
@@ -128,25 +128,25 @@
 }
 
 const (
-	// targetPatience is how long a target may take to say "100 Continue".
-	targetPatience = 500 * time.Millisecond
-	// peerPatience covers that and the peer's own hop.
-	peerPatience = targetPatience + 250*time.Millisecond
+	// targetTimeout is how long a target may take to say "100 Continue".
+	targetTimeout = 500 * time.Millisecond
+	// peerTimeout covers that and the peer's own hop.
+	peerTimeout = targetTimeout + 250*time.Millisecond
 	// maxErrorBytes of a peer's message are passed on.
 	maxErrorBytes = 1 << 10
 )
 
-// patience says how long a connection may show no sign of life. A quick request
+// sendPolicy says how long a connection may show no sign of life. A quick request
 // that may run twice is given up after usual, its usual time many times over,
 // if the retry budget allows; others wait for their deadline.
-func (rt *Router) patience(req *request, usual time.Duration) hop.Patience {
+func (rt *Router) sendPolicy(req *request, usual time.Duration) hop.SendPolicy {
 	switch {
 	case !req.idempotent:
-		return hop.Patience{Guarded: true, For: max(usual, targetPatience)}
+		return hop.SendPolicy{Guarded: true, Timeout: max(usual, targetTimeout)}
 	case req.class == model.Quick:
-		return hop.Patience{For: usual, GiveUp: rt.budget.spend}
+		return hop.SendPolicy{Timeout: usual, MayAbandon: rt.budget.spend}
 	}
-	return hop.Patience{}
+	return hop.SendPolicy{}
 }
 
 // endFailed gives the place back after a failed exchange and names the failure.
@@ -172,7 +172,7 @@
 }
 
 // toPeer sends the request to the node that owns a VM with room.
-func (rt *Router) toPeer(ctx context.Context, req *request, b *body, p Peer, wait time.Duration) (*answer, error) {
+func (rt *Router) toPeer(ctx context.Context, req *request, b *requestBody, p Peer, wait time.Duration) (*answer, error) {
 	reader, err := b.reader()
 	if err != nil {
 		return nil, err
@@ -180,12 +180,12 @@
 	out := (&http.Request{
 		Method: req.http.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: p.Address,
 		URL:    &url.URL{Scheme: "http", Host: p.Address, Path: forwardPrefix + req.service + req.path, RawQuery: req.http.URL.RawQuery},
-		Header: req.forwarded(), Body: reader, ContentLength: b.length,
+		Header: req.forwardedHeader(), Body: reader, ContentLength: b.length,
 	}).WithContext(ctx)
-	req.tellPeer(out.Header, wait)
-	resp, err := rt.client.Do(out, rt.patience(req, peerPatience+wait))
+	req.setPeerHeaders(out.Header, wait)
+	resp, err := rt.client.Do(out, rt.sendPolicy(req, peerTimeout+wait))
 	if err != nil {
-		rt.Peers.Heard(p.Node, req.service, req.class, 0)
+		rt.Peers.SetFree(p.Node, req.service, req.class, 0)
 		var failed *hop.Error
 		if errors.As(err, &failed) && failed.NotRun {
 			return nil, errkind.New(errkind.NoCapacity, "a peer was not reached", err)
@@ -195,15 +195,15 @@
 	return rt.fromPeer(req, p, resp)
 }
 
-// tellPeer sets the headers between nodes.
-func (req *request) tellPeer(h http.Header, wait time.Duration) {
+// setPeerHeaders sets the headers between nodes.
+func (req *request) setPeerHeaders(h http.Header, wait time.Duration) {
 	h.Set(headerTeam, req.team)
 	h.Set(HeaderRequestID, req.origin)
 	h.Set(HeaderClass, string(req.class))
 	h.Set(HeaderIdempotent, strconv.FormatBool(req.idempotent))
 	h.Set(headerMayWait, strconv.FormatInt(wait.Milliseconds(), 10))
 	if !req.deadline.IsZero() {
-		h.Set(HeaderTimeoutMS, strconv.FormatInt(req.leftMS(), 10))
+		h.Set(HeaderTimeoutMS, strconv.FormatInt(req.remainingMS(), 10))
 	}
 	if req.resume > 0 {
 		h.Set(HeaderResume, strconv.FormatInt(req.resume, 10))
@@ -213,12 +213,12 @@
 // fromPeer judges a peer's answer.
 func (rt *Router) fromPeer(req *request, p Peer, resp *http.Response) (*answer, error) {
 	if free, err := strconv.ParseInt(resp.Header.Get(headerFree), 10, 64); err == nil {
-		rt.Peers.Heard(p.Node, req.service, req.class, free)
+		rt.Peers.SetFree(p.Node, req.service, req.class, free)
 	}
 	resp.Header.Del(headerFree)
 	if kind := errkind.Kind(resp.Header.Get(HeaderError)); kind != "" {
 		if kind == errkind.NoCapacity || kind == errkind.Overloaded {
-			rt.Peers.Heard(p.Node, req.service, req.class, 0)
+			rt.Peers.SetFree(p.Node, req.service, req.class, 0)
 		}
 		message, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 		_ = resp.Body.Close()
@@ -277,10 +277,10 @@
 		return
 	}
 	req.team = r.Header.Get(headerTeam)
-	ctx, cancel := rt.requestContext(r.Context(), req)
+	ctx, cancel := rt.withDeadline(r.Context(), req)
 	defer cancel()
 	waitMS, _ := strconv.ParseInt(r.Header.Get(headerMayWait), 10, 64)
-	wait := min(time.Duration(waitMS)*time.Millisecond, waitFor(req.class))
+	wait := min(time.Duration(waitMS)*time.Millisecond, maxWait(req.class))
 	b := req.body(w)
 	grant, err := rt.VMs.Acquire(ctx, req.service, req.class, wait)
 	if err != nil {
--- a/internal/route/failures_test.go
+++ b/internal/route/failures_test.go
@@ -37,24 +37,24 @@
 	os.Exit(m.Run())
 }
 
-// bed is a deployment of one availability zone, two nodes and three VMs.
-type bed struct {
+// testCluster is a deployment of one availability zone, two nodes and three VMs.
+type testCluster struct {
 	*harness.Deployment
-	t      *testing.T
-	hosts  *harness.Fake
-	caller *harness.Caller
-	count  int
+	t            *testing.T
+	hosts        *harness.Fake
+	caller       *harness.Caller
+	requestCount int
 }
 
 const (
-	service = "crewbook"
-	first   = "east-n1"
-	second  = "east-n2"
+	service    = "crewbook"
+	firstNode  = "east-n1"
+	secondNode = "east-n2"
 )
 
-// inBed runs f on a deployment in a bubble of virtual time and ends with the
+// withTestCluster runs f on a deployment in a bubble of virtual time and ends with the
 // checker's verdict on all that ran.
-func inBed(t *testing.T, f func(t *testing.T, b *bed)) {
+func withTestCluster(t *testing.T, f func(t *testing.T, b *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
@@ -66,7 +66,7 @@
 		require.NoError(t, err)
 		// Every node has heard of every other's room.
 		time.Sleep(3 * time.Second)
-		b := &bed{Deployment: d, t: t, hosts: hosts, caller: d.Caller(first)}
+		b := &testCluster{Deployment: d, t: t, hosts: hosts, caller: d.Caller(firstNode)}
 		func() {
 			defer func() {
 				b.caller.Close()
@@ -81,9 +81,9 @@
 }
 
 // send sends one request with a new id and returns the answer and the id.
-func (b *bed) send(method, query string, header http.Header) (harness.Answer, string) {
-	b.count++
-	id := fmt.Sprintf("%s-%d", method, b.count)
+func (b *testCluster) send(method, query string, header http.Header) (harness.Answer, string) {
+	b.requestCount++
+	id := fmt.Sprintf("%s-%d", method, b.requestCount)
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("{}")
@@ -91,16 +91,16 @@
 	return b.caller.Send(context.Background(), method, service+"/work?size=100&"+query, id, body, header), id
 }
 
-func (b *bed) silenceTargets() {
-	for _, node := range []string{first, second} {
+func (b *testCluster) silenceTargets() {
+	for _, node := range []string{firstNode, secondNode} {
 		for _, vm := range b.Shape.VMs() {
 			b.hosts.Silence(b.hosts.IP(node), b.hosts.IP(vm.Name))
 		}
 	}
 }
 
-// warm makes both nodes open connections to every VM and to each other.
-func (b *bed) warm() {
+// openConnections makes both nodes open connections to every VM and to each other.
+func (b *testCluster) openConnections() {
 	var wg sync.WaitGroup
 	for i := range 30 {
 		wg.Add(1)
@@ -141,7 +141,7 @@
 	}
 	for _, row := range rows {
 		t.Run(row.fault+" "+row.method, func(t *testing.T) {
-			inBed(t, func(t *testing.T, b *bed) {
+			withTestCluster(t, func(t *testing.T, b *testCluster) {
 				a, id := b.send(row.method, row.query+"&fault="+row.fault, row.header)
 				require.NoError(t, a.Err)
 				require.Equal(t, string(row.outcome), a.Outcome)
@@ -164,7 +164,7 @@
 // it is offered to another place, all slots have been taken.
 // Cause: the outcome of the last place was told for that of all of them.
 func TestNoRoomForTheSecondTryIsNotNotRun(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		var crowd sync.WaitGroup
 		defer crowd.Wait()
 		time.AfterFunc(50*time.Millisecond, func() {
@@ -185,7 +185,7 @@
 // resets the connection in the middle of its answer. Cause: the node ends its
 // own answer cleanly.
 func TestAnswerCutOffIsPassedOnAsCutOff(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
 			a, id := b.send(method, "fault="+worker.FaultResetMid, nil)
 			require.Error(t, a.Err)
@@ -197,8 +197,8 @@
 // Symptom: a caller gets the answer to somebody else's request. Sequence: the
 // target answers twice on one connection; the connection is used again. Cause:
 // answers are matched to requests by their order alone.
-func TestDuplicateAnswerReachesNobodyElse(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+func TestDuplicateAnswerIsNotGivenToAnotherRequest(t *testing.T) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		for range 20 {
 			a, _ := b.send(http.MethodGet, "fault="+worker.FaultDuplicate, nil)
 			require.NoError(t, a.Err)
@@ -217,12 +217,12 @@
 func TestSilentConnections(t *testing.T) {
 	for _, between := range []string{"targets", "nodes"} {
 		t.Run(between, func(t *testing.T) {
-			inBed(t, func(t *testing.T, b *bed) {
-				b.warm()
+			withTestCluster(t, func(t *testing.T, b *testCluster) {
+				b.openConnections()
 				if between == "targets" {
 					b.silenceTargets()
 				} else {
-					b.hosts.Silence(b.hosts.IP(first), b.hosts.IP(second))
+					b.hosts.Silence(b.hosts.IP(firstNode), b.hosts.IP(secondNode))
 				}
 				for range 5 {
 					for _, method := range []string{http.MethodPost, http.MethodGet} {
@@ -241,7 +241,7 @@
 // Symptom: half a booking is executed. Sequence: the caller's connection breaks
 // while it sends the body. Cause: the part that arrived is passed on as whole.
 func TestBodyCutOffByCallerIsNotRun(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithCancel(context.Background())
 		reader, writer := io.Pipe()
 		go func() {
@@ -260,7 +260,7 @@
 // Symptom: a target works on for callers who have gone. Sequence: the caller
 // leaves while its request runs. Cause: the cancellation is not passed on.
 func TestCallerLeaving(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		a := b.caller.Send(ctx, http.MethodGet, service+"/work?ms=5000", "gone", nil, nil)
@@ -273,7 +273,7 @@
 	})
 }
 
-func (b *bed) inFlight() (n int64) {
+func (b *testCluster) inFlight() (n int64) {
 	for _, node := range b.Nodes() {
 		for _, vm := range node.VMDumps() {
 			n += vm.Used.Slots
@@ -286,7 +286,7 @@
 // requests wait; a VM begins to leave; slots come free. Cause: what waits was
 // bound to the VM when it came.
 func TestTargetLeavesWithQueuedWork(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		var wg sync.WaitGroup
 		answers := make([]harness.Answer, 60)
 		for i := range answers {
@@ -318,7 +318,7 @@
 // under way at a node when it is told to stop, and more come until the balancer
 // has noticed. Cause: the listener closes first, or watches hold the stop up.
 func TestPlannedStopUnderLoad(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		var wg sync.WaitGroup
 		watch := harness.Answer{}
 		wg.Add(1)
@@ -336,7 +336,7 @@
 			}()
 		}
 		time.Sleep(time.Second)
-		b.StopNode(first)
+		b.StopNode(firstNode)
 		wg.Wait()
 		for i, a := range answers {
 			require.NoError(t, a.Err, i)
@@ -351,7 +351,7 @@
 // service that takes seconds gets more requests than there are slots. Cause: it
 // may take them all.
 func TestSlowServiceBesideQuickOne(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		b.patch(`{"services":{"slow":{"team":"rostering"}}}`)
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
@@ -373,7 +373,7 @@
 	})
 }
 
-func (b *bed) patch(patch string) {
+func (b *testCluster) patch(patch string) {
 	require.NoError(b.t, b.Patch(b.t.Context(), patch))
 }
 
@@ -381,7 +381,7 @@
 // quick requests than slots keep coming; an ordinary and an urgent job are
 // submitted. Cause: placement looks at processors only.
 func TestBatchIsShedWhileQuickRequestsWait(t *testing.T) {
-	inBed(t, func(t *testing.T, b *bed) {
+	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		// 120 callers in turn for 24 slots: always some wait at either node.
@@ -415,7 +415,7 @@
 	})
 }
 
-func (b *bed) taskStarts(job string) int {
+func (b *testCluster) taskStarts(job string) int {
 	n := 0
 	for _, e := range b.Recorder.Events() {
 		if e.Kind == record.TaskStart && strings.HasPrefix(e.ID, job+":") {
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -12,15 +12,15 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// limits counts the requests under way by team and by service, so that neither
+// inFlightLimits counts the requests under way by team and by service, so that neither
 // one team nor one slow service can take what others need.
-type limits struct {
+type inFlightLimits struct {
 	mu        sync.Mutex
 	byTeam    map[string]int64
 	byService map[string]int64
 }
 
-func (l *limits) enter(team, service string, doc config.Document) error {
+func (l *inFlightLimits) acquire(team, service string, doc config.Document) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byTeam == nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (l *limits) leave(team, service string) {
+func (l *inFlightLimits) release(team, service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	decrement(l.byTeam, team)
@@ -54,30 +54,30 @@
 // for quiet times. Without it a failing target makes each caller's request
 // several, just when there is least room for them.
 type retryBudget struct {
-	mu    sync.Mutex
-	stock float64
+	mu     sync.Mutex
+	tokens float64
 }
 
 const (
-	retryShare = 0.1
-	retryStock = 20.0
+	tokensPerRequest = 0.1
+	maxTokens        = 20.0
 )
 
-func newRetryBudget() *retryBudget { return &retryBudget{stock: retryStock} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxTokens} }
 
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stock = min(b.stock+retryShare, retryStock)
+	b.tokens = min(b.tokens+tokensPerRequest, maxTokens)
 }
 
 func (b *retryBudget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stock < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.stock--
+	b.tokens--
 	return true
 }
 
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -27,8 +27,8 @@
 	Address string
 	// Free is how many requests of the class it said it could take.
 	Free int64
-	// Near is set for a peer in the same availability zone.
-	Near bool
+	// SameZone is set for a peer in the same availability zone.
+	SameZone bool
 	// Waiting is how many requests it said wait there.
 	Waiting int64
 }
@@ -36,8 +36,8 @@
 // Peers tells where else a request could go, best first.
 type Peers interface {
 	For(service string, class model.Class) []Peer
-	// Heard takes a peer's word, from an answer, on the room it has left.
-	Heard(node, service string, class model.Class, free int64)
+	// SetFree takes a peer's word, from an answer, on the room it has left.
+	SetFree(node, service string, class model.Class, free int64)
 }
 
 // Options of a Router. All fields are needed.
@@ -57,10 +57,10 @@
 	Options
 	client *hop.Client
 	budget *retryBudget
-	limits limits
-	// ending closes when the node stops: standing watches then end cleanly.
-	ending   chan struct{}
-	endOnce  sync.Once
+	limits inFlightLimits
+	// stopCh closes when the node stops: standing watches then end cleanly.
+	stopCh   chan struct{}
+	stopOnce sync.Once
 	inFlight atomic.Int64
 }
 
@@ -80,7 +80,7 @@
 	return &Router{
 		Options: o,
 		client:  hop.NewClient(hop.Options{Network: o.Network}),
-		budget:  newRetryBudget(), ending: make(chan struct{}),
+		budget:  newRetryBudget(), stopCh: make(chan struct{}),
 	}
 }
 
@@ -88,7 +88,7 @@
 func (rt *Router) Close() { rt.client.CloseIdle() }
 
 // EndWatches ends the standing watches cleanly.
-func (rt *Router) EndWatches() { rt.endOnce.Do(func() { close(rt.ending) }) }
+func (rt *Router) EndWatches() { rt.stopOnce.Do(func() { close(rt.stopCh) }) }
 
 // InFlight returns the requests under way, of callers and of peers.
 func (rt *Router) InFlight() int64 { return rt.inFlight.Load() }
@@ -118,8 +118,8 @@
 		WriteError(w, err)
 		return
 	}
-	defer rt.limits.leave(req.team, req.service)
-	ctx, cancel := rt.requestContext(r.Context(), req)
+	defer rt.limits.release(req.team, req.service)
+	ctx, cancel := rt.withDeadline(r.Context(), req)
 	defer cancel()
 	if req.class == model.Standing {
 		rt.serveWatch(ctx, w, req)
@@ -130,7 +130,7 @@
 	rt.Metrics.answered(req.service, req.class, kind, started)
 }
 
-func (rt *Router) requestContext(ctx context.Context, req *request) (context.Context, context.CancelFunc) {
+func (rt *Router) withDeadline(ctx context.Context, req *request) (context.Context, context.CancelFunc) {
 	if req.deadline.IsZero() {
 		return context.WithCancel(ctx)
 	}
@@ -156,7 +156,7 @@
 	if req.origin == "" {
 		req.origin = uuid.NewString()
 	}
-	if err := rt.limits.enter(req.team, req.service, cfg.Document); err != nil {
+	if err := rt.limits.acquire(req.team, req.service, cfg.Document); err != nil {
 		return nil, err
 	}
 	return req, nil
@@ -231,21 +231,21 @@
 		if try > 0 && !rt.mayRetry(failed, req, body) {
 			break
 		}
-		got, err := rt.offer(ctx, req, body, tried, try == maxTries-1)
+		got, err := rt.tryPlace(ctx, req, body, tried, try == maxTries-1)
 		if err == nil {
 			return rt.relay(w, got)
 		}
-		failed = worst(failed, err)
-		if ctx.Err() != nil || !tryElsewhere(err) {
+		failed = combineErrors(failed, err)
+		if ctx.Err() != nil || !isRetryable(err) {
 			break
 		}
 	}
 	return rt.fail(ctx, w, req, failed, body)
 }
 
-// worst is what is known of a request after one more try: where an earlier try may
+// combineErrors is what is known of a request after one more try: where an earlier try may
 // have run it, a later one that certainly did not says nothing of the request.
-func worst(before, err error) error {
+func combineErrors(before, err error) error {
 	if before != nil && errkind.From(err).Answer().Outcome == errkind.NotRun && errkind.From(before).Answer().Outcome != errkind.NotRun {
 		return before
 	}
@@ -255,7 +255,7 @@
 // mayRetry decides whether another place may be tried after err. A place that
 // said it had no room costs nothing; what may have reached a target is under
 // the retry budget, so that retries cannot multiply a failure.
-func (rt *Router) mayRetry(err error, req *request, body *body) bool {
+func (rt *Router) mayRetry(err error, req *request, body *requestBody) bool {
 	e := errkind.From(err)
 	switch e.Kind {
 	case errkind.NoCapacity, errkind.NotOwner, errkind.Draining, errkind.Overloaded:
@@ -271,8 +271,8 @@
 	return true
 }
 
-// tryElsewhere reports whether another place could do better.
-func tryElsewhere(err error) bool {
+// isRetryable reports whether another place could do better.
+func isRetryable(err error) bool {
 	switch errkind.From(err).Kind {
 	case errkind.NoCapacity, errkind.NotOwner, errkind.NoOwner, errkind.Draining, errkind.TargetUnreached,
 		errkind.ConnectionLost, errkind.AnswerMismatch, errkind.AnswerUnbounded, errkind.NotFound:
@@ -282,7 +282,7 @@
 }
 
 // fail answers with what is known of the request.
-func (rt *Router) fail(ctx context.Context, w http.ResponseWriter, req *request, err error, body *body) errkind.Kind {
+func (rt *Router) fail(ctx context.Context, w http.ResponseWriter, req *request, err error, body *requestBody) errkind.Kind {
 	e := errkind.From(err)
 	notRun := e.Answer().Outcome == errkind.NotRun
 	switch {
@@ -301,9 +301,9 @@
 	return e.Kind
 }
 
-// offer gives the request to one place: an own VM, else the peer with the most
+// tryPlace gives the request to one place: an own VM, else the peer with the most
 // room, else the shortest wait.
-func (rt *Router) offer(ctx context.Context, req *request, body *body, tried map[string]bool, lastTry bool) (*answer, error) {
+func (rt *Router) tryPlace(ctx context.Context, req *request, body *requestBody, tried map[string]bool, lastTry bool) (*answer, error) {
 	grant, err := rt.VMs.Acquire(ctx, req.service, req.class, 0)
 	if err == nil {
 		return rt.toTarget(ctx, req, body, grant)
@@ -317,8 +317,8 @@
 			}
 		}
 	}
-	wait := waitFor(req.class)
-	if rt.VMs.Serves(req.service) && (len(peers) == 0 || rt.VMs.Waiting() <= shortest(peers).Waiting) {
+	wait := maxWait(req.class)
+	if rt.VMs.Serves(req.service) && (len(peers) == 0 || rt.VMs.Waiting() <= shortestQueue(peers).Waiting) {
 		grant, err := rt.VMs.Acquire(ctx, req.service, req.class, wait)
 		if err != nil {
 			return nil, err
@@ -328,10 +328,10 @@
 	if len(peers) == 0 {
 		return nil, errkind.New(errkind.NoOwner, "no node owns VMs of the service", nil)
 	}
-	return rt.toPeer(ctx, req, body, shortest(peers), wait)
+	return rt.toPeer(ctx, req, body, shortestQueue(peers), wait)
 }
 
-func waitFor(class model.Class) time.Duration {
+func maxWait(class model.Class) time.Duration {
 	switch class {
 	case model.Quick:
 		return quickWait
@@ -341,8 +341,8 @@
 	return 0
 }
 
-// shortest returns the peer with the fewest requests waiting; near ones first.
-func shortest(peers []Peer) Peer {
+// shortestQueue returns the peer with the fewest requests waiting; near ones first.
+func shortestQueue(peers []Peer) Peer {
 	best := peers[0]
 	for _, p := range peers[1:] {
 		if p.Waiting < best.Waiting {
--- a/internal/route/watch.go
+++ b/internal/route/watch.go
@@ -34,12 +34,12 @@
 	// watchRetries bounds the tries in a row that bring no event.
 	watchRetries = 5
 	watchBackoff = 100 * time.Millisecond
-	// firstIdle is how long a watch may bring no event before it is taken up
+	// initialIdle is how long a watch may bring no event before it is taken up
 	// anew: its connection may have gone silent, and only a new one tells. While
 	// that shows that nothing was missed, the next wait is twice as long, up to
 	// maxIdle, so that watches with few events cost little.
-	firstIdle = 10 * time.Second
-	maxIdle   = 5 * time.Minute
+	initialIdle = 10 * time.Second
+	maxIdle     = 5 * time.Minute
 )
 
 // serveWatch holds a caller's watch and takes it up elsewhere when its place
@@ -53,9 +53,9 @@
 	w.Header().Set(HeaderRequestID, req.origin)
 	begun := false
 	failures := 0
-	idle := firstIdle
+	idle := initialIdle
 	for {
-		got, err := rt.offer(ctx, req, req.body(w), map[string]bool{}, failures == watchRetries)
+		got, err := rt.tryPlace(ctx, req, req.body(w), map[string]bool{}, failures == watchRetries)
 		if err == nil {
 			if !begun {
 				copyHeader(w.Header(), got.Header)
@@ -68,7 +68,7 @@
 			if end == endIdle {
 				idle = min(2*idle, maxIdle)
 				if req.resume > before {
-					idle = firstIdle
+					idle = initialIdle
 				}
 				continue
 			}
@@ -81,22 +81,22 @@
 			}
 		}
 		failures++
-		if failures > watchRetries || !begun && err != nil && !tryElsewhere(err) {
-			rt.giveUpWatch(w, begun, err, req.resume)
+		if failures > watchRetries || !begun && err != nil && !isRetryable(err) {
+			rt.failWatch(w, begun, err, req.resume)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-rt.ending:
-			rt.giveUpWatch(w, begun, errkind.New(errkind.Draining, "", nil), req.resume)
+		case <-rt.stopCh:
+			rt.failWatch(w, begun, errkind.New(errkind.Draining, "", nil), req.resume)
 			return
 		case <-time.After(watchBackoff * time.Duration(failures)):
 		}
 	}
 }
 
-func (rt *Router) giveUpWatch(w http.ResponseWriter, begun bool, err error, resume int64) {
+func (rt *Router) failWatch(w http.ResponseWriter, begun bool, err error, resume int64) {
 	if !begun {
 		w.Header().Del("Trailer")
 		WriteError(w, err)
@@ -116,7 +116,7 @@
 
 func (rt *Router) stopping() bool {
 	select {
-	case <-rt.ending:
+	case <-rt.stopCh:
 		return true
 	default:
 		return false
@@ -152,7 +152,7 @@
 		case line, ok := <-lines:
 			if !ok {
 				got.finish(vms.EndUncertain)
-				return got.end()
+				return got.endReason()
 			}
 			if _, err := w.Write(line); err != nil || rc.Flush() != nil {
 				got.finish(vms.EndUncertain)
@@ -163,7 +163,7 @@
 		case <-timer.C:
 			got.finish(vms.EndUncertain)
 			return endIdle
-		case <-rt.ending:
+		case <-rt.stopCh:
 			got.finish(vms.EndUncertain)
 			return endDrain
 		case <-ctx.Done():
@@ -173,8 +173,8 @@
 	}
 }
 
-// end says why a watch ended whose last line was read.
-func (a *answer) end() string {
+// endReason says why a watch ended whose last line was read.
+func (a *answer) endReason() string {
 	if a.trailer != nil {
 		if end := a.trailer().Get(HeaderEnd); end != "" {
 			return end
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-var start = boot()
+var startedAt = sinceBoot()
 
-func boot() time.Duration {
+func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Only a kernel without this clock refuses; time since the start then
@@ -24,4 +24,4 @@
 var processStart = time.Now()
 
 // Now is the time since the process started.
-func Now() time.Duration { return boot() - start }
+func Now() time.Duration { return sinceBoot() - startedAt }
--- a/internal/target/httptarget/client.go
+++ b/internal/target/httptarget/client.go
@@ -59,7 +59,7 @@
 		URL:  &url.URL{Scheme: "http", Host: c.address, Path: r.Path, RawQuery: r.RawQuery},
 		Body: r.Body, ContentLength: r.Length,
 	}).WithContext(ctx)
-	resp, err := c.hop.Do(out, r.Patience)
+	resp, err := c.hop.Do(out, r.Policy)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -37,8 +37,8 @@
 	Body   io.ReadCloser
 	// Length is the body's, in bytes; below 0 when it is not known.
 	Length int64
-	// Patience says how a silent connection is dealt with.
-	Patience hop.Patience
+	// Policy says how a silent connection is dealt with.
+	Policy hop.SendPolicy
 }
 
 // Answer is the head of a target's answer. Body must be read to its end, or
--- a/internal/target/targettest/contract.go
+++ b/internal/target/targettest/contract.go
@@ -23,7 +23,7 @@
 	return &target.Request{
 		HopID: "hop-" + id, OriginID: id, Class: model.Quick, Deadline: time.Now().Add(5 * time.Second),
 		Method: http.MethodPost, Path: path, RawQuery: "size=100&" + query, Header: http.Header{},
-		Body: io.NopCloser(strings.NewReader("{}")), Length: 2, Patience: hop.Patience{Guarded: true, For: time.Second},
+		Body: io.NopCloser(strings.NewReader("{}")), Length: 2, Policy: hop.SendPolicy{Guarded: true, Timeout: time.Second},
 	}
 }
 
@@ -31,15 +31,15 @@
 // gives for the caller's id. At most four connections may be open to it.
 func Target(t *testing.T, c target.Target, path string, want func(origin string) []byte) {
 	t.Helper()
-	wholeAnswers(t, c, path, want)
-	deadline(t, c, path)
-	cutOffBody(t, c, path)
+	testWholeAnswers(t, c, path, want)
+	testDeadline(t, c, path)
+	testCutOffBody(t, c, path)
 	c.CloseIdle()
 	require.Zero(t, c.Connections())
 }
 
-// wholeAnswers sends many at once: each gets its own answer, on few connections.
-func wholeAnswers(t *testing.T, c target.Target, path string, want func(string) []byte) {
+// testWholeAnswers sends many at once: each gets its own answer, on few connections.
+func testWholeAnswers(t *testing.T, c target.Target, path string, want func(string) []byte) {
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Add(1)
@@ -64,8 +64,8 @@
 	wg.Wait()
 }
 
-// deadline: a caller that stops waiting is told that the target may have run it.
-func deadline(t *testing.T, c target.Target, path string) {
+// testDeadline: a caller that stops waiting is told that the target may have run it.
+func testDeadline(t *testing.T, c target.Target, path string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err := c.Send(ctx, request("late", path, "ms=3000"))
@@ -75,8 +75,8 @@
 	time.Sleep(time.Second)
 }
 
-// cutOffBody: a body that breaks off is never answered as if it were whole.
-func cutOffBody(t *testing.T, c target.Target, path string) {
+// testCutOffBody: a body that breaks off is never answered as if it were whole.
+func testCutOffBody(t *testing.T, c target.Target, path string) {
 	r := request("cut", path, "")
 	r.Length = 1000
 	_, err := c.Send(t.Context(), r)
--- a/internal/vms/manager.go
+++ b/internal/vms/manager.go
@@ -179,7 +179,7 @@
 	for name, mc := range m.owned {
 		_, listed := next[name]
 		mc.unlisted = !listed
-		if !listed && (mc.ledger.Holds() > 0 || len(mc.tasks) > 0) {
+		if !listed && (mc.ledger.HeldCount() > 0 || len(mc.tasks) > 0) {
 			gone := mc.vm
 			gone.State = model.VMLeaving
 			next[name] = gone
@@ -254,7 +254,7 @@
 		if mc != nil {
 			mc.setLeaving(vm.State != model.VMLive || doc.DrainedVMs[name])
 			mc.ledger.SetReserve(reserveOn(doc, vm))
-			mc.ledger.Tick(now)
+			mc.ledger.ExpireReservations(now)
 		}
 	}
 	for name, mc := range m.owned {
--- a/internal/vms/requests.go
+++ b/internal/vms/requests.go
@@ -243,7 +243,7 @@
 	if !ok {
 		return nil
 	}
-	ask := ledger.Ask{Service: service, Class: class, Shared: len(m.Config().Document.Services) > 1}
+	ask := ledger.RequestSpec{Service: service, Class: class, Shared: len(m.Config().Document.Services) > 1}
 	now := time.Now()
 	var first, second *machine
 	seen := 0
--- a/internal/vms/tasks.go
+++ b/internal/vms/tasks.go
@@ -108,7 +108,7 @@
 		// known already: a repeat.
 		return mc != nil
 	}
-	if !mc.ledger.Keep(id) || !m.mayAct(mc) {
+	if !mc.ledger.Confirm(id) || !m.mayAct(mc) {
 		mc.ledger.Release(id)
 		m.mu.Unlock()
 		return false
@@ -176,7 +176,7 @@
 		}
 		h := mc.tasks[a.Ref]
 		switch {
-		case h != nil && h.end == "", mc.ledger.Reserved(ledgerID(a.Ref)):
+		case h != nil && h.end == "", mc.ledger.IsHeld(ledgerID(a.Ref)):
 		case h != nil:
 			ended = append(ended, Attempt{Ref: a.Ref, VM: a.VM, End: h.end, Checkpoint: h.checkpoint})
 		case mc.ledger.Ready() && mc.reachable && mc.listRequestedAt.After(mc.listCompleteAfter), m.attemptsLost(mc, now):
--- a/internal/worker/workertest/contract.go
+++ b/internal/worker/workertest/contract.go
@@ -12,7 +12,7 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-const lease = 4 * time.Second
+const leaseDuration = 4 * time.Second
 
 var need = model.Resources{MilliCPU: 1000}
 
@@ -20,7 +20,7 @@
 	t.Helper()
 	ref := worker.Ref{Task: task, Attempt: attempt}
 	require.NoError(t, a.Start(t.Context(), worker.StartRequest{
-		Ref: ref, Resources: need, DurationMS: durationMS, Resume: resume, LeaseMS: lease.Milliseconds(),
+		Ref: ref, Resources: need, DurationMS: durationMS, Resume: resume, LeaseMS: leaseDuration.Milliseconds(),
 	}))
 	return ref
 }
@@ -41,15 +41,15 @@
 // package testing/synctest.
 func Agent(t *testing.T, a worker.Agent) {
 	t.Helper()
-	finishes(t, a)
-	repeatedStart(t, a)
-	lapses(t, a)
-	resumes(t, a)
-	refusals(t, a)
-	waits(t, a)
+	testFinish(t, a)
+	testRepeatedStart(t, a)
+	testLeaseExpiry(t, a)
+	testResume(t, a)
+	testRefusals(t, a)
+	testStatusWait(t, a)
 }
 
-func finishes(t *testing.T, a worker.Agent) {
+func testFinish(t *testing.T, a worker.Agent) {
 	ref := start(t, a, "finishes", 1, 500, "")
 	task, ok := find(t, a, ref)
 	require.True(t, ok)
@@ -63,7 +63,7 @@
 	require.False(t, ok)
 }
 
-func repeatedStart(t *testing.T, a worker.Agent) {
+func testRepeatedStart(t *testing.T, a worker.Agent) {
 	ref := start(t, a, "repeated", 1, 60_000, "")
 	start(t, a, "repeated", 1, 60_000, "")
 	s, err := a.Status(t.Context(), -1, 0)
@@ -80,10 +80,10 @@
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref}))
 }
 
-func lapses(t *testing.T, a worker.Agent) {
+func testLeaseExpiry(t *testing.T, a worker.Agent) {
 	ref := start(t, a, "lapses", 1, 60_000, "")
 	time.Sleep(3 * time.Second)
-	require.NoError(t, a.Renew(t.Context(), lease))
+	require.NoError(t, a.Renew(t.Context(), leaseDuration))
 	time.Sleep(3 * time.Second)
 	task, _ := find(t, a, ref)
 	require.Equal(t, worker.Running, task.State, "renewed, it runs on")
@@ -93,7 +93,7 @@
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref}))
 }
 
-func resumes(t *testing.T, a worker.Agent) {
+func testResume(t *testing.T, a worker.Agent) {
 	ref := start(t, a, "resumes", 1, 60_000, "")
 	time.Sleep(time.Second)
 	saved, err := a.CheckpointAll(t.Context())
@@ -114,7 +114,7 @@
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref, next}))
 }
 
-func refusals(t *testing.T, a worker.Agent) {
+func testRefusals(t *testing.T, a worker.Agent) {
 	unknown := worker.Ref{Task: "unknown", Attempt: 1}
 	_, err := a.Stop(t.Context(), unknown, false)
 	require.ErrorIs(t, err, worker.ErrNoTask)
@@ -125,7 +125,7 @@
 	require.False(t, ok)
 }
 
-func waits(t *testing.T, a worker.Agent) {
+func testStatusWait(t *testing.T, a worker.Agent) {
 	s, err := a.Status(t.Context(), -1, 0)
 	require.NoError(t, err)
 	began := time.Now()
