--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,24 +20,24 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// maxBody bounds a request's body.
-const maxBody = 256 << 10
+// maxBodyBytes bounds a request's body.
+const maxBodyBytes = 256 << 10
 
 const (
 	// callTimeout bounds one administration call.
 	callTimeout = 8 * time.Second
-	// waitPause is how often a wait for a version looks again.
-	waitPause = 100 * time.Millisecond
-	maxWait   = 60 * time.Second
+	// waitPollInterval is how often a wait for a version looks again.
+	waitPollInterval = 100 * time.Millisecond
+	maxWaitTimeout   = 60 * time.Second
 )
 
 // Node is what the API shows and changes.
 type Node interface {
 	Keeper() *config.Keeper
 	Cluster() *cluster.Cluster
-	// InForce returns the configuration version in use at each live node, as
+	// ConfigVersions returns the configuration version in use at each live node, as
 	// last heard; 0 for a node not heard from.
-	InForce() map[string]int64
+	ConfigVersions() map[string]int64
 	VMs() []VMInfo
 	Status() any
 	Dump() any
@@ -60,8 +60,8 @@
 // call is one request with whom it is from.
 type call struct {
 	*http.Request
-	who config.Identity
-	w   http.ResponseWriter
+	identity config.Identity
+	w        http.ResponseWriter
 }
 
 // New returns the API of a node.
@@ -73,11 +73,11 @@
 	a.handle("GET /v1/config/wait", a.wait)
 	a.handle("POST /v1/config/revert", a.revert)
 	a.handle("GET /v1/services", a.listServices)
-	a.handle("PUT /v1/services/{name}", a.putServices)
-	a.handle("DELETE /v1/services/{name}", a.putServices)
+	a.handle("PUT /v1/services/{name}", a.changeService)
+	a.handle("DELETE /v1/services/{name}", a.changeService)
 	a.handle("GET /v1/watches", a.listWatches)
-	a.handle("PUT /v1/watches/{name}", a.putWatches)
-	a.handle("DELETE /v1/watches/{name}", a.putWatches)
+	a.handle("PUT /v1/watches/{name}", a.changeWatch)
+	a.handle("DELETE /v1/watches/{name}", a.changeWatch)
 	a.handle("GET /v1/teams", a.listTeams)
 	a.handle("GET /v1/teams/{team}/jobs", a.listJobs)
 	a.handle("POST /v1/teams/{team}/jobs", a.submitJob)
@@ -115,8 +115,8 @@
 			ctx, cancel = context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
-		answer, err := f(ctx, &call{Request: r, who: who, w: w})
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		answer, err := f(ctx, &call{Request: r, identity: who, w: w})
 		if r.Method != http.MethodGet {
 			a.log.WithError(err).WithFields(logrus.Fields{"who": who.Name, "call": r.Method + " " + r.URL.Path}).Info("administration call")
 		}
@@ -143,8 +143,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// body reads the request's body as JSON, strictly.
-func (c *call) body(into any) error {
+// decodeBody reads the request's body as JSON, strictly.
+func (c *call) decodeBody(into any) error {
 	dec := json.NewDecoder(c.Body)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -153,17 +153,17 @@
 	return nil
 }
 
-// operator refuses everyone but operators.
-func (c *call) operator() error {
-	if !c.who.Operator {
+// requireOperator refuses everyone but operators.
+func (c *call) requireOperator() error {
+	if !c.identity.IsOperator {
 		return errkind.New(errkind.Forbidden, "only an operator may do this", nil)
 	}
 	return nil
 }
 
-// team refuses everyone but operators and the team itself.
-func (c *call) team(name string) error {
-	if !c.who.Operator && c.who.Name != name {
+// requireTeam refuses everyone but operators and the team itself.
+func (c *call) requireTeam(name string) error {
+	if !c.identity.IsOperator && c.identity.Name != name {
 		return errkind.New(errkind.Forbidden, "this is team "+name+"'s", nil)
 	}
 	return nil
@@ -171,33 +171,33 @@
 
 // dump shows the node's whole state, credentials' hashes excepted.
 func (a *API) dump(_ context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
 	return a.node.Dump(), nil
 }
 
-// ConfigAnswer is the configuration with its version.
-type ConfigAnswer struct {
+// ConfigResponse is the configuration with its version.
+type ConfigResponse struct {
 	Version  int64           `json:"version"`
 	Document json.RawMessage `json:"document"`
 }
 
 func (a *API) getConfig(_ context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
 	head := a.node.Keeper().Current().Head
 	setVersion(c.w, head.Version)
-	return ConfigAnswer{Version: head.Version, Document: head.Document}, nil
+	return ConfigResponse{Version: head.Version, Document: head.Document}, nil
 }
 
 func setVersion(w http.ResponseWriter, version int64) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(version, 10)))
 }
 
-// against reads the version that a patch was made against.
-func (c *call) against() (int64, error) {
+// baseVersion reads the version that a patch was made against.
+func (c *call) baseVersion() (int64, error) {
 	raw := c.Header.Get("If-Match")
 	if raw == "" {
 		return 0, errkind.New(errkind.VersionRequired, "", nil)
@@ -209,16 +209,16 @@
 	return version, nil
 }
 
-// PatchAnswer tells the version that a patch made.
-type PatchAnswer struct {
+// PatchResponse tells the version that a patch made.
+type PatchResponse struct {
 	Version int64 `json:"version"`
 }
 
 func (a *API) patchConfig(ctx context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
-	against, err := c.against()
+	against, err := c.baseVersion()
 	if err != nil {
 		return nil, err
 	}
@@ -231,20 +231,20 @@
 
 func (a *API) patch(ctx context.Context, c *call, against int64, body json.RawMessage) (any, error) {
 	id := c.Header.Get("Idempotency-Key")
-	head, err := a.node.Keeper().Patch(ctx, config.Patch{Against: against, ID: id, Author: c.who.Name, Body: body})
+	head, err := a.node.Keeper().Patch(ctx, config.Patch{BaseVersion: against, ID: id, Author: c.identity.Name, Body: body})
 	if err != nil {
 		return nil, err
 	}
 	version := head.Version
-	if made, ok := head.Find(id); ok {
+	if made, ok := head.FindChange(id); ok {
 		version = made.Version
 	}
 	setVersion(c.w, version)
-	return PatchAnswer{Version: version}, nil
+	return PatchResponse{Version: version}, nil
 }
 
 func (a *API) history(_ context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
 	changes := a.node.Keeper().Current().Head.Changes
@@ -256,13 +256,13 @@
 
 // revert makes a new version with the document of an older one.
 func (a *API) revert(ctx context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
 	var body struct {
 		Version int64 `json:"version"`
 	}
-	if err := c.body(&body); err != nil {
+	if err := c.decodeBody(&body); err != nil {
 		return nil, err
 	}
 	head := a.node.Keeper().Current().Head
@@ -273,8 +273,8 @@
 	return a.patch(ctx, c, head.Version, patch)
 }
 
-// WaitAnswer tells where a version is in force.
-type WaitAnswer struct {
+// WaitResponse tells where a version is in force.
+type WaitResponse struct {
 	Version int64            `json:"version"`
 	InForce bool             `json:"in_force"`
 	Nodes   map[string]int64 `json:"nodes"`
@@ -288,19 +288,19 @@
 	}
 	limit := 10 * time.Second
 	if ms, err := strconv.ParseInt(c.FormValue("timeout_ms"), 10, 64); err == nil {
-		limit = min(time.Duration(ms)*time.Millisecond, maxWait)
+		limit = min(time.Duration(ms)*time.Millisecond, maxWaitTimeout)
 	}
 	deadline := time.Now().Add(limit)
 	for {
-		a.node.Cluster().AskVersions(ctx, version)
-		nodes := a.node.InForce()
-		answer := WaitAnswer{Version: version, InForce: true, Nodes: nodes}
+		a.node.Cluster().RefreshVersions(ctx, version)
+		nodes := a.node.ConfigVersions()
+		answer := WaitResponse{Version: version, InForce: true, Nodes: nodes}
 		for _, v := range nodes {
 			answer.InForce = answer.InForce && v >= version
 		}
 		if answer.InForce || time.Now().After(deadline) || ctx.Err() != nil {
 			return answer, nil
 		}
-		time.Sleep(waitPause)
+		time.Sleep(waitPollInterval)
 	}
 }
--- a/internal/admin/resources.go
+++ b/internal/admin/resources.go
@@ -12,9 +12,9 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// patchTries bounds how often a change of one service or watch is made again
+// maxPatchAttempts bounds how often a change of one service or watch is made again
 // against a newer version, when others change other things meanwhile.
-const patchTries = 5
+const maxPatchAttempts = 5
 
 func (a *API) listServices(_ context.Context, _ *call) (any, error) {
 	return orEmpty(a.node.Keeper().Current().Document.Services), nil
@@ -31,33 +31,33 @@
 	return m
 }
 
-func (a *API) putServices(ctx context.Context, c *call) (any, error) {
+func (a *API) changeService(ctx context.Context, c *call) (any, error) {
 	team := func(d config.Document, name string) (string, bool) {
 		s, ok := d.Services[name]
 		return s.Team, ok
 	}
-	return putNamed(ctx, a, c, "services", team, func(s config.Service) string { return s.Team })
+	return changeResource(ctx, a, c, "services", team, func(s config.Service) string { return s.Team })
 }
 
-func (a *API) putWatches(ctx context.Context, c *call) (any, error) {
+func (a *API) changeWatch(ctx context.Context, c *call) (any, error) {
 	team := func(d config.Document, name string) (string, bool) {
 		w, ok := d.Watches[name]
 		return w.Team, ok
 	}
-	return putNamed(ctx, a, c, "watches", team, func(w config.Watch) string { return w.Team })
+	return changeResource(ctx, a, c, "watches", team, func(w config.Watch) string { return w.Team })
 }
 
-// putNamed sets or deletes one named thing of the document. A team may do so
+// changeResource sets or deletes one named thing of the document. A team may do so
 // with what is its own. With If-Match it is tried against that version only.
-func putNamed[V any](ctx context.Context, a *API, c *call, section string, ownerOf func(config.Document, string) (string, bool), teamOf func(V) string) (any, error) {
+func changeResource[V any](ctx context.Context, a *API, c *call, section string, ownerOf func(config.Document, string) (string, bool), teamOf func(V) string) (any, error) {
 	name := c.PathValue("name")
 	var value any
 	if c.Method != http.MethodDelete {
 		var v V
-		if err := c.body(&v); err != nil {
+		if err := c.decodeBody(&v); err != nil {
 			return nil, err
 		}
-		if err := c.team(teamOf(v)); err != nil {
+		if err := c.requireTeam(teamOf(v)); err != nil {
 			return nil, err
 		}
 		value = v
@@ -69,33 +69,33 @@
 			return nil, errkind.New(errkind.NotFound, "no "+strings.TrimSuffix(section, "s")+" "+name, nil)
 		}
 		if exists {
-			if err := c.team(owner); err != nil {
+			if err := c.requireTeam(owner); err != nil {
 				return nil, err
 			}
 		}
 		against := cur.Head.Version
 		if c.Header.Get("If-Match") != "" {
 			var err error
-			if against, err = c.against(); err != nil {
+			if against, err = c.baseVersion(); err != nil {
 				return nil, err
 			}
 		}
-		patch, err := replacement(cur.Head, section, name, value)
+		patch, err := replacementPatch(cur.Head, section, name, value)
 		if err != nil {
 			return nil, err
 		}
 		answer, err := a.patch(ctx, c, against, patch)
-		retry := errkind.Is(err, errkind.VersionConflict) && c.Header.Get("If-Match") == "" && try < patchTries
+		retry := errkind.Is(err, errkind.VersionConflict) && c.Header.Get("If-Match") == "" && try < maxPatchAttempts
 		if !retry {
 			return answer, err
 		}
 	}
 }
 
-// replacement is the merge patch that sets section.name to value whole, or
+// replacementPatch is the merge patch that sets section.name to value whole, or
 // deletes it for nil. A merge patch keeps the old value's other fields, so those
 // that the new value lacks are set to null.
-func replacement(head config.Head, section, name string, value any) (json.RawMessage, error) {
+func replacementPatch(head config.Head, section, name string, value any) (json.RawMessage, error) {
 	if value == nil {
 		return json.Marshal(map[string]any{section: map[string]any{name: nil}})
 	}
@@ -130,7 +130,7 @@
 func (a *API) listTeams(_ context.Context, c *call) (any, error) {
 	teams := []TeamInfo{}
 	for name, t := range a.node.Keeper().Current().Document.Teams {
-		if c.team(name) == nil {
+		if c.requireTeam(name) == nil {
 			teams = append(teams, TeamInfo{Name: name, Weight: t.Weight, Quota: t.Quota, MaxInFlight: t.MaxInFlight})
 		}
 	}
@@ -139,14 +139,14 @@
 
 func (a *API) submitJob(ctx context.Context, c *call) (any, error) {
 	team := c.PathValue("team")
-	if err := c.team(team); err != nil {
+	if err := c.requireTeam(team); err != nil {
 		return nil, err
 	}
 	if _, ok := a.node.Keeper().Current().Document.Teams[team]; !ok {
 		return nil, errkind.New(errkind.NotFound, "no team "+team, nil)
 	}
 	var spec model.JobSpec
-	if err := c.body(&spec); err != nil {
+	if err := c.decodeBody(&spec); err != nil {
 		return nil, err
 	}
 	if spec.Team == "" {
@@ -166,7 +166,7 @@
 
 func (a *API) listJobs(ctx context.Context, c *call) (any, error) {
 	team := c.PathValue("team")
-	if err := c.team(team); err != nil {
+	if err := c.requireTeam(team); err != nil {
 		return nil, err
 	}
 	return a.node.Cluster().Job(ctx, team, cluster.VerbList, team)
@@ -174,7 +174,7 @@
 
 func (a *API) getJob(ctx context.Context, c *call) (any, error) {
 	team := c.PathValue("team")
-	if err := c.team(team); err != nil {
+	if err := c.requireTeam(team); err != nil {
 		return nil, err
 	}
 	return a.node.Cluster().Job(ctx, team, cluster.VerbGet, team+"/"+c.PathValue("id"))
@@ -182,7 +182,7 @@
 
 func (a *API) cancelJob(ctx context.Context, c *call) (any, error) {
 	team := c.PathValue("team")
-	if err := c.team(team); err != nil {
+	if err := c.requireTeam(team); err != nil {
 		return nil, err
 	}
 	if _, err := a.node.Cluster().Job(ctx, team, cluster.VerbCancel, team+"/"+c.PathValue("id")); err != nil {
@@ -193,13 +193,13 @@
 
 // drainVM marks a VM as one to be emptied, or takes the mark off.
 func (a *API) drainVM(ctx context.Context, c *call) (any, error) {
-	if err := c.operator(); err != nil {
+	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
 	var body struct {
 		Drained bool `json:"drained"`
 	}
-	if err := c.body(&body); err != nil {
+	if err := c.decodeBody(&body); err != nil {
 		return nil, err
 	}
 	var value any
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -245,7 +245,7 @@
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	s.HeapPerNode = float64(mem.HeapAlloc) / float64(size.Nodes)
-	if head, _, err := d.Nodes()[0].Keeper().Share(); err == nil {
+	if head, _, err := d.Nodes()[0].Keeper().EncodeHead(); err == nil {
 		s.ConfigBytes = len(head)
 	}
 	return s
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -33,7 +33,7 @@
 	return attempts
 }
 
-func refsOf(wire []*pb.Attempt) []worker.Ref {
+func refsFromWire(wire []*pb.Attempt) []worker.Ref {
 	refs := make([]worker.Ref, len(wire))
 	for i, a := range wire {
 		refs[i] = worker.Ref{Task: a.Task, Attempt: a.Attempt}
@@ -41,7 +41,7 @@
 	return refs
 }
 
-func attemptsOf(refs []worker.Ref) []vms.Attempt {
+func attemptsFromRefs(refs []worker.Ref) []vms.Attempt {
 	attempts := make([]vms.Attempt, len(refs))
 	for i, r := range refs {
 		attempts[i] = vms.Attempt{Ref: r}
@@ -65,9 +65,9 @@
 	if own := c.vms.Summary(); own.VMs > 0 {
 		offers = append(offers, jobs.Offer{Node: c.node, Zone: self.Zone, Free: own.Free})
 	}
-	c.fresh(func(n ownership.Node, s *pb.NodeState) {
+	c.forEachFreshPeer(func(n ownership.Node, s *pb.NodeState) {
 		if s.Vms > 0 {
-			offers = append(offers, jobs.Offer{Node: n.ID, Zone: n.Zone, Free: resources(s.Free)})
+			offers = append(offers, jobs.Offer{Node: n.ID, Zone: n.Zone, Free: fromAmount(s.Free)})
 		}
 	})
 	return offers
@@ -102,15 +102,15 @@
 		if spec.PerTask.FitsIn(vm.Capacity) {
 			return ""
 		}
-		cpu += count(spec.PerTask.MilliCPU > vm.Capacity.MilliCPU)
-		memory += count(spec.PerTask.MemoryMB > vm.Capacity.MemoryMB)
-		accelerators += count(spec.PerTask.Accelerators > vm.Capacity.Accelerators)
+		cpu += boolToInt(spec.PerTask.MilliCPU > vm.Capacity.MilliCPU)
+		memory += boolToInt(spec.PerTask.MemoryMB > vm.Capacity.MemoryMB)
+		accelerators += boolToInt(spec.PerTask.Accelerators > vm.Capacity.Accelerators)
 	}
 	return fmt.Sprintf("of %d VMs %d are in its availability zones; of these %d have too few processors, %d too little memory, %d too few accelerators",
 		len(list), inZone, cpu, memory, accelerators)
 }
 
-func count(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -126,8 +126,8 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.dial(n).Reserve(ctx, &pb.ReserveRequest{
-		Attempts: toWire(attemptsOf(refs)), PerTask: amount(room.PerTask), Zones: room.Zones, Urgent: room.Urgent,
+	answer, err := c.peerClient(n).Reserve(ctx, &pb.ReserveRequest{
+		Attempts: toWire(attemptsFromRefs(refs)), PerTask: toAmount(room.PerTask), Zones: room.Zones, Urgent: room.Urgent,
 	})
 	if err != nil {
 		return nil, callError(err)
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.dial(n).Start(ctx, &pb.StartRequest{Attempts: toWire(attempts), DurationMs: durationMS})
+	answer, err := c.peerClient(n).Start(ctx, &pb.StartRequest{Attempts: toWire(attempts), DurationMs: durationMS})
 	if err != nil {
 		return nil, callError(err)
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = c.dial(n).Stop(ctx, &pb.StopRequest{Attempts: toWire(attempts), Checkpoint: checkpoint})
+	_, err = c.peerClient(n).Stop(ctx, &pb.StopRequest{Attempts: toWire(attempts), Checkpoint: checkpoint})
 	return callError(err)
 }
 
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	answer, err := c.dial(n).Audit(ctx, &pb.AuditRequest{Attempts: toWire(attempts)})
+	answer, err := c.peerClient(n).Audit(ctx, &pb.AuditRequest{Attempts: toWire(attempts)})
 	if err != nil {
 		return nil, nil, callError(err)
 	}
@@ -195,7 +195,7 @@
 	}
 	for shard, list := range byShard {
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		stale, err := c.reportTo(callCtx, shard, list)
+		stale, err := c.reportToLeader(callCtx, shard, list)
 		cancel()
 		if err != nil {
 			continue
@@ -210,7 +210,7 @@
 	return recorded, obsolete
 }
 
-func (c *Cluster) reportTo(ctx context.Context, shard string, list []vms.Attempt) ([]worker.Ref, error) {
+func (c *Cluster) reportToLeader(ctx context.Context, shard string, list []vms.Attempt) ([]worker.Ref, error) {
 	if leader, err := c.jobs.Leader(shard); err == nil {
 		return leader.Report(ctx, list)
 	}
@@ -218,11 +218,11 @@
 	if !ok || n.ID == c.node {
 		return nil, errkind.New(errkind.NoOwner, "", nil)
 	}
-	answer, err := c.dial(n).Report(ctx, &pb.ReportRequest{Attempts: toWire(list)})
+	answer, err := c.peerClient(n).Report(ctx, &pb.ReportRequest{Attempts: toWire(list)})
 	if err != nil {
 		return nil, callError(err)
 	}
-	return refsOf(answer.Obsolete), nil
+	return refsFromWire(answer.Obsolete), nil
 }
 
 // The verbs of a job call.
@@ -236,10 +236,10 @@
 const (
 	// jobCallTimeout bounds one try of a job call.
 	jobCallTimeout = 4 * time.Second
-	// jobCallTries and jobCallPause bridge the moment in which a job shard
+	// maxJobCallRetries and jobCallRetryDelay bridge the moment in which a job shard
 	// changes hands.
-	jobCallTries = 10
-	jobCallPause = 150 * time.Millisecond
+	maxJobCallRetries = 10
+	jobCallRetryDelay = 150 * time.Millisecond
 )
 
 // Job carries a call to the leader of a team's job shard and returns its answer.
@@ -253,14 +253,14 @@
 	shard := jobs.ShardOfTeam(team)
 	uncertain := false
 	for try := 0; ; try++ {
-		answer, err := c.jobOnce(ctx, shard, verb, raw)
+		answer, err := c.tryJobCall(ctx, shard, verb, raw)
 		lost := errkind.Is(err, errkind.ConnectionLost)
 		uncertain = uncertain || lost
 		again := lost || errkind.Is(err, errkind.NotOwner) || errkind.Is(err, errkind.NoOwner)
 		if !again {
 			return answer, err
 		}
-		if try == jobCallTries || ctx.Err() != nil {
+		if try == maxJobCallRetries || ctx.Err() != nil {
 			if uncertain {
 				// An earlier try may have taken effect.
 				err = errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", err)
@@ -269,22 +269,22 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(jobCallPause):
+		case <-time.After(jobCallRetryDelay):
 		}
 	}
 }
 
-func (c *Cluster) jobOnce(ctx context.Context, shard, verb string, body []byte) (json.RawMessage, error) {
+func (c *Cluster) tryJobCall(ctx context.Context, shard, verb string, body []byte) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, jobCallTimeout)
 	defer cancel()
 	if leader, err := c.jobs.Leader(shard); err == nil {
-		return jobVerb(ctx, leader, verb, body)
+		return handleJobCall(ctx, leader, verb, body)
 	}
 	n, ok := c.members.OwnerOf(shard)
 	if !ok || n.ID == c.node {
 		return nil, errkind.New(errkind.NoOwner, "no node leads the team's job shard now", nil)
 	}
-	answer, err := c.dial(n).Job(ctx, &pb.JobRequest{Shard: shard, Verb: verb, Body: body})
+	answer, err := c.peerClient(n).Job(ctx, &pb.JobRequest{Shard: shard, Verb: verb, Body: body})
 	if err != nil {
 		if e := callError(err); errkind.Is(e, errkind.NotOwner) {
 			return nil, e
@@ -297,8 +297,8 @@
 	return answer.Body, nil
 }
 
-// jobVerb performs a job call at the leader.
-func jobVerb(ctx context.Context, leader *jobs.Leader, verb string, body []byte) (json.RawMessage, error) {
+// handleJobCall performs a job call at the leader.
+func handleJobCall(ctx context.Context, leader *jobs.Leader, verb string, body []byte) (json.RawMessage, error) {
 	switch verb {
 	case VerbSubmit:
 		var spec model.JobSpec
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -28,22 +28,22 @@
 )
 
 const (
-	// exchangeRate is how many exchanges a second all nodes begin together, some
+	// totalExchangeRate is how many exchanges a second all nodes begin together, some
 	// 1,100 bytes each; a node's share falls as nodes are added, within bounds.
-	exchangeRate  = 36.0
-	fewestPerNode = 0.5
-	mostPerNode   = 4.0
-	// nearShare: of so many exchanges all but one go to the own zone, where most
+	totalExchangeRate   = 36.0
+	minNodeExchangeRate = 0.5
+	maxNodeExchangeRate = 4.0
+	// farExchangePeriod: of so many exchanges all but one go to the own zone, where most
 	// requests that need another node find one.
-	nearShare = 4
+	farExchangePeriod = 4
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
 	// idleConnections is how many connections to each peer are kept for calls.
 	idleConnections = 4
-	// staleAfter is when a peer's word on its room counts no more. At the target
+	// peerStateTTL is when a peer's word on its room counts no more. At the target
 	// size far peers hear of each other once in a minute or two; what they say is
 	// only where to ask first.
-	staleAfter = 3 * time.Minute
+	peerStateTTL = 3 * time.Minute
 )
 
 // Cluster connects a node with its peers. Serve runs the exchange.
@@ -59,14 +59,14 @@
 	mu       sync.Mutex
 	draining bool
 	peers    map[string]*peerState
-	// turn counts the exchanges begun.
-	turn int
+	// exchangeCount counts the exchanges begun.
+	exchangeCount int
 }
 
 // peerState is what a peer last said.
 type peerState struct {
-	state   *pb.NodeState
-	heardAt time.Time
+	state      *pb.NodeState
+	receivedAt time.Time
 }
 
 // New returns the cluster of a node. Attach must follow before Serve.
@@ -95,7 +95,7 @@
 // Serve implements suture.Service.
 func (c *Cluster) Serve(ctx context.Context) error {
 	for {
-		nodes := c.others()
+		nodes := c.otherNodes()
 		if n, ok := c.nextPeer(nodes); ok {
 			go c.exchange(ctx, n)
 		}
@@ -111,7 +111,7 @@
 
 // ExchangesPerSecond is how many exchanges each of so many nodes begins a second.
 func ExchangesPerSecond(nodes int) float64 {
-	return min(max(exchangeRate/float64(nodes), fewestPerNode), mostPerNode)
+	return min(max(totalExchangeRate/float64(nodes), minNodeExchangeRate), maxNodeExchangeRate)
 }
 
 // nextPeer returns the peer to tell now: near ones and far ones in turn.
@@ -127,23 +127,23 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turn++
+	c.exchangeCount++
 	list := near
-	if len(near) == 0 || len(far) > 0 && c.turn%nearShare == 0 {
+	if len(near) == 0 || len(far) > 0 && c.exchangeCount%farExchangePeriod == 0 {
 		list = far
 	}
 	if len(list) == 0 {
 		return ownership.Node{}, false
 	}
-	i := c.turn % len(list)
-	if len(near) > 0 && len(far) > 0 && c.turn%nearShare == 0 {
-		i = c.turn / nearShare % len(far)
+	i := c.exchangeCount % len(list)
+	if len(near) > 0 && len(far) > 0 && c.exchangeCount%farExchangePeriod == 0 {
+		i = c.exchangeCount / farExchangePeriod % len(far)
 	}
 	return list[i], true
 }
 
-// others returns the other live nodes, sorted by id.
-func (c *Cluster) others() []ownership.Node {
+// otherNodes returns the other live nodes, sorted by id.
+func (c *Cluster) otherNodes() []ownership.Node {
 	var nodes []ownership.Node
 	for id, n := range c.members.Nodes() {
 		if id != c.node {
@@ -157,26 +157,26 @@
 func (c *Cluster) exchange(ctx context.Context, n ownership.Node) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	state, err := c.dial(n).Exchange(ctx, c.state())
+	state, err := c.peerClient(n).Exchange(ctx, c.localState())
 	if err != nil {
 		return
 	}
-	c.hear(state)
+	c.recordPeerState(state)
 	if state.ConfigVersion > c.config.Current().Head.Version {
 		c.fetchConfig(ctx, n)
 	}
 }
 
-// AskVersions exchanges state with every peer not yet known to use a version of
+// RefreshVersions exchanges state with every peer not yet known to use a version of
 // the configuration, at the same time, so that whoever waits for it does not
 // wait for the next exchange.
-func (c *Cluster) AskVersions(ctx context.Context, version int64) {
+func (c *Cluster) RefreshVersions(ctx context.Context, version int64) {
 	known := map[string]int64{}
 	for _, p := range c.Dump() {
 		known[p.Node] = p.ConfigVersion
 	}
 	var wg sync.WaitGroup
-	for _, n := range c.others() {
+	for _, n := range c.otherNodes() {
 		if known[n.ID] >= version {
 			continue
 		}
@@ -192,23 +192,23 @@
 // fetchConfig takes a newer configuration over from a peer. Usually the store's
 // watch is faster; it is for nodes that the store does not answer.
 func (c *Cluster) fetchConfig(ctx context.Context, n ownership.Node) {
-	answer, err := c.dial(n).Config(ctx, &pb.ConfigRequest{})
+	answer, err := c.peerClient(n).Config(ctx, &pb.ConfigRequest{})
 	if err != nil {
 		return
 	}
-	if err := c.config.Offer(answer.Head, answer.Revision); err != nil {
+	if err := c.config.InstallFromPeer(answer.Head, answer.Revision); err != nil {
 		c.log.WithError(err).WithField("peer", n.ID).Warn("a peer's configuration was refused")
 	}
 }
 
-// state is what this node says of itself.
-func (c *Cluster) state() *pb.NodeState {
+// localState is what this node says of itself.
+func (c *Cluster) localState() *pb.NodeState {
 	self := c.members.Self()
 	summary := c.vms.Summary()
 	s := &pb.NodeState{
 		Node: self.ID, Zone: self.Zone, Incarnation: self.Session,
 		ConfigVersion: c.config.Current().Head.Version, StoreReachable: c.members.StoreReachable(),
-		Free: amount(summary.Free), Vms: summary.VMs,
+		Free: toAmount(summary.Free), Vms: summary.VMs,
 	}
 	c.mu.Lock()
 	s.Draining = c.draining
@@ -221,35 +221,35 @@
 	return s
 }
 
-func (c *Cluster) hear(s *pb.NodeState) {
+func (c *Cluster) recordPeerState(s *pb.NodeState) {
 	if s.GetNode() == "" || s.GetNode() == c.node {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers[s.Node] = &peerState{state: s, heardAt: time.Now()}
+	c.peers[s.Node] = &peerState{state: s, receivedAt: time.Now()}
 }
 
-func (c *Cluster) dial(n ownership.Node) pb.Peer {
+func (c *Cluster) peerClient(n ownership.Node) pb.Peer {
 	return pb.NewPeerProtobufClient("http://"+n.PeerAddress, c.client)
 }
 
-func amount(r model.Resources) *pb.Amount {
+func toAmount(r model.Resources) *pb.Amount {
 	return &pb.Amount{MilliCpu: r.MilliCPU, MemoryMb: r.MemoryMB, Accelerators: r.Accelerators}
 }
 
-func resources(a *pb.Amount) model.Resources {
+func fromAmount(a *pb.Amount) model.Resources {
 	return model.Resources{MilliCPU: a.GetMilliCpu(), MemoryMB: a.GetMemoryMb(), Accelerators: a.GetAccelerators()}
 }
 
-// fresh calls f with each live peer's last word.
-func (c *Cluster) fresh(f func(n ownership.Node, s *pb.NodeState)) {
-	nodes := c.others()
+// forEachFreshPeer calls f with each live peer's last word.
+func (c *Cluster) forEachFreshPeer(f func(n ownership.Node, s *pb.NodeState)) {
+	nodes := c.otherNodes()
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range nodes {
-		if p := c.peers[n.ID]; p != nil && now.Sub(p.heardAt) < staleAfter && !p.state.Draining {
+		if p := c.peers[n.ID]; p != nil && now.Sub(p.receivedAt) < peerStateTTL && !p.state.Draining {
 			f(n, p.state)
 		}
 	}
@@ -260,13 +260,13 @@
 func (c *Cluster) For(service string, class model.Class) []route.Peer {
 	zone := c.members.Self().Zone
 	var found []route.Peer
-	c.fresh(func(n ownership.Node, s *pb.NodeState) {
+	c.forEachFreshPeer(func(n ownership.Node, s *pb.NodeState) {
 		for _, svc := range s.Services {
 			if svc.Name != service {
 				continue
 			}
 			found = append(found, route.Peer{
-				Node: n.ID, Address: n.PeerAddress, Free: freeOf(svc, class), SameZone: n.Zone == zone, Waiting: svc.Waiting,
+				Node: n.ID, Address: n.PeerAddress, Free: freeSlots(svc, class), SameZone: n.Zone == zone, Waiting: svc.Waiting,
 			})
 		}
 	})
@@ -279,7 +279,7 @@
 	return found
 }
 
-func freeOf(s *pb.ServiceState, class model.Class) int64 {
+func freeSlots(s *pb.ServiceState, class model.Class) int64 {
 	switch class {
 	case model.Heavy:
 		return s.FreeHeavy
@@ -314,11 +314,11 @@
 
 // AskPromise implements membership.Promiser.
 func (c *Cluster) AskPromise(ctx context.Context, peer, self ownership.Node, d time.Duration) ownership.PromiseState {
-	answer, err := c.dial(peer).Promise(ctx, &pb.PromiseRequest{
+	answer, err := c.peerClient(peer).Promise(ctx, &pb.PromiseRequest{
 		Node: self.ID, Incarnation: self.Session, DurationMs: d.Milliseconds(),
 	})
 	switch {
-	case nothingListens(err):
+	case isConnectionRefused(err):
 		return ownership.PromiseNotListening
 	case err != nil:
 		return ownership.PromiseNoResponse
@@ -328,17 +328,17 @@
 	return ownership.PromiseRefused
 }
 
-// nothingListens reports whether a host answered that no process listens there:
+// isConnectionRefused reports whether a host answered that no process listens there:
 // the process that did is dead.
-func nothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // AskOwner implements membership.Promiser.
 func (c *Cluster) AskOwner(ctx context.Context, owner ownership.Node, shards []string) (acting []string, state ownership.OwnerState) {
-	answer, err := c.dial(owner).Acting(ctx, &pb.ActingRequest{Shards: shards})
+	answer, err := c.peerClient(owner).Acting(ctx, &pb.ActingRequest{Shards: shards})
 	switch {
 	case err == nil:
 		return answer.Shards, ownership.OwnerStopped
-	case nothingListens(err):
+	case isConnectionRefused(err):
 		return nil, ownership.OwnerStopped
 	}
 	return nil, ownership.OwnerNoResponse
@@ -358,13 +358,13 @@
 
 // PeerDump describes a peer for the state dump.
 type PeerDump struct {
-	Node          string `json:"node"`
-	Zone          string `json:"zone"`
-	HeardMSAgo    int64  `json:"heard_ms_ago"`
-	ConfigVersion int64  `json:"config_version"`
-	VMs           int64  `json:"vms"`
-	Draining      bool   `json:"draining"`
-	StoreOK       bool   `json:"store_reachable"`
+	Node           string `json:"node"`
+	Zone           string `json:"zone"`
+	ReportAgeMS    int64  `json:"heard_ms_ago"`
+	ConfigVersion  int64  `json:"config_version"`
+	VMs            int64  `json:"vms"`
+	Draining       bool   `json:"draining"`
+	StoreReachable bool   `json:"store_reachable"`
 }
 
 // Dump describes the peers, sorted by node.
@@ -374,9 +374,9 @@
 	var dump []PeerDump
 	for _, p := range c.peers {
 		dump = append(dump, PeerDump{
-			Node: p.state.Node, Zone: p.state.Zone, HeardMSAgo: time.Since(p.heardAt).Milliseconds(),
+			Node: p.state.Node, Zone: p.state.Zone, ReportAgeMS: time.Since(p.receivedAt).Milliseconds(),
 			ConfigVersion: p.state.ConfigVersion, VMs: p.state.Vms, Draining: p.state.Draining,
-			StoreOK: p.state.StoreReachable,
+			StoreReachable: p.state.StoreReachable,
 		})
 	}
 	sort.Slice(dump, func(i, j int) bool { return dump[i].Node < dump[j].Node })
--- a/internal/cluster/server.go
+++ b/internal/cluster/server.go
@@ -17,18 +17,18 @@
 
 var _ pb.Peer = Server{}
 
-// notOwner is what a call to the wrong node is answered with.
-var notOwner = twirp.NewError(twirp.FailedPrecondition, string(errkind.NotOwner))
+// errNotOwner is what a call to the wrong node is answered with.
+var errNotOwner = twirp.NewError(twirp.FailedPrecondition, string(errkind.NotOwner))
 
 // Exchange implements pb.Peer.
 func (s Server) Exchange(_ context.Context, in *pb.NodeState) (*pb.NodeState, error) {
-	s.hear(in)
-	return s.state(), nil
+	s.recordPeerState(in)
+	return s.localState(), nil
 }
 
 // Config implements pb.Peer.
 func (s Server) Config(context.Context, *pb.ConfigRequest) (*pb.ConfigResponse, error) {
-	head, revision, err := s.config.Share()
+	head, revision, err := s.config.EncodeHead()
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
@@ -58,7 +58,7 @@
 
 // Reserve implements pb.Peer.
 func (s Server) Reserve(_ context.Context, in *pb.ReserveRequest) (*pb.ReserveResponse, error) {
-	reserved := s.vms.Reserve(refsOf(in.Attempts), vms.TaskRequirements{PerTask: resources(in.PerTask), Zones: in.Zones, Urgent: in.Urgent})
+	reserved := s.vms.Reserve(refsFromWire(in.Attempts), vms.TaskRequirements{PerTask: fromAmount(in.PerTask), Zones: in.Zones, Urgent: in.Urgent})
 	return &pb.ReserveResponse{Attempts: toWire(reserved)}, nil
 }
 
@@ -87,22 +87,22 @@
 	}
 	leader, err := s.jobs.Leader(jobs.ShardOfTask(in.Attempts[0].Task))
 	if err != nil {
-		return nil, notOwner
+		return nil, errNotOwner
 	}
 	obsolete, err := leader.Report(ctx, fromWire(in.Attempts))
 	if err != nil {
 		return nil, twirp.WrapError(twirp.NewError(twirp.Unavailable, string(errkind.From(err).Kind)), err)
 	}
-	return &pb.ReportResponse{Obsolete: toWire(attemptsOf(obsolete))}, nil
+	return &pb.ReportResponse{Obsolete: toWire(attemptsFromRefs(obsolete))}, nil
 }
 
 // Job implements pb.Peer.
 func (s Server) Job(ctx context.Context, in *pb.JobRequest) (*pb.JobResponse, error) {
 	leader, err := s.jobs.Leader(in.Shard)
 	if err != nil {
-		return nil, notOwner
+		return nil, errNotOwner
 	}
-	body, err := jobVerb(ctx, leader, in.Verb, in.Body)
+	body, err := handleJobCall(ctx, leader, in.Verb, in.Body)
 	if err != nil {
 		e := errkind.From(err)
 		return &pb.JobResponse{ErrorKind: string(e.Kind), ErrorMessage: e.Message}, nil
--- a/internal/command/capacity.go
+++ b/internal/command/capacity.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			m, err := capacity.Measure(cmd.Context(), log, teller(false))
+			m, err := capacity.Measure(cmd.Context(), log, progressPrinter(false))
 			if err != nil {
 				return err
 			}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -32,8 +32,8 @@
 	timeout        time.Duration
 }
 
-// flags adds what each verb that calls the API has in common.
-func (c *client) flags(cmd *cobra.Command) {
+// addFlags adds what each verb that calls the API has in common.
+func (c *client) addFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.address, "admin", "", "ip:port of any node's administration API; default $"+envAdmin)
 	// The variable is no default of the flag: --help prints defaults.
 	cmd.PersistentFlags().StringVar(&c.token, "token", "", "credential of a team or operator; better given as $"+envToken)
@@ -41,7 +41,7 @@
 	c.timeout = clientTimeout
 }
 
-func (c *client) base() *sling.Sling {
+func (c *client) newRequest() *sling.Sling {
 	c.address = cmp.Or(c.address, os.Getenv(envAdmin))
 	c.token = cmp.Or(c.token, os.Getenv(envToken))
 	return sling.New().Client(&http.Client{}).Base("http://"+c.address).Set("Authorization", "Bearer "+c.token)
@@ -77,8 +77,8 @@
 	return err
 }
 
-// show prints v as JSON, or calls people for a table.
-func (c *client) show(cmd *cobra.Command, v any, people func()) error {
+// print prints v as JSON, or calls people for a table.
+func (c *client) print(cmd *cobra.Command, v any, people func()) error {
 	if !c.asJSON && people != nil {
 		people()
 		return nil
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -34,7 +34,7 @@
 func TestExitCodes(t *testing.T) {
 	for want, err := range map[int]error{
 		exitOK: nil, exitFailed: errFailed, exitUnknown: errkind.New(errkind.StoreUnknown, "", nil),
-		exitLater: errkind.New(errkind.StoreUnavailable, "", nil), exitUsage: errkind.New(errkind.Forbidden, "", nil),
+		exitRetryable: errkind.New(errkind.StoreUnavailable, "", nil), exitUsage: errkind.New(errkind.Forbidden, "", nil),
 	} {
 		require.Equal(t, want, exitCode(err))
 	}
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -20,7 +20,7 @@
 func newConfig() *cobra.Command {
 	c := &client{}
 	cmd := &cobra.Command{Use: "config", Short: "Read and change the configuration"}
-	c.flags(cmd)
+	c.addFlags(cmd)
 	cmd.AddCommand(configGet(c), configPatch(c), configHistory(c), configWait(c), configRevert(c))
 	return cmd
 }
@@ -32,11 +32,11 @@
 		Example: "  rattanwall config get",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var answer admin.ConfigAnswer
-			if err := c.do(cmd.Context(), c.base().Get("/v1/config"), &answer); err != nil {
+			var answer admin.ConfigResponse
+			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config"), &answer); err != nil {
 				return err
 			}
-			return c.show(cmd, answer, nil)
+			return c.print(cmd, answer, nil)
 		},
 	}
 }
@@ -55,21 +55,21 @@
   rattanwall config patch --version 8 --file patch.jsonc`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			patch, err := readPatch(file, cmd.InOrStdin())
+			patch, err := readJSON(file, cmd.InOrStdin())
 			if err != nil {
 				return err
 			}
 			if id == "" {
 				id = uuid.NewString()
 			}
-			var answer admin.PatchAnswer
-			s := c.base().Patch("/v1/config").Set("If-Match", strconv.Quote(strconv.FormatInt(version, 10))).
+			var answer admin.PatchResponse
+			s := c.newRequest().Patch("/v1/config").Set("If-Match", strconv.Quote(strconv.FormatInt(version, 10))).
 				Set("Idempotency-Key", id).BodyJSON(patch)
 			if err := c.do(cmd.Context(), s, &answer); err != nil {
 				cmd.PrintErrln("patch id: " + id)
 				return err
 			}
-			return c.show(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+			return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file with the patch; - for standard input")
@@ -79,7 +79,7 @@
 	return cmd
 }
 
-func readPatch(file string, stdin io.Reader) (json.RawMessage, error) {
+func readJSON(file string, stdin io.Reader) (json.RawMessage, error) {
 	var raw []byte
 	var err error
 	if file == "-" {
@@ -105,13 +105,13 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var changes []config.Change
-			if err := c.do(cmd.Context(), c.base().Get("/v1/config/history"), &changes); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config/history"), &changes); err != nil {
 				return err
 			}
-			return c.show(cmd, changes, func() {
+			return c.print(cmd, changes, func() {
 				t := newTable(cmd.OutOrStdout(), "VERSION", "AT", "BY", "PATCH")
 				for _, ch := range changes {
-					t.row(ch.Version, time.UnixMilli(ch.AtUnixMS).UTC().Format(time.RFC3339), ch.Author, short(string(ch.Patch)))
+					t.row(ch.Version, time.UnixMilli(ch.AtUnixMS).UTC().Format(time.RFC3339), ch.Author, truncate(string(ch.Patch)))
 				}
 				t.flush()
 			})
@@ -119,8 +119,8 @@
 	}
 }
 
-// short cuts a text to fit a table.
-func short(s string) string {
+// truncate cuts a text to fit a table.
+func truncate(s string) string {
 	const limit = 100
 	if len(s) <= limit {
 		return s
@@ -137,15 +137,15 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c.timeout = limit + clientTimeout
-			var answer admin.WaitAnswer
+			var answer admin.WaitResponse
 			q := struct {
 				Version   string `url:"version"`
 				TimeoutMS int64  `url:"timeout_ms"`
 			}{args[0], limit.Milliseconds()}
-			if err := c.do(cmd.Context(), c.base().Get("/v1/config/wait").QueryStruct(q), &answer); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config/wait").QueryStruct(q), &answer); err != nil {
 				return err
 			}
-			err := c.show(cmd, answer, func() {
+			err := c.print(cmd, answer, func() {
 				t := newTable(cmd.OutOrStdout(), "NODE", "VERSION")
 				for node, v := range answer.Nodes {
 					t.row(node, v)
@@ -174,29 +174,29 @@
 			if err != nil {
 				return fmt.Errorf("VERSION: give a number")
 			}
-			var answer admin.PatchAnswer
-			s := c.base().Post("/v1/config/revert").Set("Idempotency-Key", uuid.NewString()).BodyJSON(map[string]int64{"version": version})
+			var answer admin.PatchResponse
+			s := c.newRequest().Post("/v1/config/revert").Set("Idempotency-Key", uuid.NewString()).BodyJSON(map[string]int64{"version": version})
 			if err := c.do(cmd.Context(), s, &answer); err != nil {
 				return err
 			}
-			return c.show(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+			return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
 		},
 	}
 }
 
-// named makes the verbs create, get, list and delete of a kind of thing that is
+// newResourceCommand makes the verbs create, get, list and delete of a kind of thing that is
 // part of the configuration.
-func named[V any](kind, path, example string, head []string, row func(name string, v V) []any) *cobra.Command {
+func newResourceCommand[V any](kind, path, example string, head []string, row func(name string, v V) []any) *cobra.Command {
 	c := &client{}
 	cmd := &cobra.Command{Use: kind, Short: "Create, show and delete " + path}
-	c.flags(cmd)
+	c.addFlags(cmd)
 	all := func(cmd *cobra.Command) (map[string]V, error) {
 		var found map[string]V
-		err := c.do(cmd.Context(), c.base().Get("/v1/"+path), &found)
+		err := c.do(cmd.Context(), c.newRequest().Get("/v1/"+path), &found)
 		return found, err
 	}
 	cmd.AddCommand(
-		namedCreate[V](c, kind, path, example), namedDelete(c, kind, path),
+		resourceCreate[V](c, kind, path, example), resourceDelete(c, kind, path),
 		&cobra.Command{
 			Use: "list", Short: "List all " + path, Args: cobra.NoArgs, Example: "  rattanwall " + kind + " list",
 			RunE: func(cmd *cobra.Command, _ []string) error {
@@ -204,7 +204,7 @@
 				if err != nil {
 					return err
 				}
-				return c.show(cmd, found, func() {
+				return c.print(cmd, found, func() {
 					t := newTable(cmd.OutOrStdout(), head...)
 					for name, v := range found {
 						t.row(row(name, v)...)
@@ -224,13 +224,13 @@
 				if !ok {
 					return fmt.Errorf("no %s %q; see 'rattanwall %s list'", kind, args[0], kind)
 				}
-				return c.show(cmd, v, nil)
+				return c.print(cmd, v, nil)
 			},
 		})
 	return cmd
 }
 
-func namedCreate[V any](c *client, kind, path, example string) *cobra.Command {
+func resourceCreate[V any](c *client, kind, path, example string) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:     "create NAME",
@@ -238,37 +238,37 @@
 		Example: example,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := readPatch(file, cmd.InOrStdin())
+			raw, err := readJSON(file, cmd.InOrStdin())
 			if err != nil {
 				return err
 			}
-			return c.change(cmd, c.base().Put("/v1/"+path+"/"+args[0]).BodyJSON(raw))
+			return c.sendChange(cmd, c.newRequest().Put("/v1/"+path+"/"+args[0]).BodyJSON(raw))
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file; - for standard input")
 	return cmd
 }
 
-func namedDelete(c *client, kind, path string) *cobra.Command {
+func resourceDelete(c *client, kind, path string) *cobra.Command {
 	return &cobra.Command{
 		Use: "delete NAME", Short: "Delete a " + kind, Args: cobra.ExactArgs(1), Example: "  rattanwall " + kind + " delete orders",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return c.change(cmd, c.base().Delete("/v1/"+path+"/"+args[0]))
+			return c.sendChange(cmd, c.newRequest().Delete("/v1/"+path+"/"+args[0]))
 		},
 	}
 }
 
-// change makes a call that makes a version, and prints that.
-func (c *client) change(cmd *cobra.Command, s *sling.Sling) error {
-	var answer admin.PatchAnswer
+// sendChange makes a call that makes a version, and prints that.
+func (c *client) sendChange(cmd *cobra.Command, s *sling.Sling) error {
+	var answer admin.PatchResponse
 	if err := c.do(cmd.Context(), s.Set("Idempotency-Key", uuid.NewString()), &answer); err != nil {
 		return err
 	}
-	return c.show(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+	return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
 }
 
 func newService() *cobra.Command {
-	return named("service", "services",
+	return newResourceCommand("service", "services",
 		`  echo '{"team":"counter","timeout_ms":2000}' | rattanwall service create orders`,
 		[]string{"NAME", "TEAM", "ZONES", "TIMEOUT MS", "OBJECTIVE MS"},
 		func(name string, s config.Service) []any {
@@ -277,7 +277,7 @@
 }
 
 func newWatch() *cobra.Command {
-	return named("watch", "watches",
+	return newResourceCommand("watch", "watches",
 		`  echo '{"team":"counter","service":"orders","path":"/watch"}' | rattanwall watch create oak`,
 		[]string{"NAME", "TEAM", "SERVICE", "PATH"},
 		func(name string, w config.Watch) []any { return []any{name, w.Team, w.Service, w.Path} })
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -43,7 +43,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			o := dev.Options{Shape: shape, Duration: duration, Log: log, Tell: teller(asJSON)}
+			o := dev.Options{Shape: shape, Duration: duration, Log: log, Tell: progressPrinter(asJSON)}
 			if !asJSON && isTerminal(os.Stderr) {
 				o.Progress = showProgress
 			}
@@ -67,7 +67,7 @@
 	return names
 }
 
-func teller(asJSON bool) func(string, ...any) {
+func progressPrinter(asJSON bool) func(string, ...any) {
 	return func(format string, args ...any) {
 		if !asJSON {
 			_, _ = fmt.Fprintf(os.Stderr, format+"\n", args...)
@@ -112,7 +112,7 @@
 	t := newTable(out, "CLASS", "RAN", "NOT RUN", "UNKNOWN", "P50 MS", "P99 MS", "P99.9 MS", "MAX MS")
 	for _, class := range []model.Class{model.Quick, model.Heavy} {
 		c := r.Load.Classes[class]
-		t.row(class, c.Ran, c.NotRun, c.Unknown, ms(c.P50), ms(c.P99), ms(c.P999), ms(c.Max))
+		t.row(class, c.Ran, c.NotRun, c.Unknown, formatMS(c.P50), formatMS(c.P99), formatMS(c.P999), formatMS(c.Max))
 	}
 	t.flush()
 	j, w := r.Load.Jobs, r.Load.Watches
@@ -132,4 +132,4 @@
 	}
 }
 
-func ms(v float64) string { return fmt.Sprintf("%.1f", v) }
+func formatMS(v float64) string { return fmt.Sprintf("%.1f", v) }
--- a/internal/command/edge.go
+++ b/internal/command/edge.go
@@ -31,12 +31,12 @@
 			if err != nil {
 				return err
 			}
-			s.Metrics = besides(s.Operations, metricsPort)
+			s.Metrics = withPort(s.Operations, metricsPort)
 			s.DirectVMs = directVMs
 			log := eventlog.New(os.Stdout, logrus.InfoLevel)
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			go reload(ctx, catchHangUps(), path, log)
+			go recheckSettings(ctx, notifySIGHUP(), path, log)
 			return edge.New(s.Settings, s.Connect(log), log).Run(ctx)
 		},
 	}
@@ -46,8 +46,8 @@
 	return cmd
 }
 
-// besides is another port at the host of address; "" for port 0.
-func besides(address string, port int) string {
+// withPort is another port at the host of address; "" for port 0.
+func withPort(address string, port int) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || port <= 0 {
 		return ""
@@ -55,17 +55,17 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// catchHangUps receives SIGHUP for the life of the process. Its default would end
+// notifySIGHUP receives SIGHUP for the life of the process. Its default would end
 // the process, also in the middle of a planned stop, and cut off what it answers.
-func catchHangUps() <-chan os.Signal {
+func notifySIGHUP() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
 }
 
-// reload checks the settings again at each SIGHUP. Addresses and bounds stay for
+// recheckSettings checks the settings again at each SIGHUP. Addresses and bounds stay for
 // the life of a process; faults are told.
-func reload(ctx context.Context, hup <-chan os.Signal, path string, log *eventlog.Log) {
+func recheckSettings(ctx context.Context, hup <-chan os.Signal, path string, log *eventlog.Log) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/command/edge_test.go
+++ b/internal/command/edge_test.go
@@ -19,11 +19,11 @@
 // The test's own process is the one that would die.
 func TestHangUpDuringAPlannedStopKillsNobody(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	hup := catchHangUps()
+	hup := notifySIGHUP()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		reload(ctx, hup, "no-such-file", eventlog.New(io.Discard, logrus.ErrorLevel))
+		recheckSettings(ctx, hup, "no-such-file", eventlog.New(io.Discard, logrus.ErrorLevel))
 	}()
 	cancel()
 	<-ended
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -16,8 +16,8 @@
 	"github.com/rattanwall/rattanwall/internal/experiment"
 )
 
-// mostSeeds bounds an experiment: more tell hardly more, and take hours.
-const mostSeeds = 10_000
+// maxSeeds bounds an experiment: more tell hardly more, and take hours.
+const maxSeeds = 10_000
 
 // experimentFlags are what the experiment command is told.
 type experimentFlags struct {
@@ -76,8 +76,8 @@
 }
 
 func (f *experimentFlags) run(cmd *cobra.Command, name string) error {
-	if f.seeds < 1 || f.seeds > mostSeeds {
-		return fmt.Errorf("--seeds: give 1 to %d", mostSeeds)
+	if f.seeds < 1 || f.seeds > maxSeeds {
+		return fmt.Errorf("--seeds: give 1 to %d", maxSeeds)
 	}
 	scenario, err := experiment.Find(name)
 	if err != nil {
@@ -158,13 +158,13 @@
 		if v.Clear() {
 			mark = "*"
 		}
-		t.row(v.Name, share(v.Median), share(v.Low)+"-"+share(v.High), fmt.Sprintf("%+.4f%s", v.Difference, mark), fmt.Sprintf("%.4f", v.Margin),
-			share(m.Kinds["serving"]), share(m.Kinds["short"]), share(m.Kinds["fillers"]), share(m.Largest),
-			fmt.Sprintf("%.0f", m.HarmS), fmt.Sprintf("%.1f", m.LongestHarmS), fmt.Sprintf("%.1f", m.LongestWaitS), share(m.Used),
+		t.row(v.Name, formatShare(v.Median), formatShare(v.Low)+"-"+formatShare(v.High), fmt.Sprintf("%+.4f%s", v.Difference, mark), fmt.Sprintf("%.4f", v.Margin),
+			formatShare(m.Kinds["serving"]), formatShare(m.Kinds["short"]), formatShare(m.Kinds["fillers"]), formatShare(m.Largest),
+			fmt.Sprintf("%.0f", m.HarmS), fmt.Sprintf("%.1f", m.LongestHarmS), fmt.Sprintf("%.1f", m.LongestWaitS), formatShare(m.Used),
 			fmt.Sprintf("%.0f", m.NsPerDecision))
 	}
 	t.flush()
 	_, _ = fmt.Fprintln(out, "\n* beyond chance. SERVICE is the median; HARM S counts serving task seconds over target because of fillers, LONGEST the longest spell, WAIT S the longest wait of a short job.")
 }
 
-func share(x float64) string { return fmt.Sprintf("%.3f", x) }
+func formatShare(x float64) string { return fmt.Sprintf("%.3f", x) }
--- a/internal/command/experiment_test.go
+++ b/internal/command/experiment_test.go
@@ -12,8 +12,8 @@
 	"github.com/rattanwall/rattanwall/internal/experiment"
 )
 
-// experiments calls the verb and returns what it prints.
-func experiments(t *testing.T, args ...string) (string, error) {
+// runExperiment calls the verb and returns what it prints.
+func runExperiment(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	root := newRoot()
 	var out strings.Builder
@@ -41,7 +41,7 @@
 		"accepts at most 1 arg":       {"faults-48", "pressed-48"},
 		"invalid argument \"many\" f": {"faults-48", "--seeds", "many"},
 	} {
-		out, err := experiments(t, append(args, "--plot", plot)...)
+		out, err := runExperiment(t, append(args, "--plot", plot)...)
 		require.ErrorContains(t, err, want)
 		require.Equal(t, exitUsage, exitCode(err))
 		require.Empty(t, out)
@@ -56,17 +56,17 @@
 	small := strings.NewReplacer(`"vms": 48`, `"vms": 6`, `"jobs": 37`, `"jobs": 4`, `"load_s": 34`, `"load_s": 5`, `"after_s": 24`, `"after_s": 2`).Replace(string(raw))
 	require.NoError(t, os.WriteFile(file, []byte(small), 0o600))
 	plot := filepath.Join(t.TempDir(), "plot.png")
-	out, err := experiments(t, file, "--seeds", "2", "--compare", "first-come", "--plot", plot)
+	out, err := runExperiment(t, file, "--seeds", "2", "--compare", "first-come", "--plot", plot)
 	require.NoError(t, err)
 	require.Contains(t, out, "first-come")
 	require.FileExists(t, plot)
-	out, err = experiments(t, file, "--seeds", "2", "--compare", "first-come", "--json")
+	out, err = runExperiment(t, file, "--seeds", "2", "--compare", "first-come", "--json")
 	require.NoError(t, err)
 	var r experiment.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &r))
 	require.Len(t, r.Variants, 2)
 	require.Len(t, r.Variants[1].Outcomes, 2)
-	out, err = experiments(t, "--list")
+	out, err = runExperiment(t, "--list")
 	require.NoError(t, err)
 	require.Contains(t, out, "colocated-750")
 }
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -13,7 +13,7 @@
 	c := &client{}
 	var team string
 	cmd := &cobra.Command{Use: "job", Short: "Submit, show and cancel batch jobs"}
-	c.flags(cmd)
+	c.addFlags(cmd)
 	cmd.PersistentFlags().StringVar(&team, "team", "", "team that the jobs are of")
 	path := func(rest string) (string, error) {
 		if team == "" {
@@ -41,15 +41,15 @@
 			if err != nil {
 				return err
 			}
-			raw, err := readPatch(file, cmd.InOrStdin())
+			raw, err := readJSON(file, cmd.InOrStdin())
 			if err != nil {
 				return err
 			}
 			var answer json.RawMessage
-			if err := c.do(cmd.Context(), c.base().Post(p).BodyJSON(raw), &answer); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Post(p).BodyJSON(raw), &answer); err != nil {
 				return err
 			}
-			return c.show(cmd, answer, func() { cmd.Println("accepted") })
+			return c.print(cmd, answer, func() { cmd.Println("accepted") })
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file; - for standard input")
@@ -66,10 +66,10 @@
 				return err
 			}
 			var listing jobs.Listing
-			if err := c.do(cmd.Context(), c.base().Get(p), &listing); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Get(p), &listing); err != nil {
 				return err
 			}
-			return c.show(cmd, listing, func() {
+			return c.print(cmd, listing, func() {
 				t := newTable(cmd.OutOrStdout(), "ID", "STATE", "TASKS", "QUEUED", "PLACED", "DONE", "FAILED", "CANCELLED", "EVICTIONS")
 				for _, j := range listing.Jobs {
 					t.row(j.Spec.ID, jobState(j), j.Spec.Tasks, j.Counts["queued"], j.Counts["placed"],
@@ -101,10 +101,10 @@
 				return err
 			}
 			var info jobs.Info
-			if err := c.do(cmd.Context(), c.base().Get(p), &info); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Get(p), &info); err != nil {
 				return err
 			}
-			return c.show(cmd, info, func() {
+			return c.print(cmd, info, func() {
 				cmd.Printf("%s: %s, %d tasks\n", info.Spec.ID, jobState(info), info.Spec.Tasks)
 				t := newTable(cmd.OutOrStdout(), "TASK", "STATE", "ATTEMPT", "VM", "CHECKPOINT", "FAILURES", "EVICTIONS")
 				for _, task := range info.Tasks {
@@ -128,10 +128,10 @@
 				return err
 			}
 			var answer json.RawMessage
-			if err := c.do(cmd.Context(), c.base().Post(p), &answer); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Post(p), &answer); err != nil {
 				return err
 			}
-			return c.show(cmd, answer, func() { cmd.Println("cancelled") })
+			return c.print(cmd, answer, func() { cmd.Println("cancelled") })
 		},
 	}
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -16,11 +16,11 @@
 
 // The exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
-	exitUsage   = 2
-	exitUnknown = 3
-	exitLater   = 4
+	exitOK        = 0
+	exitFailed    = 1
+	exitUsage     = 2
+	exitUnknown   = 3
+	exitRetryable = 4
 )
 
 // errFailed ends the process with exitFailed; what failed was already told.
@@ -49,7 +49,7 @@
 	case kind.Answer().Outcome == errkind.Unknown:
 		return exitUnknown
 	case kind.Answer().Retryable:
-		return exitLater
+		return exitRetryable
 	}
 	return exitUsage
 }
@@ -66,15 +66,15 @@
 	root.SetErr(os.Stderr)
 	root.AddCommand(newNode(), newEdge(), newDev(), newStandin(), newSettings(), newCapacity())
 	root.AddCommand(newConfig(), newService(), newWatch(), newJob(), newTeam(), newVM(), newStatus(), newDump(), newTrace(), newExperiment())
-	refuseUnknownVerbs(root)
+	rejectUnknownVerbs(root)
 	return root
 }
 
-// refuseUnknownVerbs makes commands that only have verbs of their own refuse words
+// rejectUnknownVerbs makes commands that only have verbs of their own refuse words
 // that are none: cobra prints their help and succeeds, and a script goes on.
-func refuseUnknownVerbs(cmd *cobra.Command) {
+func rejectUnknownVerbs(cmd *cobra.Command) {
 	for _, sub := range cmd.Commands() {
-		refuseUnknownVerbs(sub)
+		rejectUnknownVerbs(sub)
 	}
 	if cmd.Runnable() || !cmd.HasSubCommands() {
 		return
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -33,7 +33,7 @@
 	return cmd
 }
 
-func untilSignal(ctx context.Context) {
+func waitForSignal(ctx context.Context) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	<-ctx.Done()
@@ -61,7 +61,7 @@
 				defer l.Close()
 				cmd.Printf("platform at %s\n", l.Address())
 			}
-			untilSignal(cmd.Context())
+			waitForSignal(cmd.Context())
 			return nil
 		},
 	}
@@ -95,12 +95,12 @@
 					return err
 				}
 				defer w.Close()
-				if err := register(cmd.Context(), platformAddress, w.VM()); err != nil {
+				if err := registerVM(cmd.Context(), platformAddress, w.VM()); err != nil {
 					return err
 				}
 				cmd.Printf("%s agent %s target %s\n", vm.Name, w.VM().AgentAddress, w.VM().TargetAddress)
 			}
-			untilSignal(cmd.Context())
+			waitForSignal(cmd.Context())
 			return nil
 		},
 	}
@@ -124,8 +124,8 @@
 	return &record.Recorder{Sink: f}, nil
 }
 
-// register puts a VM on the stand-in platform's list.
-func register(ctx context.Context, address string, vm model.VM) error {
+// registerVM puts a VM on the stand-in platform's list.
+func registerVM(ctx context.Context, address string, vm model.VM) error {
 	s := sling.New().Base("http://" + address).Put("/vm").BodyJSON(vm)
 	req, err := s.Request()
 	if err != nil {
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -37,9 +37,9 @@
 			if len(story) == 0 {
 				return fmt.Errorf("%w: no line names %s", errFailed, args[0])
 			}
-			return c.show(cmd, story, func() {
-				printStory(cmd.OutOrStdout(), story)
-				printTwice(cmd.OutOrStdout(), story)
+			return c.print(cmd, story, func() {
+				printTimeline(cmd.OutOrStdout(), story)
+				printRepeatedRuns(cmd.OutOrStdout(), story)
 			})
 		},
 	}
@@ -68,7 +68,7 @@
 	return all, nil
 }
 
-func printStory(out io.Writer, story []trace.Line) {
+func printTimeline(out io.Writer, story []trace.Line) {
 	t := newTable(out, "AT", "NODE", "EVENT", "")
 	for i := range story {
 		l := &story[i]
@@ -87,8 +87,8 @@
 	t.flush()
 }
 
-// printTwice prints the runs of the tasks that ran more than once.
-func printTwice(out io.Writer, story []trace.Line) {
+// printRepeatedRuns prints the runs of the tasks that ran more than once.
+func printRepeatedRuns(out io.Writer, story []trace.Line) {
 	runs := trace.TwiceRuns(story)
 	if len(runs) == 0 {
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -152,11 +152,11 @@
 			fault("%s.%q: use 1 to 80 letters, digits, '-', '_' or '.'", field, n)
 		}
 	}
-	for _, n := range sorted(d.Operators) {
+	for _, n := range sortedKeys(d.Operators) {
 		name("operators", n)
 		credential("operators."+n, d.Operators[n])
 	}
-	for _, n := range sorted(d.Teams) {
+	for _, n := range sortedKeys(d.Teams) {
 		t := d.Teams[n]
 		name("teams", n)
 		credential("teams."+n, t.Credential)
@@ -164,11 +164,11 @@
 			fault("teams.%s: weight, quota and max_in_flight must be 0 or more", n)
 		}
 	}
-	for _, n := range sorted(d.Services) {
+	for _, n := range sortedKeys(d.Services) {
 		name("services", n)
 		faults = append(faults, d.validateService(n, d.Services[n])...)
 	}
-	for _, n := range sorted(d.Watches) {
+	for _, n := range sortedKeys(d.Watches) {
 		w := d.Watches[n]
 		name("watches", n)
 		if _, ok := d.Services[w.Service]; !ok {
@@ -201,7 +201,7 @@
 	return faults
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for n := range m {
 		names = append(names, n)
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -20,16 +20,16 @@
 const headKey = "config/head"
 
 const (
-	// watchWait is how long one watch waits; a watch gone silent is noticed soon
+	// watchTimeout is how long one watch waits; a watch gone silent is noticed soon
 	// after, well within the ten seconds that a change may take to be in force.
-	watchWait = 3 * time.Second
-	// retryPause is the least time between failed reads.
-	retryPause = 300 * time.Millisecond
+	watchTimeout = 3 * time.Second
+	// retryDelay is the least time between failed reads.
+	retryDelay = 300 * time.Millisecond
 	// callTimeout bounds one call to the store.
 	callTimeout = 2 * time.Second
-	// patchAttempts bounds how often a patch whose write's outcome is unknown is
+	// maxPatchAttempts bounds how often a patch whose write's outcome is unknown is
 	// read back before the sender is told so.
-	patchAttempts = 3
+	maxPatchAttempts = 3
 )
 
 // Installed is one version in use at a node. It is immutable.
@@ -37,16 +37,16 @@
 	Head     Head
 	Document Document
 	revision hosting.Revision
-	// tokens maps a token's hash to who holds it.
-	tokens map[string]Identity
+	// identities maps a token's hash to who holds it.
+	identities map[string]Identity
 }
 
 // Identity is whom a credential stands for.
 type Identity struct {
 	// Name is the operator's or team's name.
 	Name string
-	// Operator may change anything; otherwise Name is a team.
-	Operator bool
+	// IsOperator may change anything; otherwise Name is a team.
+	IsOperator bool
 }
 
 // Keeper keeps a node's copy of the configuration up to date and makes changes.
@@ -65,7 +65,7 @@
 // is the hash of a token that counts as an operator's while there are none.
 func NewKeeper(store hosting.Store, bootstrap string, log *logrus.Entry) *Keeper {
 	k := &Keeper{store: store, bootstrap: bootstrap, log: log, changed: make(chan struct{})}
-	k.current.Store(&Installed{tokens: k.tokens(Document{})})
+	k.current.Store(&Installed{identities: k.identitiesByToken(Document{})})
 	return k
 }
 
@@ -74,7 +74,7 @@
 
 // Identify returns whom a token stands for.
 func (i *Installed) Identify(token string) (Identity, bool) {
-	id, ok := i.tokens[HashToken(token)]
+	id, ok := i.identities[HashToken(token)]
 	return id, ok
 }
 
@@ -105,7 +105,7 @@
 		}
 		listed = err == nil
 		if err != nil {
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 		}
 	}
 	return ctx.Err()
@@ -122,7 +122,7 @@
 func (k *Keeper) refresh(ctx context.Context) (*Installed, error) {
 	e, err := k.store.Get(ctx, headKey)
 	if errors.Is(err, hosting.ErrNotFound) {
-		k.confirm()
+		k.markConfirmed()
 		return k.Current(), nil
 	}
 	if err != nil {
@@ -131,13 +131,13 @@
 	if err := k.install(e); err != nil {
 		return nil, err
 	}
-	k.confirm()
+	k.markConfirmed()
 	return k.Current(), nil
 }
 
 func (k *Keeper) follow(ctx context.Context) error {
 	before := k.Current().revision
-	events, _, err := k.store.Watch(ctx, headKey, before, watchWait)
+	events, _, err := k.store.Watch(ctx, headKey, before, watchTimeout)
 	if err != nil {
 		return err
 	}
@@ -149,28 +149,28 @@
 			return err
 		}
 	}
-	k.confirm()
+	k.markConfirmed()
 	if len(events) > 0 && k.Current().revision == before {
 		// A watch that replays what is known answers at once, again and again.
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 	return nil
 }
 
-// Offer takes a head that a peer uses, read from the store by that peer. A node
+// InstallFromPeer takes a head that a peer uses, read from the store by that peer. A node
 // that cannot reach the store keeps up with the others this way.
-func (k *Keeper) Offer(head []byte, revision int64) error {
+func (k *Keeper) InstallFromPeer(head []byte, revision int64) error {
 	return k.install(hosting.Entry{Key: headKey, Value: head, Revision: hosting.Revision(revision)})
 }
 
-// Share returns the head in use as a peer may take it, with its revision.
-func (k *Keeper) Share() (head []byte, revision int64, err error) {
+// EncodeHead returns the head in use as a peer may take it, with its revision.
+func (k *Keeper) EncodeHead() (head []byte, revision int64, err error) {
 	cur := k.Current()
 	head, err = json.Marshal(cur.Head)
 	return head, int64(cur.revision), err
 }
 
-func (k *Keeper) confirm() {
+func (k *Keeper) markConfirmed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.confirmedAt = time.Now()
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	next := &Installed{Head: h, Document: d, revision: e.Revision, tokens: k.tokens(d)}
+	next := &Installed{Head: h, Document: d, revision: e.Revision, identities: k.identitiesByToken(d)}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if cur := k.current.Load(); h.Version <= cur.Head.Version {
@@ -201,13 +201,13 @@
 	return nil
 }
 
-func (k *Keeper) tokens(d Document) map[string]Identity {
+func (k *Keeper) identitiesByToken(d Document) map[string]Identity {
 	t := make(map[string]Identity, len(d.Operators)+len(d.Teams)+1)
 	if len(d.Operators) == 0 && k.bootstrap != "" {
-		t[k.bootstrap] = Identity{Name: "bootstrap", Operator: true}
+		t[k.bootstrap] = Identity{Name: "bootstrap", IsOperator: true}
 	}
 	for n, c := range d.Operators {
-		t[c.TokenSHA256] = Identity{Name: n, Operator: true}
+		t[c.TokenSHA256] = Identity{Name: n, IsOperator: true}
 	}
 	for n, team := range d.Teams {
 		t[team.TokenSHA256] = Identity{Name: n}
@@ -227,7 +227,7 @@
 	}
 	uncertain := false
 	var lastErr error
-	for range patchAttempts {
+	for range maxPatchAttempts {
 		head, wrote, err := k.tryPatch(ctx, p)
 		if err == nil {
 			return head, nil
@@ -241,7 +241,7 @@
 	if uncertain && isStoreError(lastErr) {
 		lastErr = errors.Mark(lastErr, hosting.ErrUnknown)
 	}
-	return Head{}, storeError(lastErr)
+	return Head{}, classifyStoreError(lastErr)
 }
 
 func isStoreError(err error) bool {
@@ -273,8 +273,8 @@
 	return next, true, k.install(hosting.Entry{Key: headKey, Value: value, Revision: rev})
 }
 
-// storeError gives an error of the store its kind.
-func storeError(err error) error {
+// classifyStoreError gives an error of the store its kind.
+func classifyStoreError(err error) error {
 	switch {
 	case err == nil:
 		return nil
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -15,8 +15,8 @@
 
 // Patch is a change that someone asks for.
 type Patch struct {
-	// Against is the version that the patch was made against.
-	Against int64
+	// BaseVersion is the version that the patch was made against.
+	BaseVersion int64
 	// ID is chosen by the sender; a second patch with the same ID and content is
 	// the same patch.
 	ID     string
@@ -36,9 +36,9 @@
 	return d, nil
 }
 
-// Find returns the version that an earlier patch with the given ID made, while
+// FindChange returns the version that an earlier patch with the given ID made, while
 // the head still remembers it.
-func (h Head) Find(patchID string) (Change, bool) {
+func (h Head) FindChange(patchID string) (Change, bool) {
 	for _, c := range h.Changes {
 		if patchID != "" && c.PatchID == patchID {
 			return c, true
@@ -50,14 +50,14 @@
 // Apply returns the head after p, or why not. It is pure: at is the time noted.
 // A repeat of a patch already in h returns h itself.
 func (h Head) Apply(p Patch, at time.Time) (Head, error) {
-	if c, ok := h.Find(p.ID); ok {
+	if c, ok := h.FindChange(p.ID); ok {
 		if !jsonpatch.Equal(c.Patch, p.Body) {
 			return h, errkind.New(errkind.AlreadyExists, fmt.Sprintf("patch id %q was used for another patch, which made version %d", p.ID, c.Version), nil)
 		}
 		return h, nil
 	}
-	if p.Against != h.Version {
-		return h, errkind.New(errkind.VersionConflict, h.conflict(p.Against), nil)
+	if p.BaseVersion != h.Version {
+		return h, errkind.New(errkind.VersionConflict, h.conflictMessage(p.BaseVersion), nil)
 	}
 	if !json.Valid(p.Body) || len(p.Body) == 0 || bytes.TrimSpace(p.Body)[0] != '{' {
 		return h, errkind.New(errkind.InvalidRequest, "the patch must be a JSON object", nil)
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// conflict tells a patch's sender which change it lost to.
-func (h Head) conflict(against int64) string {
+// conflictMessage tells a patch's sender which change it lost to.
+func (h Head) conflictMessage(against int64) string {
 	message := fmt.Sprintf("the patch is against version %d, the configuration is at version %d", against, h.Version)
 	for _, c := range h.Changes {
 		if c.Version == against+1 {
--- a/internal/config/patch_test.go
+++ b/internal/config/patch_test.go
@@ -16,7 +16,7 @@
 
 func apply(t *testing.T, h Head, id, body string) Head {
 	t.Helper()
-	next, err := h.Apply(Patch{Against: h.Version, ID: id, Author: "ann", Body: json.RawMessage(body)}, time.Unix(1, 0))
+	next, err := h.Apply(Patch{BaseVersion: h.Version, ID: id, Author: "ann", Body: json.RawMessage(body)}, time.Unix(1, 0))
 	require.NoError(t, err)
 	return next
 }
@@ -27,16 +27,16 @@
 func TestRepeatedPatchIsRecognised(t *testing.T) {
 	one := apply(t, Head{}, "p1", `{"weights":{"tail":1}}`)
 	two := apply(t, one, "p2", `{"weights":{"tail":2}}`)
-	again, err := two.Apply(Patch{Against: 0, ID: "p1", Body: json.RawMessage(`{"weights":{"tail":1}}`)}, time.Unix(2, 0))
+	again, err := two.Apply(Patch{BaseVersion: 0, ID: "p1", Body: json.RawMessage(`{"weights":{"tail":1}}`)}, time.Unix(2, 0))
 	require.NoError(t, err)
 	require.Equal(t, two, again)
-	_, err = two.Apply(Patch{Against: 2, ID: "p1", Body: json.RawMessage(`{"weights":{"tail":9}}`)}, time.Unix(2, 0))
+	_, err = two.Apply(Patch{BaseVersion: 2, ID: "p1", Body: json.RawMessage(`{"weights":{"tail":9}}`)}, time.Unix(2, 0))
 	require.True(t, errkind.Is(err, errkind.AlreadyExists), "another patch under the same id")
 }
 
 func TestRacedPatchIsToldTheVersionItLostTo(t *testing.T) {
 	one := apply(t, Head{}, "p1", `{"weights":{"tail":1}}`)
-	_, err := one.Apply(Patch{Against: 0, ID: "p2", Body: json.RawMessage(`{}`)}, time.Unix(2, 0))
+	_, err := one.Apply(Patch{BaseVersion: 0, ID: "p2", Body: json.RawMessage(`{}`)}, time.Unix(2, 0))
 	require.True(t, errkind.Is(err, errkind.VersionConflict))
 	require.ErrorContains(t, err, "version 1 was made by ann")
 }
@@ -54,7 +54,7 @@
 		`{"services":{"s":{"timeout_ms":-1}}}`:                            "services.s.timeout_ms",
 		`{"operators":{"o o":{"token_sha256":"` + HashToken("o") + `"}}}`: `operators."o o"`,
 	} {
-		next, err := base.Apply(Patch{Against: 1, Body: json.RawMessage(body)}, time.Unix(2, 0))
+		next, err := base.Apply(Patch{BaseVersion: 1, Body: json.RawMessage(body)}, time.Unix(2, 0))
 		require.ErrorContains(t, err, want, body)
 		require.Equal(t, base, next)
 	}
@@ -91,7 +91,7 @@
 	f.Add([]byte(`{"a`))
 	base := Head{Version: 1, Document: json.RawMessage(`{"teams":{"a":{"token_sha256":"` + hash + `"}},"services":{"s":{"team":"a"}},"weights":{}}`)}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		next, err := base.Apply(Patch{Against: 1, Body: body}, time.Unix(2, 0))
+		next, err := base.Apply(Patch{BaseVersion: 1, Body: body}, time.Unix(2, 0))
 		if err != nil {
 			return
 		}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -17,21 +17,21 @@
 	Team    string
 	// Zones maps each availability zone to its entry VMs.
 	Zones map[string]int
-	// Workers is their number over all zones; PerRack share a rack.
-	Workers, PerRack int
-	Capacity         model.Resources
-	Weights          config.Weights
+	// Workers is their number over all zones; WorkersPerRack share a rack.
+	Workers, WorkersPerRack int
+	Capacity                model.Resources
+	Weights                 config.Weights
 	// ReservePerVM is kept for the service on each VM.
 	ReservePerVM model.Resources
 }
 
 // What is alike in both deployments.
 const (
-	slots       = 8
-	connections = 64
-	// acceleratorEvery VMs one has an accelerator; the users' page does not tell
+	slotsPerVM       = 8
+	connectionsPerVM = 64
+	// vmsPerAccelerator VMs one has an accelerator; the users' page does not tell
 	// the number of today.
-	acceleratorEvery = 4
+	vmsPerAccelerator = 4
 	// MaxBodyBytes is what the services take in a request.
 	MaxBodyBytes = 64 << 10
 )
@@ -41,15 +41,15 @@
 	return map[string]Shape{
 		"cofnod-criw": {
 			Name: "cofnod-criw", Service: "crewbook", Team: "rostering",
-			Zones: map[string]int{"cardiff": 3, "newport": 3, "swansea": 3}, Workers: 48, PerRack: 8,
-			Capacity:     model.Resources{MilliCPU: 32_000, MemoryMB: 125_000, Slots: slots, Connections: connections},
+			Zones: map[string]int{"cardiff": 3, "newport": 3, "swansea": 3}, Workers: 48, WorkersPerRack: 8,
+			Capacity:     model.Resources{MilliCPU: 32_000, MemoryMB: 125_000, Slots: slotsPerVM, Connections: connectionsPerVM},
 			Weights:      config.Weights{Tail: 5, Throughput: 1, Evictions: 2},
 			ReservePerVM: model.Resources{MilliCPU: 8_000, MemoryMB: 16_000},
 		},
 		"thessaly": {
 			Name: "thessaly", Service: "orders", Team: "counter",
-			Zones: map[string]int{"larisa": 3, "volos": 2, "trikala": 2, "karditsa": 2}, Workers: 48, PerRack: 6,
-			Capacity:     model.Resources{MilliCPU: 64_000, MemoryMB: 250_000, Slots: slots, Connections: connections},
+			Zones: map[string]int{"larisa": 3, "volos": 2, "trikala": 2, "karditsa": 2}, Workers: 48, WorkersPerRack: 6,
+			Capacity:     model.Resources{MilliCPU: 64_000, MemoryMB: 250_000, Slots: slotsPerVM, Connections: connectionsPerVM},
 			Weights:      config.Weights{Tail: 2, Throughput: 4, Evictions: 2},
 			ReservePerVM: model.Resources{MilliCPU: 8_000, MemoryMB: 16_000},
 		},
@@ -74,11 +74,11 @@
 	for _, zone := range zones {
 		for i := range perZone {
 			capacity := s.Capacity
-			if i%acceleratorEvery == 0 {
+			if i%vmsPerAccelerator == 0 {
 				capacity.Accelerators = 1
 			}
 			list = append(list, model.VM{
-				Name: fmt.Sprintf("%s-w%02d", zone, i), Zone: zone, Rack: fmt.Sprintf("rack%d", i/s.PerRack),
+				Name: fmt.Sprintf("%s-w%02d", zone, i), Zone: zone, Rack: fmt.Sprintf("rack%d", i/s.WorkersPerRack),
 				State: model.VMLive, Capacity: capacity,
 			})
 		}
--- a/internal/harness/faults_test.go
+++ b/internal/harness/faults_test.go
@@ -24,7 +24,7 @@
 func small() deployment.Shape {
 	shape := deployment.Shapes()["cofnod-criw"]
 	shape.Zones = map[string]int{"east": 2, "west": 2}
-	shape.Workers, shape.PerRack = 8, 2
+	shape.Workers, shape.WorkersPerRack = 8, 2
 	return shape
 }
 
--- a/internal/harness/single.go
+++ b/internal/harness/single.go
@@ -91,7 +91,7 @@
 func (d *Deployment) Patch(ctx context.Context, patch string) error {
 	keeper := d.Nodes()[0].Keeper()
 	head, err := keeper.Patch(ctx, config.Patch{
-		Against: keeper.Current().Head.Version, Author: "operator", Body: json.RawMessage(patch),
+		BaseVersion: keeper.Current().Head.Version, Author: "operator", Body: json.RawMessage(patch),
 	})
 	if err != nil {
 		return err
--- a/internal/load/teams.go
+++ b/internal/load/teams.go
@@ -175,12 +175,12 @@
 }
 
 func (g *Generator) patchOnce(ctx context.Context, n int) {
-	var cur admin.ConfigAnswer
+	var cur admin.ConfigResponse
 	if status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling { return s.Get("/v1/config") }, &cur); err != nil || status != http.StatusOK {
 		return
 	}
 	body := map[string]any{"weights": map[string]any{"tail": n, "throughput": n}}
-	var made admin.PatchAnswer
+	var made admin.PatchResponse
 	status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling {
 		return s.Patch("/v1/config").Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(cur.Version))).BodyJSON(body)
 	}, &made)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,13 +30,13 @@
 )
 
 const (
-	// listEvery is how often the platform's list of VMs is read; a VM that leaves
+	// vmListInterval is how often the platform's list of VMs is read; a VM that leaves
 	// must get nothing new within 3 s of the list saying so.
-	listEvery = time.Second
+	vmListInterval = time.Second
 	// leaveTimeout bounds the last calls of a planned stop.
 	leaveTimeout = 2 * time.Second
-	// drainPoll is how often a planned stop looks whether requests are left.
-	drainPoll = 20 * time.Millisecond
+	// drainPollInterval is how often a planned stop looks whether requests are left.
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Node is one process of the system.
@@ -46,17 +46,17 @@
 	log      *logrus.Entry
 	registry *prometheus.Registry
 
-	store    *httphosting.Client
-	keeper   *config.Keeper
-	members  *membership.Membership
-	cluster  *cluster.Cluster
-	vms      *vms.Manager
-	jobs     *jobs.Service
-	router   *route.Router
-	servers  []*server
-	draining atomic.Bool
-	aborted  chan struct{}
-	listed   atomic.Bool
+	store     *httphosting.Client
+	keeper    *config.Keeper
+	members   *membership.Membership
+	cluster   *cluster.Cluster
+	vms       *vms.Manager
+	jobs      *jobs.Service
+	router    *route.Router
+	servers   []*server
+	draining  atomic.Bool
+	aborted   chan struct{}
+	hasVMList atomic.Bool
 }
 
 // New listens on the addresses of the settings and puts the node together;
@@ -130,7 +130,7 @@
 	top.Add(n.cluster)
 	top.Add(n.vms)
 	top.Add(n.jobs)
-	top.Add(service(n.followList))
+	top.Add(serviceFunc(n.pollVMList))
 	front := suture.New("servers", spec)
 	for _, s := range n.servers {
 		front.Add(s)
@@ -164,11 +164,11 @@
 // at most once.
 func (n *Node) Abort() { close(n.aborted) }
 
-// service is a function run under the supervisor.
-type service func(ctx context.Context) error
+// serviceFunc is a function run under the supervisor.
+type serviceFunc func(ctx context.Context) error
 
 // Serve implements suture.Service.
-func (s service) Serve(ctx context.Context) error { return s(ctx) }
+func (s serviceFunc) Serve(ctx context.Context) error { return s(ctx) }
 
 // drain is the planned stop. The order matters: the balancer must see the node
 // not ready, and stop sending, before the listener closes; a request that comes
@@ -190,7 +190,7 @@
 	n.router.EndWatches()
 	limit := time.Now().Add(n.settings.Drain.Limit())
 	for n.router.InFlight() > 0 && time.Now().Before(limit) {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	<-done
 	for _, s := range n.servers {
@@ -204,19 +204,19 @@
 	n.log.WithField("left_in_flight", n.router.InFlight()).Info("planned stop: done")
 }
 
-// followList reads the platform's list of VMs. While the platform is away the
+// pollVMList reads the platform's list of VMs. While the platform is away the
 // last list stays in use.
-func (n *Node) followList(ctx context.Context) error {
-	ticker := time.NewTicker(listEvery)
+func (n *Node) pollVMList(ctx context.Context) error {
+	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
 	known := ""
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, 2*listEvery)
+		callCtx, cancel := context.WithTimeout(ctx, 2*vmListInterval)
 		list, version, err := n.store.VMs(callCtx, known)
 		cancel()
 		if err == nil && version != known {
 			known = version
-			n.setList(list)
+			n.setVMList(list)
 		}
 		select {
 		case <-ctx.Done():
@@ -226,15 +226,15 @@
 	}
 }
 
-func (n *Node) setList(list []model.VM) {
+func (n *Node) setVMList(list []model.VM) {
 	n.vms.SetList(list)
 	n.members.SetShards(append(n.vms.Shards(), jobs.Shards()...))
-	n.listed.Store(true)
+	n.hasVMList.Store(true)
 }
 
 // Ready reports whether the balancer should send requests here.
 func (n *Node) Ready() bool {
-	return n.listed.Load() && !n.keeper.ConfirmedAt().IsZero() && !n.draining.Load()
+	return n.hasVMList.Load() && !n.keeper.ConfirmedAt().IsZero() && !n.draining.Load()
 }
 
 // Address returns the ip:port served for a purpose.
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -76,16 +76,16 @@
 	peers.Handle(pb.PeerPathPrefix, pb.NewPeerServer(cluster.Server{Cluster: n.cluster}))
 	peers.HandleFunc("/forward/", n.router.ServePeer)
 	handlers := map[Purpose]http.Handler{
-		Callers: n.callers(), Admin: admin.New(n, n.log.WithField("part", "admin")),
-		Peers: peers, Operations: n.operations(),
+		Callers: n.callersHandler(), Admin: admin.New(n, n.log.WithField("part", "admin")),
+		Peers: peers, Operations: n.operationsHandler(),
 	}
 	for _, s := range n.servers {
 		s.http.SetHandler(handlers[s.purpose])
 	}
 }
 
-// callers serves requests, and readiness for a balancer that probes the same port.
-func (n *Node) callers() http.Handler {
+// callersHandler serves requests, and readiness for a balancer that probes the same port.
+func (n *Node) callersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/svc/", n.router)
 	mux.HandleFunc("GET /readyz", n.serveReady)
@@ -100,7 +100,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-func (n *Node) operations() http.Handler {
+func (n *Node) operationsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
@@ -144,8 +144,8 @@
 // Cluster implements admin.Node.
 func (n *Node) Cluster() *cluster.Cluster { return n.cluster }
 
-// InForce implements admin.Node.
-func (n *Node) InForce() map[string]int64 {
+// ConfigVersions implements admin.Node.
+func (n *Node) ConfigVersions() map[string]int64 {
 	versions := map[string]int64{}
 	for id := range n.members.Nodes() {
 		versions[id] = 0
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -35,7 +35,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	shape := deployment.Shapes()["cofnod-criw"]
-	shape.Zones, shape.Workers, shape.PerRack = map[string]int{"east": 1, "west": 1}, 4, 2
+	shape.Zones, shape.Workers, shape.WorkersPerRack = map[string]int{"east": 1, "west": 1}, 4, 2
 	d, err := harness.Start(b.Context(), harness.Options{Shape: shape, Hosts: harness.Loopback{}, Log: log})
 	require.NoError(b, err)
 	b.Cleanup(d.Close)
--- a/internal/route/failures_test.go
+++ b/internal/route/failures_test.go
@@ -60,7 +60,7 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		shape := deployment.Shapes()["cofnod-criw"]
-		shape.Zones, shape.Workers, shape.PerRack = map[string]int{"east": 2}, 3, 3
+		shape.Zones, shape.Workers, shape.WorkersPerRack = map[string]int{"east": 2}, 3, 3
 		hosts := harness.NewFake()
 		d, err := harness.Start(t.Context(), harness.Options{Shape: shape, Hosts: hosts, Log: log})
 		require.NoError(t, err)
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	req.team = id.Name
-	if !id.Operator && !req.config.Open && req.config.Team != id.Name {
+	if !id.IsOperator && !req.config.Open && req.config.Team != id.Name {
 		return nil, errkind.New(errkind.Forbidden, fmt.Sprintf("service %s is not open to team %s", req.service, id.Name), nil)
 	}
 	if req.origin == "" {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -65,11 +65,11 @@
 	if !ok || t.Kind() != reflect.Struct {
 		return
 	}
-	fields := fieldsOf(t)
+	fields := jsonFields(t)
 	for _, member := range object.Members {
 		var name string
 		_ = json.Unmarshal(bytes.TrimSpace(member.Name.Value.(hujson.Literal)), &name)
-		full := join(path, name)
+		full := joinPath(path, name)
 		line := 1 + bytes.Count(d.raw[:member.Name.StartOffset], []byte("\n"))
 		if d.lines[full] != 0 {
 			d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: given twice; keep one", d.file, line, full))
@@ -85,14 +85,14 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.Type {
+func jsonFields(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -113,12 +113,12 @@
 	if err != nil {
 		return n, err
 	}
-	n.defaults()
-	n.check(d)
+	n.setDefaults()
+	n.validate(d)
 	return n, d.Err()
 }
 
-func (n *Node) defaults() {
+func (n *Node) setDefaults() {
 	setDefault(&n.Drain.NoticeMS, defaultNoticeMS)
 	setDefault(&n.Drain.LimitMS, defaultLimitMS)
 	setDefault(&n.Leases.SessionMS, DefaultSessionMS)
@@ -137,7 +137,7 @@
 	}
 }
 
-func (n *Node) check(d *Document) {
+func (n *Node) validate(d *Document) {
 	if !model.ValidName(n.Name) {
 		d.Fault("name", "use 1 to 80 letters, digits, '-', '_' or '.'")
 	}
