--- a/internal/capacity/churn.go
+++ b/internal/capacity/churn.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	churnFor    = 24 * time.Second
-	churnEvery  = 200 * time.Millisecond
-	churnTasks  = 10
-	churnTaskMS = 1_000
-	// churnDrain lets the last tasks end and be recorded.
-	churnDrain = 8 * time.Second
-	maxStartUS = 60_000_000
+	churnDuration    = 24 * time.Second
+	churnJobInterval = 200 * time.Millisecond
+	churnTasksPerJob = 10
+	churnTaskMS      = 1_000
+	// churnDrainDelay lets the last tasks end and be recorded.
+	churnDrainDelay = 8 * time.Second
+	maxStartUS      = 60_000_000
 )
 
-// observeChurn submits jobs at a steady rate and counts what they cost beyond
+// measureChurn submits jobs at a steady rate and counts what they cost beyond
 // rest.
-func observeChurn(ctx context.Context, d *harness.Deployment, c *counters, rest Sample) (Churn, error) {
-	bytes, calls, cpu, started := c.read(), d.Platform.Calls(), cpuTime(), time.Now()
-	submitted, err := submitSteadily(ctx, d, rest.Teams)
+func measureChurn(ctx context.Context, d *harness.Deployment, c *counters, rest Sample) (Churn, error) {
+	bytes, calls, cpu, started := c.snapshot(), d.Platform.Calls(), cpuTime(), time.Now()
+	submitted, err := submitJobs(ctx, d, rest.Teams)
 	if err != nil {
 		return Churn{}, err
 	}
-	time.Sleep(churnDrain)
+	time.Sleep(churnDrainDelay)
 	elapsed := time.Since(started).Seconds()
 	perNode := elapsed * float64(rest.Nodes)
 	starts := startLatencies(d, submitted)
 	n := float64(starts.TotalCount())
 	churn := Churn{
-		Starts: int(n), StartsPerSecond: n / churnFor.Seconds(), BytesPerStart: map[Kind]float64{},
+		Starts: int(n), StartsPerSecond: n / churnDuration.Seconds(), BytesPerStart: map[Kind]float64{},
 		CPUMSPerStart: ((cpuTime() - cpu).Seconds() - rest.CPUPerNode*perNode) * 1000 / n,
 		StartP50MS:    float64(starts.ValueAtQuantile(50)) / 1000,
 		StartP99MS:    float64(starts.ValueAtQuantile(99)) / 1000,
 	}
-	for k, now := range c.read() {
+	for k, now := range c.snapshot() {
 		atRest := rest.BytesPerNode[k] * perNode
 		if k == KindPeer {
 			// Counted once here, at rest for both ends.
@@ -55,22 +55,22 @@
 	return churn, nil
 }
 
-// submitSteadily submits jobs and returns when each was, by its key.
-func submitSteadily(ctx context.Context, d *harness.Deployment, teams int) (map[string]time.Time, error) {
+// submitJobs submits jobs and returns when each was, by its key.
+func submitJobs(ctx context.Context, d *harness.Deployment, teams int) (map[string]time.Time, error) {
 	submitted := map[string]time.Time{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
 	nodes := d.Nodes()
-	ticker := time.NewTicker(churnEvery)
+	ticker := time.NewTicker(churnJobInterval)
 	defer ticker.Stop()
-	for i := range int(churnFor / churnEvery) {
+	for i := range int(churnDuration / churnJobInterval) {
 		<-ticker.C
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			spec := model.JobSpec{
-				ID: fmt.Sprintf("churn%d", i), Team: fmt.Sprintf("team%03d", i%teams), Tasks: churnTasks, DurationMS: churnTaskMS,
+				ID: fmt.Sprintf("churn%d", i), Team: fmt.Sprintf("team%03d", i%teams), Tasks: churnTasksPerJob, DurationMS: churnTaskMS,
 				PerTask: model.Resources{MilliCPU: 100, MemoryMB: 10},
 			}
 			at := time.Now()
--- a/internal/capacity/count.go
+++ b/internal/capacity/count.go
@@ -41,8 +41,8 @@
 	return c
 }
 
-// mark tells what is served at an address; what is not marked is a peer.
-func (c *counters) mark(address string, k Kind) {
+// setKind tells what is served at an address; what is not marked is a peer.
+func (c *counters) setKind(address string, k Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byPort[address] = k
@@ -57,7 +57,7 @@
 	return KindPeer
 }
 
-func (c *counters) read() map[Kind]int64 {
+func (c *counters) snapshot() map[Kind]int64 {
 	now := map[Kind]int64{}
 	for k, n := range c.bytes {
 		now[k] = n.Load()
@@ -65,53 +65,53 @@
 	return now
 }
 
-// hosts puts all on loopback and counts what nodes send and receive.
-type hosts struct {
+// countingHosts puts all on loopback and counts what nodes send and receive.
+type countingHosts struct {
 	counters *counters
 	nodes    map[string]bool
 }
 
 // Host implements harness.Hosts.
-func (h hosts) Host(name string) (network netio.Network, ip string) {
+func (h countingHosts) Host(name string) (network netio.Network, ip string) {
 	network, ip = harness.Loopback{}.Host(name)
 	if h.nodes[name] {
-		network = counted{network, h.counters}
+		network = countingNetwork{network, h.counters}
 	}
 	return network, ip
 }
 
-// counted is a network whose outgoing connections are counted.
-type counted struct {
+// countingNetwork is a network whose outgoing connections are counted.
+type countingNetwork struct {
 	netio.Network
 	counters *counters
 }
 
 // DialContext implements netio.Network.
-func (n counted) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (n countingNetwork) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := n.Network.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, n.counters, address}, nil
+	return &countingConn{conn, n.counters, address}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	counters *counters
 	address  string
 }
 
-func (c *countedConn) add(n int) { c.counters.bytes[c.counters.kindOf(c.address)].Add(int64(n)) }
+func (c *countingConn) add(n int) { c.counters.bytes[c.counters.kindOf(c.address)].Add(int64(n)) }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.add(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.add(n)
 	return n, err
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -50,11 +50,11 @@
 	ConfigBytes int `json:"config_bytes"`
 }
 
-// Measured is what a measurement writes to a file.
-type Measured struct {
+// Measurement is what a measurement writes to a file.
+type Measurement struct {
 	Samples []Sample `json:"samples"`
-	// Held is a size that the fit does not use, to check it.
-	Held Sample `json:"held"`
+	// HeldOut is a size that the fit does not use, to check it.
+	HeldOut Sample `json:"held"`
 	// Churn is the same size while tasks start and end.
 	Churn Churn `json:"churn"`
 }
@@ -89,34 +89,34 @@
 }
 
 const (
-	// settleFor lets a deployment come to rest before it is measured.
-	settleFor = 8 * time.Second
-	// measureFor is long beside every period of the protocol.
-	measureFor = 24 * time.Second
+	// settleDuration lets a deployment come to rest before it is measured.
+	settleDuration = 8 * time.Second
+	// measureDuration is long beside every period of the protocol.
+	measureDuration = 24 * time.Second
 	// longRun keeps tasks running throughout.
-	longRunMS = 3_600_000
-	// startLimit bounds the time until all tasks run.
-	startLimit = 90 * time.Second
+	longTaskMS = 3_600_000
+	// startTimeout bounds the time until all tasks run.
+	startTimeout = 90 * time.Second
 )
 
 // Measure measures every size; tell is called with each.
-func Measure(ctx context.Context, log *logrus.Logger, tell func(format string, args ...any)) (Measured, error) {
-	var m Measured
+func Measure(ctx context.Context, log *logrus.Logger, tell func(format string, args ...any)) (Measurement, error) {
+	var m Measurement
 	fit, held := Sizes()
 	for _, size := range fit {
-		s, _, err := measureOne(ctx, size, log, false)
+		s, _, err := measureSize(ctx, size, log, false)
 		if err != nil {
 			return m, errors.Wrapf(err, "size %+v", size)
 		}
-		tell("%+v: %.0f bytes/s and node, %.3f of a core", size, total(s.BytesPerNode), s.CPUPerNode)
+		tell("%+v: %.0f bytes/s and node, %.3f of a core", size, totalBytes(s.BytesPerNode), s.CPUPerNode)
 		m.Samples = append(m.Samples, s)
 	}
 	var err error
-	m.Held, m.Churn, err = measureOne(ctx, held, log, true)
+	m.HeldOut, m.Churn, err = measureSize(ctx, held, log, true)
 	return m, errors.Wrapf(err, "size %+v", held)
 }
 
-func total(m map[Kind]float64) float64 {
+func totalBytes(m map[Kind]float64) float64 {
 	sum := 0.0
 	for _, v := range m {
 		sum += v
@@ -135,10 +135,10 @@
 	return shape
 }
 
-func measureOne(ctx context.Context, size Size, log *logrus.Logger, churn bool) (Sample, Churn, error) {
+func measureSize(ctx context.Context, size Size, log *logrus.Logger, churn bool) (Sample, Churn, error) {
 	shape := size.shape()
 	counters := newCounters()
-	h := hosts{counters: counters, nodes: map[string]bool{}}
+	h := countingHosts{counters: counters, nodes: map[string]bool{}}
 	for _, n := range shape.Nodes() {
 		h.nodes[n.Name] = true
 	}
@@ -148,26 +148,26 @@
 	}
 	defer d.Close()
 	for _, zone := range shape.ZoneNames() {
-		counters.mark(d.Listener(zone).Address(), KindStore)
+		counters.setKind(d.Listener(zone).Address(), KindStore)
 	}
 	for _, vm := range d.Platform.VMs() {
-		counters.mark(vm.AgentAddress, KindAgent)
-		counters.mark(vm.TargetAddress, KindTarget)
+		counters.setKind(vm.AgentAddress, KindAgent)
+		counters.setKind(vm.TargetAddress, KindTarget)
 	}
-	if err := grow(ctx, d, size); err != nil {
+	if err := populate(ctx, d, size); err != nil {
 		return Sample{}, Churn{}, err
 	}
-	time.Sleep(settleFor)
-	rest := observe(d, counters, size)
+	time.Sleep(settleDuration)
+	rest := measureAtRest(d, counters, size)
 	if !churn {
 		return rest, Churn{}, nil
 	}
-	c, err := observeChurn(ctx, d, counters, rest)
+	c, err := measureChurn(ctx, d, counters, rest)
 	return rest, c, err
 }
 
-// grow adds teams and services, and starts the tasks.
-func grow(ctx context.Context, d *harness.Deployment, size Size) error {
+// populate adds teams and services, and starts the tasks.
+func populate(ctx context.Context, d *harness.Deployment, size Size) error {
 	teams, services := map[string]config.Team{}, map[string]config.Service{}
 	for i := range size.Teams {
 		teams[fmt.Sprintf("team%03d", i)] = config.Team{
@@ -196,14 +196,14 @@
 	for i := 0; i*perJob < size.Tasks; i++ {
 		team := fmt.Sprintf("team%03d", i%size.Teams)
 		spec := model.JobSpec{
-			ID: fmt.Sprintf("job%d", i), Team: team, Tasks: perJob, DurationMS: longRunMS,
+			ID: fmt.Sprintf("job%d", i), Team: team, Tasks: perJob, DurationMS: longTaskMS,
 			PerTask: model.Resources{MilliCPU: 1_000, MemoryMB: 2_000},
 		}
 		if _, err := c.Job(ctx, team, "submit", spec); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		running := 0
@@ -223,15 +223,15 @@
 	}
 }
 
-// observe measures a deployment at rest.
-func observe(d *harness.Deployment, c *counters, size Size) Sample {
-	bytes, calls, cpu, started := c.read(), d.Platform.Calls(), cpuTime(), time.Now()
-	time.Sleep(measureFor)
+// measureAtRest measures a deployment at rest.
+func measureAtRest(d *harness.Deployment, c *counters, size Size) Sample {
+	bytes, calls, cpu, started := c.snapshot(), d.Platform.Calls(), cpuTime(), time.Now()
+	time.Sleep(measureDuration)
 	elapsed := time.Since(started).Seconds()
 	s := Sample{Size: size, Seconds: elapsed, BytesPerNode: map[Kind]float64{}, CallsPerNode: map[string]float64{}}
 	perNode := elapsed * float64(size.Nodes)
 	s.CPUPerNode = (cpuTime() - cpu).Seconds() / perNode
-	for k, n := range c.read() {
+	for k, n := range c.snapshot() {
 		if k == KindPeer {
 			// Each exchange is traffic of both nodes.
 			n, bytes[k] = 2*n, 2*bytes[k]
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -31,8 +31,8 @@
 var targetNodes = []int{36, 72, 140}
 
 // Read reads a measurement.
-func Read(file string) (Measured, error) {
-	var m Measured
+func Read(file string) (Measurement, error) {
+	var m Measurement
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return m, errors.Wrap(err, "read measurement")
@@ -40,22 +40,22 @@
 	return m, errors.Wrap(json.Unmarshal(raw, &m), "decode measurement")
 }
 
-// terms is how many parts a node's cost is a sum of: a fixed one, one for each
+// termCount is how many parts a node's cost is a sum of: a fixed one, one for each
 // VM owned, each task held, and each exchange that it begins a second.
-const terms = 4
+const termCount = 4
 
-func (s Size) row() []float64 {
+func (s Size) termValues() []float64 {
 	n := float64(s.Nodes)
 	return []float64{1, float64(s.VMs) / n, float64(s.Tasks) / n, cluster.ExchangesPerSecond(s.Nodes)}
 }
 
-// Slope is a cost per term.
-type Slope []float64
+// Coefficients is a cost per term.
+type Coefficients []float64
 
-// At returns the cost at a size.
-func (s Slope) At(size Size) float64 {
+// CostAt returns the cost at a size.
+func (s Coefficients) CostAt(size Size) float64 {
 	sum := 0.0
-	for i, v := range size.row() {
+	for i, v := range size.termValues() {
 		sum += s[i] * v
 	}
 	return max(sum, 0)
@@ -64,13 +64,13 @@
 // Fit fits a cost to the samples by least squares and returns it with the root
 // mean square of what it misses by. Nothing costs less than nothing, so a term
 // that comes out negative is left out and the rest fitted again.
-func Fit(samples []Sample, cost func(Sample) float64) (Slope, float64) {
+func Fit(samples []Sample, cost func(Sample) float64) (Coefficients, float64) {
 	use := []int{0, 1, 2, 3}
 	for {
 		a := mat.NewDense(len(samples), len(use), nil)
 		b := mat.NewVecDense(len(samples), nil)
 		for i, s := range samples {
-			row := s.row()
+			row := s.termValues()
 			for j, term := range use {
 				a.Set(i, j, row[term])
 			}
@@ -78,9 +78,9 @@
 		}
 		var x mat.VecDense
 		if err := x.SolveVec(a, b); err != nil {
-			return make(Slope, terms), math.NaN()
+			return make(Coefficients, termCount), math.NaN()
 		}
-		slope := make(Slope, terms)
+		slope := make(Coefficients, termCount)
 		worst := -1
 		for j, term := range use {
 			slope[term] = x.AtVec(j)
@@ -89,16 +89,16 @@
 			}
 		}
 		if worst < 0 {
-			return slope, missed(samples, cost, slope)
+			return slope, rmsError(samples, cost, slope)
 		}
 		use = append(use[:worst:worst], use[worst+1:]...)
 	}
 }
 
-func missed(samples []Sample, cost func(Sample) float64, slope Slope) float64 {
+func rmsError(samples []Sample, cost func(Sample) float64, slope Coefficients) float64 {
 	sum := 0.0
 	for _, s := range samples {
-		d := cost(s) - slope.At(s.Size)
+		d := cost(s) - slope.CostAt(s.Size)
 		sum += d * d
 	}
 	return math.Sqrt(sum / float64(len(samples)))
@@ -111,7 +111,7 @@
 	format string
 }
 
-func metrics(m Measured) []metric {
+func metrics(m Measurement) []metric {
 	var list []metric
 	for _, k := range Kinds {
 		list = append(list, metric{"bytes/s, " + string(k), func(s Sample) float64 { return s.BytesPerNode[k] }, "%.1f"})
@@ -135,13 +135,13 @@
 		metric{"live heap, bytes (with stand-ins)", func(s Sample) float64 { return s.HeapPerNode }, "%.0f"})
 }
 
-// target is the target size with a number of entry VMs.
-func target(nodes int) Size {
+// targetSize is the target size with a number of entry VMs.
+func targetSize(nodes int) Size {
 	return Size{Nodes: nodes, Zones: targetZones, VMs: targetVMs, Tasks: targetTasks, Teams: targetTeams, Services: targetServices}
 }
 
 // Report writes the page's tables.
-func Report(m Measured) string {
+func Report(m Measurement) string {
 	var b strings.Builder
 	writeSlopes(&b, m)
 	writeTarget(&b, m)
@@ -151,21 +151,21 @@
 	return b.String()
 }
 
-// peakStarts is the target's peak of task starts a second.
-const peakStarts = 50.0
+// peakStartsPerSecond is the target's peak of task starts a second.
+const peakStartsPerSecond = 50.0
 
 // writeChurn writes what starts cost and what the peak adds to a node.
-func writeChurn(b *strings.Builder, m Measured) {
+func writeChurn(b *strings.Builder, m Measurement) {
 	c := m.Churn
-	fmt.Fprintf(b, "### Task starts, each with its end, beyond rest (measured at %.0f starts/s, %d starts, %d nodes)\n\n| cost | per start |", c.StartsPerSecond, c.Starts, m.Held.Nodes)
+	fmt.Fprintf(b, "### Task starts, each with its end, beyond rest (measured at %.0f starts/s, %d starts, %d nodes)\n\n| cost | per start |", c.StartsPerSecond, c.Starts, m.HeldOut.Nodes)
 	for _, n := range targetNodes {
-		fmt.Fprintf(b, " a node at %.0f starts/s, %d nodes |", peakStarts, n)
+		fmt.Fprintf(b, " a node at %.0f starts/s, %d nodes |", peakStartsPerSecond, n)
 	}
 	b.WriteString("\n|---|---|" + strings.Repeat("---|", len(targetNodes)) + "\n")
 	line := func(name, format string, perStart, share float64) {
 		fmt.Fprintf(b, "| %s | "+format+" |", name, perStart)
 		for _, n := range targetNodes {
-			fmt.Fprintf(b, " "+format+" |", share*perStart*peakStarts/float64(n))
+			fmt.Fprintf(b, " "+format+" |", share*perStart*peakStartsPerSecond/float64(n))
 		}
 		b.WriteString("\n")
 	}
@@ -179,10 +179,10 @@
 	line("store puts", "%.2f", c.PutsPerStart, 1)
 	line("processor time, ms (with stand-ins)", "%.2f", c.CPUMSPerStart, 1)
 	fmt.Fprintf(b, "\nFrom submission to running: p50 %.0f ms, p99 %.0f ms. Puts of the fleet at %.0f starts/s: %.0f a second at most, since commits are shared when busy.\n\n",
-		c.StartP50MS, c.StartP99MS, peakStarts, c.PutsPerStart*peakStarts)
+		c.StartP50MS, c.StartP99MS, peakStartsPerSecond, c.PutsPerStart*peakStartsPerSecond)
 }
 
-func writeSlopes(b *strings.Builder, m Measured) {
+func writeSlopes(b *strings.Builder, m Measurement) {
 	b.WriteString("### Measured slopes, per node at rest\n\n| cost | fixed | per VM owned | per task held | per exchange begun/s | fit misses by (rms) |\n|---|---|---|---|---|---|\n")
 	for _, x := range metrics(m) {
 		slope, rms := Fit(m.Samples, x.cost)
@@ -196,7 +196,7 @@
 	b.WriteString("\n")
 }
 
-func writeTarget(b *strings.Builder, m Measured) {
+func writeTarget(b *strings.Builder, m Measurement) {
 	b.WriteString("### A node at the target size, at rest (measured slope x size)\n\n| cost |")
 	for _, n := range targetNodes {
 		fmt.Fprintf(b, " %d nodes |", n)
@@ -205,7 +205,7 @@
 	line := func(name, format string, budget string, at func(Size) float64) {
 		fmt.Fprintf(b, "| %s |", name)
 		for _, n := range targetNodes {
-			fmt.Fprintf(b, " "+format+" |", at(target(n)))
+			fmt.Fprintf(b, " "+format+" |", at(targetSize(n)))
 		}
 		fmt.Fprintf(b, " %s |\n", budget)
 	}
@@ -213,26 +213,26 @@
 		bytes := 0.0
 		for _, k := range Kinds {
 			slope, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
-			bytes += slope.At(s)
+			bytes += slope.CostAt(s)
 		}
 		return bytes
 	}
 	for _, k := range Kinds {
 		slope, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
-		line("bytes/s, "+string(k), "%.0f", "", slope.At)
+		line("bytes/s, "+string(k), "%.0f", "", slope.CostAt)
 	}
 	line("bytes/s, sum", "%.0f", fmt.Sprintf("%.0f", budgetBytes), sum)
 	cpu, _ := Fit(m.Samples, func(x Sample) float64 { return x.CPUPerNode })
-	line("share of a core, % (with stand-ins)", "%.2f", fmt.Sprintf("%.1f", 100*budgetCPU), func(s Size) float64 { return 100 * cpu.At(s) })
+	line("share of a core, % (with stand-ins)", "%.2f", fmt.Sprintf("%.1f", 100*budgetCPU), func(s Size) float64 { return 100 * cpu.CostAt(s) })
 	heap, _ := Fit(m.Samples, func(x Sample) float64 { return x.HeapPerNode })
-	line("live heap, MB (with stand-ins)", "%.1f", fmt.Sprintf("%.0f", budgetHeap/1e6), func(s Size) float64 { return heap.At(s) / 1e6 })
+	line("live heap, MB (with stand-ins)", "%.1f", fmt.Sprintf("%.0f", budgetHeap/1e6), func(s Size) float64 { return heap.CostAt(s) / 1e6 })
 	b.WriteString("\n")
 }
 
-// writes says which calls of the store count as writes.
-var writes = map[string]bool{"put": true, "delete": true, "grant": true, "renew": true, "revoke": true}
+// isWriteCall says which calls of the store count as writes.
+var isWriteCall = map[string]bool{"put": true, "delete": true, "grant": true, "renew": true, "revoke": true}
 
-func writeStore(b *strings.Builder, m Measured) {
+func writeStore(b *strings.Builder, m Measurement) {
 	b.WriteString("### The store at the target size, at rest, calls/s of the whole fleet (measured slope x size)\n\n| call |")
 	for _, n := range targetNodes {
 		fmt.Fprintf(b, " %d nodes |", n)
@@ -247,8 +247,8 @@
 		slope, _ := Fit(m.Samples, x.cost)
 		fmt.Fprintf(b, "| %s |", call)
 		for i, n := range targetNodes {
-			v := slope.At(target(n)) * float64(n)
-			sums[writes[call]][i] += v
+			v := slope.CostAt(targetSize(n)) * float64(n)
+			sums[isWriteCall[call]][i] += v
 			fmt.Fprintf(b, " %.1f |", v)
 		}
 		b.WriteString(" |\n")
@@ -267,11 +267,11 @@
 	b.WriteString("\n")
 }
 
-func writeCheck(b *strings.Builder, m Measured) {
-	fmt.Fprintf(b, "### Check of the fit: a size that it does not use (%d nodes, %d VMs, %d tasks)\n\n| cost | predicted | measured | off by |\n|---|---|---|---|\n", m.Held.Nodes, m.Held.VMs, m.Held.Tasks)
+func writeCheck(b *strings.Builder, m Measurement) {
+	fmt.Fprintf(b, "### Check of the fit: a size that it does not use (%d nodes, %d VMs, %d tasks)\n\n| cost | predicted | measured | off by |\n|---|---|---|---|\n", m.HeldOut.Nodes, m.HeldOut.VMs, m.HeldOut.Tasks)
 	for _, x := range metrics(m) {
 		slope, _ := Fit(m.Samples, x.cost)
-		predicted, measured := slope.At(m.Held.Size), x.cost(m.Held)
+		predicted, measured := slope.CostAt(m.HeldOut.Size), x.cost(m.HeldOut)
 		off := "-"
 		if measured != 0 {
 			off = fmt.Sprintf("%+.0f %%", 100*(predicted-measured)/measured)
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -43,7 +43,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			o := dev.Options{Shape: shape, Duration: duration, Log: log, Tell: progressPrinter(asJSON)}
+			o := dev.Options{Shape: shape, Duration: duration, Log: log, Printf: progressPrinter(asJSON)}
 			if !asJSON && isTerminal(os.Stderr) {
 				o.Progress = showProgress
 			}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -126,7 +126,7 @@
 		if !ok || name == "" {
 			return nil, fmt.Errorf(`--policy: give NAME={"field": value}, not %q`, text)
 		}
-		v, err := experiment.Changed(name, []byte(raw))
+		v, err := experiment.ParseVariant(name, []byte(raw))
 		if err != nil {
 			return nil, fmt.Errorf("--policy: %w", err)
 		}
@@ -155,7 +155,7 @@
 		v := &r.Variants[i]
 		m := &v.Means
 		mark := ""
-		if v.Clear() {
+		if v.Significant() {
 			mark = "*"
 		}
 		t.row(v.Name, formatShare(v.Median), formatShare(v.Low)+"-"+formatShare(v.High), fmt.Sprintf("%+.4f%s", v.Difference, mark), fmt.Sprintf("%.4f", v.Margin),
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			story := trace.Story(lines, args[0])
+			story := trace.Timeline(lines, args[0])
 			if len(story) == 0 {
 				return fmt.Errorf("%w: no line names %s", errFailed, args[0])
 			}
@@ -89,7 +89,7 @@
 
 // printRepeatedRuns prints the runs of the tasks that ran more than once.
 func printRepeatedRuns(out io.Writer, story []trace.Line) {
-	runs := trace.TwiceRuns(story)
+	runs := trace.RepeatedRuns(story)
 	if len(runs) == 0 {
 		return
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -43,25 +43,25 @@
 	Shape    deployment.Shape
 	Duration time.Duration
 	Log      *logrus.Logger
-	// Tell is called with what happens, for people.
-	Tell func(format string, args ...any)
+	// Printf is called with what happens, for people.
+	Printf func(format string, args ...any)
 	// Progress, if set, is called about once a second.
 	Progress func(elapsed time.Duration, s load.Summary)
 }
 
 const (
-	quickRate  = 300
-	heavyRate  = 10
-	watches    = 40
-	jobEvery   = 700 * time.Millisecond
-	jobTasks   = 12
-	patchEvery = time.Second
-	// oversizeEvery brings about requests that must not run.
-	oversizeEvery = 2 * time.Second
-	batchTeam     = "batch"
-	burstSize     = 3_000
-	// awaitJobs bounds the wait for the last jobs after the load has ended.
-	awaitJobs = 40 * time.Second
+	quickRate     = 300
+	heavyRate     = 10
+	watchCount    = 40
+	jobInterval   = 700 * time.Millisecond
+	tasksPerJob   = 12
+	patchInterval = time.Second
+	// oversizeInterval brings about requests that must not run.
+	oversizeInterval = 2 * time.Second
+	batchTeam        = "batch"
+	burstSize        = 3_000
+	// jobsTimeout bounds the wait for the last jobs after the load has ended.
+	jobsTimeout = 40 * time.Second
 )
 
 // Run runs the demo.
@@ -70,11 +70,11 @@
 	if err != nil {
 		return Report{}, err
 	}
-	tellAddresses(d, o.Tell)
+	printAddresses(d, o.Printf)
 	g := load.New(load.Options{
 		Recorder: d.Recorder, Balancer: d.Balancer, Network: netio.TCP{}, Service: o.Shape.Service, Team: o.Shape.Team, Token: d.Team,
 		BatchTeam: batchTeam, BatchToken: d.Batch, OperatorToken: d.Operator, QuickRate: quickRate, HeavyRate: heavyRate,
-		Watches: watches, JobEvery: jobEvery, JobTasks: jobTasks, PatchEvery: patchEvery, OversizeEvery: oversizeEvery, Seed: uint64(time.Now().UnixNano()),
+		Watches: watchCount, JobEvery: jobInterval, JobTasks: tasksPerJob, PatchEvery: patchInterval, OversizeEvery: oversizeInterval, Seed: uint64(time.Now().UnixNano()),
 	})
 	started := time.Now()
 	loadCtx, cancel := context.WithTimeout(ctx, o.Duration)
@@ -83,17 +83,17 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		mishaps(loadCtx, o, d, g)
+		runIncidents(loadCtx, o, d, g)
 	}()
 	if o.Progress != nil {
-		go progress(loadCtx, o, g, started)
+		go reportProgress(loadCtx, o, g, started)
 	}
 	g.Run(loadCtx)
 	wg.Wait()
 	elapsed := time.Since(started)
-	jobsCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), awaitJobs)
+	jobsCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), jobsTimeout)
 	defer stop()
-	o.Tell("load ended; waiting for the last jobs")
+	o.Printf("load ended; waiting for the last jobs")
 	left := g.AwaitJobs(jobsCtx)
 	d.Close()
 	return Report{
@@ -102,7 +102,7 @@
 	}, nil
 }
 
-func progress(ctx context.Context, o Options, g *load.Generator, started time.Time) {
+func reportProgress(ctx context.Context, o Options, g *load.Generator, started time.Time) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -116,7 +116,7 @@
 	}
 }
 
-func tellAddresses(d *harness.Deployment, tell func(string, ...any)) {
+func printAddresses(d *harness.Deployment, tell func(string, ...any)) {
 	nodes := d.Balancer.All()
 	tell("%d nodes, %d VMs of %s serve. To try, while it runs:", len(nodes), len(d.Shape.VMs()), d.Shape.Name)
 	tell("  curl -H 'Authorization: Bearer %s' 'http://%s/svc/%s/work?ms=5&size=60'", d.Team, nodes[0].Callers, d.Shape.Service)
--- a/internal/dev/mishaps.go
+++ b/internal/dev/mishaps.go
@@ -10,21 +10,21 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// mishap is something that goes wrong, or is done on purpose, at a fraction of
+// incident is something that goes wrong, or is done on purpose, at a fraction of
 // the run.
-type mishap struct {
-	at float64
-	do func(ctx context.Context) string
+type incident struct {
+	fraction float64
+	trigger  func(ctx context.Context) string
 }
 
-// mishaps brings about, during the load, what the invariants are about: a VM
+// runIncidents brings about, during the load, what the invariants are about: a VM
 // leaves, a node is replaced as planned, callers come in a burst, connections
 // go silent.
-func mishaps(ctx context.Context, o Options, d *harness.Deployment, g *load.Generator) {
+func runIncidents(ctx context.Context, o Options, d *harness.Deployment, g *load.Generator) {
 	first := d.Shape.ZoneNames()[0]
 	leaving, silent := fmt.Sprintf("%s-w01", first), fmt.Sprintf("%s-w02", first)
 	replaced := d.Shape.Nodes()[0].Name
-	list := []mishap{
+	list := []incident{
 		{0.2, func(context.Context) string {
 			d.Platform.SetVMState(leaving, model.VMLeaving)
 			return "the platform's list says that " + leaving + " leaves"
@@ -44,12 +44,12 @@
 	}
 	started := time.Now()
 	for _, m := range list {
-		due := time.Duration(m.at*float64(o.Duration)) - time.Since(started)
+		due := time.Duration(m.fraction*float64(o.Duration)) - time.Since(started)
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(due):
 		}
-		o.Tell("%5.1fs  %s", time.Since(started).Seconds(), m.do(ctx))
+		o.Printf("%5.1fs  %s", time.Since(started).Seconds(), m.trigger(ctx))
 	}
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -36,8 +36,8 @@
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Clear reports whether the difference is beyond what chance gives.
-func (r *Result) Clear() bool { return math.Abs(r.Difference) > r.Margin }
+// Significant reports whether the difference is beyond what chance gives.
+func (r *Result) Significant() bool { return math.Abs(r.Difference) > r.Margin }
 
 // Options say what to compare.
 type Options struct {
@@ -58,7 +58,7 @@
 		return Report{}, fmt.Errorf("experiment %s: %w", s.Name, err)
 	}
 	if o.Workers > 1 {
-		forgetAllocations(outcomes)
+		clearAllocations(outcomes)
 	}
 	r := Report{Scenario: s.Name, Seeds: o.Seeds, First: o.First}
 	for v := range o.Variants {
@@ -99,8 +99,8 @@
 	return outcomes, group.Wait()
 }
 
-// forgetAllocations drops figures that count other plays' allocations as well.
-func forgetAllocations(outcomes [][]Outcome) {
+// clearAllocations drops figures that count other plays' allocations as well.
+func clearAllocations(outcomes [][]Outcome) {
 	for v := range outcomes {
 		for i := range outcomes[v] {
 			outcomes[v][i].AllocsPerDecision = 0
@@ -110,7 +110,7 @@
 
 func summarise(name string, outcomes, first []Outcome) Result {
 	r := Result{Name: name, Outcomes: outcomes}
-	service := figures(outcomes, func(o *Outcome) float64 { return o.Service })
+	service := metricValues(outcomes, func(o *Outcome) float64 { return o.Service })
 	differences := make([]float64, len(service))
 	for i := range service {
 		differences[i] = service[i] - first[i].Service
@@ -124,8 +124,8 @@
 	return r
 }
 
-// confidence is that of the interval of a difference.
-const confidence = 0.95
+// confidenceLevel is that of the interval of a difference.
+const confidenceLevel = 0.95
 
 // meanAndMargin returns a mean and half the width of its confidence interval; the
 // margin of fewer than two figures is infinite in truth, and 0 here.
@@ -134,11 +134,11 @@
 		return stat.Mean(x, nil), 0
 	}
 	mean, deviation := stat.MeanStdDev(x, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile((1 + confidence) / 2)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile((1 + confidenceLevel) / 2)
 	return mean, t * deviation / math.Sqrt(float64(len(x)))
 }
 
-func figures(outcomes []Outcome, of func(*Outcome) float64) []float64 {
+func metricValues(outcomes []Outcome, of func(*Outcome) float64) []float64 {
 	list := make([]float64, len(outcomes))
 	for i := range outcomes {
 		list[i] = of(&outcomes[i])
@@ -147,7 +147,7 @@
 }
 
 func means(outcomes []Outcome) Outcome {
-	mean := func(of func(*Outcome) float64) float64 { return stat.Mean(figures(outcomes, of), nil) }
+	mean := func(of func(*Outcome) float64) float64 { return stat.Mean(metricValues(outcomes, of), nil) }
 	m := Outcome{
 		Service: mean(func(o *Outcome) float64 { return o.Service }), Kinds: map[string]float64{},
 		Largest: mean(func(o *Outcome) float64 { return o.Largest }), Smallest: mean(func(o *Outcome) float64 { return o.Smallest }),
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// playStep is the resolution of virtual time.
-	playStep = 20 * time.Millisecond
-	// account is the span by which lasting work is rated.
-	account = 2 * time.Second
+	// timeStep is the resolution of virtual time.
+	timeStep = 20 * time.Millisecond
+	// ratingInterval is the span by which lasting work is rated.
+	ratingInterval = 2 * time.Second
 	// harmFactor is how many times more a tail over its target costs than a task that
 	// is away, where what fills beside it is the cause.
 	harmFactor = 4.0
-	// lateFactor times its objective a job still earns lateShare.
-	lateFactor = 3.0
-	lateShare  = 0.15
-	// leaseOver is how long after it was lost a VM counts as ended by its lease.
-	leaseOver = 9 * time.Second
+	// lateFactor times its objective a job still earns lateValueShare.
+	lateFactor     = 3.0
+	lateValueShare = 0.15
+	// leaseExpiryDelay is how long after it was lost a VM counts as ended by its lease.
+	leaseExpiryDelay = 9 * time.Second
 )
 
 // Outcome is what one play of a scenario came to.
@@ -67,44 +67,44 @@
 
 // player plays one world against one policy.
 type player struct {
-	s       *Scenario
-	f       *fleet
-	variant *Variant
-	sched   *scheduler.Scheduler
-	fence   int64
-	now     time.Duration
+	scenario *Scenario
+	fleet    *fleet
+	variant  *Variant
+	sched    *scheduler.Scheduler
+	fence    int64
+	now      time.Duration
 	// arrivals are the jobs still to come.
-	arrivals   []*job
-	known      []*job
-	store      map[string]*scheduler.Progress
-	starts     map[scheduler.SegmentID]scheduler.StartSegment
-	faults     []Fault
-	recoveries []recovery
-	// relist are the VMs whose entries are still those of the start before.
-	relist []recovery
-	// leaderAt is when the next leader takes over, absent is set until then.
-	leaderAt time.Duration
-	absent   bool
-	lostAt   map[string]time.Duration
-	crashing crashing
+	arrivals          []*job
+	submittedJobs     []*job
+	store             map[string]*scheduler.Progress
+	startSegments     map[scheduler.SegmentID]scheduler.StartSegment
+	faults            []Fault
+	pendingRecoveries []vmEvent
+	// pendingListings are the VMs whose entries are still those of the start before.
+	pendingListings []vmEvent
+	// nextLeaderAt is when the next leader takes over, absent is set until then.
+	nextLeaderAt time.Duration
+	noLeader     bool
+	lostAt       map[string]time.Duration
+	crashFault   crashFault
 
-	// starting are the starts that the leader has decided and not given, credit the share of
+	// pendingStarts are the starts that the leader has decided and not given, credit the share of
 	// one that it has had time for.
-	starting []decidedStart
-	credit   float64
-	backlog  *scheduler.Backlog
+	pendingStarts []pendingStart
+	startCredit   float64
+	backlog       *scheduler.Backlog
 
-	earned, owed [kinds]float64
-	harm         map[batch.TaskID]time.Duration
-	spans        map[*job]*span
-	waits        map[*job]time.Duration
-	out          Outcome
-	busy         time.Duration
-	allocs       uint64
+	earned, requested [kindCount]float64
+	harmDurations     map[batch.TaskID]time.Duration
+	accounts          map[*job]*servingAccount
+	firstTaskWaits    map[*job]time.Duration
+	result            Outcome
+	schedulerTime     time.Duration
+	allocs            uint64
 }
 
-// span is a lasting job's account of the present two seconds.
-type span struct{ atWork, lost, all time.Duration }
+// servingAccount is a lasting job's account of the present two seconds.
+type servingAccount struct{ readyTime, lostTime, totalTime time.Duration }
 
 // Play plays one seed of a scenario with a variant. Equal arguments give equal outcomes
 // but for the figures of time and allocations.
@@ -112,20 +112,20 @@
 	w := newWorld(s, seed)
 	v.apply(w)
 	p := &player{
-		backlog: scheduler.NewBacklog(),
-		s:       s, f: newFleet(s, w, seed), variant: v, arrivals: w.jobs, store: map[string]*scheduler.Progress{}, starts: map[scheduler.SegmentID]scheduler.StartSegment{}, lostAt: map[string]time.Duration{},
-		harm: map[batch.TaskID]time.Duration{}, spans: map[*job]*span{}, waits: map[*job]time.Duration{}, faults: append([]Fault(nil), s.Faults...),
-		crashing: crashing{random: rand.New(rand.NewPCG(seed, 29))},
+		backlog:  scheduler.NewBacklog(),
+		scenario: s, fleet: newFleet(s, w, seed), variant: v, arrivals: w.jobs, store: map[string]*scheduler.Progress{}, startSegments: map[scheduler.SegmentID]scheduler.StartSegment{}, lostAt: map[string]time.Duration{},
+		harmDurations: map[batch.TaskID]time.Duration{}, accounts: map[*job]*servingAccount{}, firstTaskWaits: map[*job]time.Duration{}, faults: append([]Fault(nil), s.Faults...),
+		crashFault: crashFault{random: rand.New(rand.NewPCG(seed, 29))},
 	}
 	p.elect()
 	end := seconds(s.LeadS + s.LoadS + s.AfterS)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for p.now = playStep; p.now < end; p.now += playStep {
+	for p.now = timeStep; p.now < end; p.now += timeStep {
 		if err := ctx.Err(); err != nil {
 			return Outcome{}, err
 		}
-		p.step()
+		p.advance()
 	}
 	runtime.ReadMemStats(&after)
 	p.allocs = after.Mallocs - before.Mallocs
@@ -144,28 +144,28 @@
 	p.sched = scheduler.New(scheduler.Settings{MaxLease: 10 * time.Second, StopTimeout: 500 * time.Millisecond, UnavailableDuration: 4500 * time.Millisecond, Policy: &policy}, p.fence, nil)
 	p.sched.ConfirmLeadership(time.Hour)
 	if p.variant.Informed {
-		model = p.f.w.knowledge(p.s.Serving.Images, p.s.Fillers.Images)
+		model = p.fleet.world.trueInterference(p.scenario.Serving.Images, p.scenario.Fillers.Images)
 	}
 	if len(model.Images) > 0 {
 		p.sched.SetInterferenceModel(model)
 	}
 	p.sched.SetConfig(p.config())
-	p.sched.SetInstances(p.now, p.f.instances())
-	for _, j := range p.known {
+	p.sched.SetInstances(p.now, p.fleet.instances())
+	for _, j := range p.submittedJobs {
 		if !j.cancelled {
 			p.submit(j, true)
 		}
 	}
 	var log []scheduler.StartSegment
-	for _, id := range slices.SortedFunc(maps.Keys(p.starts), scheduler.SegmentID.Compare) {
-		log = append(log, p.starts[id])
+	for _, id := range slices.SortedFunc(maps.Keys(p.startSegments), scheduler.SegmentID.Compare) {
+		log = append(log, p.startSegments[id])
 	}
 	p.sched.RestoreStarts(p.now, log)
 }
 
 func (p *player) config() *batch.Config {
 	c := &batch.Config{Version: 1}
-	for k, t := range [kinds]*Terms{&p.s.Serving.Terms, &p.s.Short.Terms, &p.s.Fillers.Terms} {
+	for k, t := range [kindCount]*Terms{&p.scenario.Serving.Terms, &p.scenario.Short.Terms, &p.scenario.Fillers.Terms} {
 		c.Queues = append(c.Queues, batch.Queue{
 			Name: kindNames[k], Pool: pool, Attempts: t.Attempts, Stretch: t.Stretch, Slack: seconds(t.SlackS), Priority: t.Priority,
 		})
@@ -175,148 +175,148 @@
 
 func (p *player) submit(j *job, existed bool) {
 	p.sched.Submit(p.now, scheduler.Submission{
-		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.at, PredatesLeader: existed, Progress: p.store[j.spec.ID],
+		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.arrivesAt, PredatesLeader: existed, Progress: p.store[j.spec.ID],
 	})
 }
 
-func (p *player) step() {
-	p.arrive()
+func (p *player) advance() {
+	p.submitArrivals()
 	p.beginFaults()
-	p.heal()
-	p.crash()
-	p.relistVMs()
-	if p.absent && p.now >= p.leaderAt {
-		p.absent = false
+	p.endFaults()
+	p.processCrashes()
+	p.updateListings()
+	if p.noLeader && p.now >= p.nextLeaderAt {
+		p.noLeader = false
 		p.elect()
 	}
-	if !p.absent {
-		p.lead()
+	if !p.noLeader {
+		p.runLeader()
 	}
-	for _, v := range p.f.vms {
-		p.f.step(p.now, playStep, v)
+	for _, v := range p.fleet.vms {
+		p.fleet.advance(p.now, timeStep, v)
 	}
-	if p.now >= seconds(p.s.LeadS) {
-		p.rate()
+	if p.now >= seconds(p.scenario.LeadS) {
+		p.rateServing()
 	}
 }
 
-// arrive hands in the jobs that are due and cancels those that leave.
-func (p *player) arrive() {
-	for len(p.arrivals) > 0 && p.arrivals[0].at <= p.now && !p.absent {
+// submitArrivals hands in the jobs that are due and cancels those that leave.
+func (p *player) submitArrivals() {
+	for len(p.arrivals) > 0 && p.arrivals[0].arrivesAt <= p.now && !p.noLeader {
 		j := p.arrivals[0]
 		p.arrivals = p.arrivals[1:]
-		p.f.jobs[j.spec.ID] = j
-		p.mark(j)
-		p.known = append(p.known, j)
+		p.fleet.jobs[j.spec.ID] = j
+		p.markCrashing(j)
+		p.submittedJobs = append(p.submittedJobs, j)
 		p.submit(j, false)
 	}
-	for _, j := range p.known {
-		if j.leaves > 0 && p.now >= j.leaves && !j.cancelled && !p.absent {
+	for _, j := range p.submittedJobs {
+		if j.cancelAt > 0 && p.now >= j.cancelAt && !j.cancelled && !p.noLeader {
 			j.cancelled = true
 			p.sched.Cancel(p.now, j.spec.ID)
 		}
 	}
 }
 
-// lead is one turn of the leader: reports, what is due by time, a plan.
-func (p *player) lead() {
-	every := time.Duration(p.s.Fleet.ReportMS) * time.Millisecond
+// runLeader is one turn of the leader: reports, what is due by time, a plan.
+func (p *player) runLeader() {
+	every := time.Duration(p.scenario.Fleet.ReportMS) * time.Millisecond
 	began := time.Now()
-	for _, v := range p.f.vms {
+	for _, v := range p.fleet.vms {
 		if v.lost {
-			p.giveUp(v)
+			p.removeLost(v)
 			continue
 		}
 		if v.down {
 			continue
 		}
-		if p.now-v.heardAt >= every || len(v.ends) > v.told {
+		if p.now-v.lastReportAt >= every || len(v.ends) > v.reportedEnds {
 			hold, ok := p.sched.Hold(p.now, v.inst.ID, every)
 			if ok {
-				p.sched.HandleReport(p.now, p.now, v.inst.ID, p.f.report(p.now, v, hold.Acked))
+				p.sched.HandleReport(p.now, p.now, v.inst.ID, p.fleet.report(p.now, v, hold.Acked))
 			}
 		}
 	}
 	p.sched.SetStartBudget(p.backlog.Budget(p.now, 0))
 	p.sched.Tick(p.now)
 	orders := p.sched.Plan(p.now)
-	p.busy += time.Since(began)
+	p.schedulerTime += time.Since(began)
 	given := p.backlog.RecordPlan(p.now, scheduler.CountStarts(orders), p.sched.StartBudgetLeft())
 	for _, o := range orders {
-		p.carryOut(o, given)
+		p.executeOrder(o, given)
 	}
-	p.giveStarts()
-	p.flush()
+	p.sendStarts()
+	p.writeRecords()
 }
 
-// decidedStart is a start that was decided, and who is told when it is given.
-type decidedStart struct {
+// pendingStart is a start that was decided, and who is told when it is given.
+type pendingStart struct {
 	scheduler.Order
-	given func(now time.Duration)
+	onSent func(now time.Duration)
 }
 
-// giveStarts gives what has been decided, as far as the leader's processor does.
-func (p *player) giveStarts() {
-	p.credit = min(p.credit+p.s.Leader.StartsPerS*playStep.Seconds(), p.s.Leader.StartsPerS)
-	for len(p.starting) > 0 && (p.credit >= 1 || p.s.Leader.StartsPerS == 0) {
-		o := p.starting[0]
-		p.starting = p.starting[1:]
-		p.credit--
-		o.given(p.now)
+// sendStarts gives what has been decided, as far as the leader's processor does.
+func (p *player) sendStarts() {
+	p.startCredit = min(p.startCredit+p.scenario.Leader.StartsPerS*timeStep.Seconds(), p.scenario.Leader.StartsPerS)
+	for len(p.pendingStarts) > 0 && (p.startCredit >= 1 || p.scenario.Leader.StartsPerS == 0) {
+		o := p.pendingStarts[0]
+		p.pendingStarts = p.pendingStarts[1:]
+		p.startCredit--
+		o.onSent(p.now)
 		if p.sched.PrepareStart(p.now, o.Order) {
-			p.give(o.Order)
+			p.sendStart(o.Order)
 		}
 	}
-	if len(p.starting) == 0 {
-		p.credit = min(p.credit, 1)
+	if len(p.pendingStarts) == 0 {
+		p.startCredit = min(p.startCredit, 1)
 	}
 }
 
-// give has a VM carry a start out.
-func (p *player) give(o scheduler.Order) {
-	p.out.Starts++
-	refusal := p.f.start(p.now, o)
-	if j := p.f.jobs[o.Task.Job]; refusal == "" && p.waits[j] == 0 {
-		p.waits[j] = p.now - j.at + 1
+// sendStart has a VM carry a start out.
+func (p *player) sendStart(o scheduler.Order) {
+	p.result.Starts++
+	refusal := p.fleet.startRun(p.now, o)
+	if j := p.fleet.jobs[o.Task.Job]; refusal == "" && p.firstTaskWaits[j] == 0 {
+		p.firstTaskWaits[j] = p.now - j.arrivesAt + 1
 	}
-	p.sched.Started(p.now+startsWithin, p.now, o, p.f.byID[o.Instance.ID].clock(p.now), refusal, false)
+	p.sched.Started(p.now+startDelay, p.now, o, p.fleet.byID[o.Instance.ID].clock(p.now), refusal, false)
 	if refusal == "" {
-		p.began(o)
+		p.scheduleCrash(o)
 	}
 }
 
-// giveUp tells the leader that a VM has ended, when its lease is over.
-func (p *player) giveUp(v *vm) {
-	if at := p.lostAt[v.inst.ID]; at > 0 && p.now-at > leaseOver {
+// removeLost tells the leader that a VM has ended, when its lease is over.
+func (p *player) removeLost(v *vm) {
+	if at := p.lostAt[v.inst.ID]; at > 0 && p.now-at > leaseExpiryDelay {
 		p.sched.RemoveInstance(p.now, v.inst.ID, "lost")
 	}
 }
 
-func (p *player) carryOut(o scheduler.Order, given func(time.Duration)) {
+func (p *player) executeOrder(o scheduler.Order, given func(time.Duration)) {
 	switch o.Kind {
 	case scheduler.OrderStart:
-		p.starting = append(p.starting, decidedStart{o, given})
+		p.pendingStarts = append(p.pendingStarts, pendingStart{o, given})
 	case scheduler.OrderStop:
-		p.f.stop(o)
+		p.fleet.stopRun(o)
 		p.sched.Stopped(p.now, o)
 	case scheduler.OrderPace:
-		p.out.PaceOrders++
-		p.f.pace(o)
+		p.result.PaceOrders++
+		p.fleet.setPace(o)
 		p.sched.HandlePaceResult(o, true)
 	case scheduler.OrderAdvise, scheduler.OrderMaintain:
 		// No scenario has an adviser or waves of maintenance.
 	}
 }
 
-// flush writes what the leader has to record.
-func (p *player) flush() {
+// writeRecords writes what the leader has to record.
+func (p *player) writeRecords() {
 	f := p.sched.PendingWrites()
 	if c := p.sched.PendingStarts(p.now, f != nil); c != nil {
 		if c.Segment != nil {
-			p.starts[c.Segment.ID] = *c.Segment
+			p.startSegments[c.Segment.ID] = *c.Segment
 		}
 		for _, id := range c.Obsolete {
-			delete(p.starts, id)
+			delete(p.startSegments, id)
 		}
 		p.sched.StartsWritten(c)
 	}
@@ -326,7 +326,7 @@
 	for _, r := range f.Records {
 		p.store[r.Job] = r.Progress
 		p.sched.RecordWritten(r, 1)
-		if j := p.f.jobs[r.Job]; r.Progress.State == batch.Failed {
+		if j := p.fleet.jobs[r.Job]; r.Progress.State == batch.Failed {
 			j.failed = true
 		}
 	}
@@ -336,74 +336,74 @@
 func (p *player) beginFaults() {
 	rest := p.faults[:0]
 	for _, f := range p.faults {
-		at := seconds(p.s.LeadS + f.AtS)
+		at := seconds(p.scenario.LeadS + f.AtS)
 		switch {
 		case p.now < at:
 			rest = append(rest, f)
 		case f.Kind == FaultTakeover:
-			p.takeOver(f)
+			p.removeLeader(f)
 		case f.Kind == FaultCrashing:
-			p.crashing.share, p.crashing.until = f.Share, p.now+seconds(f.ForS)
+			p.crashFault.share, p.crashFault.until = f.Share, p.now+seconds(f.ForS)
 		default:
-			p.befall(f)
+			p.applyFault(f)
 		}
 	}
 	p.faults = rest
 }
 
-func (p *player) takeOver(f Fault) { p.leaderAt, p.absent = p.now+seconds(f.ForS), true }
+func (p *player) removeLeader(f Fault) { p.nextLeaderAt, p.noLeader = p.now+seconds(f.ForS), true }
 
-// recovery ends a fault of VMs.
-type recovery struct {
+// vmEvent ends a fault of VMs.
+type vmEvent struct {
 	at time.Duration
 	vm *vm
 }
 
-// befall strikes VMs at random, and those that recover do so when the fault is over.
-func (p *player) befall(f Fault) {
-	struck := p.f.random.Perm(len(p.f.vms))[:int(f.Share*float64(len(p.f.vms))+0.5)]
+// applyFault strikes VMs at random, and those that recover do so when the fault is over.
+func (p *player) applyFault(f Fault) {
+	struck := p.fleet.random.Perm(len(p.fleet.vms))[:int(f.Share*float64(len(p.fleet.vms))+0.5)]
 	for _, i := range struck {
-		v := p.f.vms[i]
+		v := p.fleet.vms[i]
 		switch f.Kind {
 		case FaultSlow:
-			v.slow = f.Times
+			v.slowdown = f.Times
 		case FaultStalled:
-			v.slow = 0
+			v.slowdown = 0
 		case FaultFailing:
 			v.failing = true
 		case FaultLost:
-			p.lose(v)
+			p.loseVM(v)
 		case FaultRestarted:
-			p.endStart(v)
+			p.stopVM(v)
 		case FaultShrunk:
-			p.resize(v, f.Times)
+			p.resizeVM(v, f.Times)
 		case FaultTakeover, FaultCrashing:
 		}
 		if f.ForS > 0 {
-			p.recoveries = append(p.recoveries, recovery{at: p.now + seconds(f.ForS), vm: v})
+			p.pendingRecoveries = append(p.pendingRecoveries, vmEvent{at: p.now + seconds(f.ForS), vm: v})
 		}
 	}
 }
 
-// heal ends the faults of VMs that are over.
-func (p *player) heal() {
-	for _, r := range p.recoveries {
+// endFaults ends the faults of VMs that are over.
+func (p *player) endFaults() {
+	for _, r := range p.pendingRecoveries {
 		if p.now >= r.at {
-			r.vm.slow, r.vm.failing = 1, false
+			r.vm.slowdown, r.vm.failing = 1, false
 			if r.vm.down {
-				p.startAgain(r.vm)
+				p.restartVM(r.vm)
 			}
-			if r.vm.full != (batch.Resources{}) {
-				p.resize(r.vm, 1)
+			if r.vm.fullCapacity != (batch.Resources{}) {
+				p.resizeVM(r.vm, 1)
 			}
 		}
 	}
-	p.recoveries = slices.DeleteFunc(p.recoveries, func(r recovery) bool { return p.now >= r.at })
+	p.pendingRecoveries = slices.DeleteFunc(p.pendingRecoveries, func(r vmEvent) bool { return p.now >= r.at })
 }
 
-func (p *player) lose(v *vm) {
+func (p *player) loseVM(v *vm) {
 	v.lost = true
 	p.lostAt[v.inst.ID] = p.now
-	v.runs, v.list, v.ends = map[batch.TaskID]*run{}, nil, nil
-	p.sched.SetInstances(p.now, p.f.instances())
+	v.runs, v.orderedRuns, v.ends = map[batch.TaskID]*run{}, nil, nil
+	p.sched.SetInstances(p.now, p.fleet.instances())
 }
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -11,8 +11,8 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// small is a scenario that plays in a tenth of a second.
-func small(t *testing.T) Scenario {
+// smallScenario is a scenario that plays in a tenth of a second.
+func smallScenario(t *testing.T) Scenario {
 	s, err := Find("faults-48")
 	require.NoError(t, err)
 	s.Fleet.VMs, s.Serving.Jobs, s.Short.PerS, s.Fillers.PerS = 12, 9, 1.6, 1.1
@@ -24,8 +24,8 @@
 // seeds give equal plays.
 const pressedSeeds = 4
 
-// pressed is the first forty seconds of the scenario of that name.
-func pressed(t *testing.T) Scenario {
+// pressedScenario is the first forty seconds of the scenario of that name.
+func pressedScenario(t *testing.T) Scenario {
 	s, err := Find("pressed-48")
 	require.NoError(t, err)
 	s.LoadS, s.AfterS = 24, 8
@@ -41,7 +41,7 @@
 }
 
 func TestEqualSeedsGiveEqualOutcomes(t *testing.T) {
-	s := small(t)
+	s := smallScenario(t)
 	v := Variants()[0]
 	require.Equal(t, play(t, &s, v, 3), play(t, &s, v, 3))
 	require.NotEqual(t, play(t, &s, v, 3).Service, play(t, &s, v, 4).Service)
@@ -90,21 +90,21 @@
 }
 
 func TestChangedPolicies(t *testing.T) {
-	v, err := Changed("x", []byte(`{"peak_limit": 0.8}`))
+	v, err := ParseVariant("x", []byte(`{"peak_limit": 0.8}`))
 	require.NoError(t, err)
 	want := scheduler.DefaultPolicy()
 	want.PeakLimit = 0.8
 	require.Equal(t, want, v.Policy)
-	_, err = Changed("x", []byte(`{"peak_limits": 0.8}`))
+	_, err = ParseVariant("x", []byte(`{"peak_limits": 0.8}`))
 	require.ErrorContains(t, err, "peak_limits: no such field")
-	_, err = Changed("x", []byte(`{"peak_limit": 8}`))
+	_, err = ParseVariant("x", []byte(`{"peak_limit": 8}`))
 	require.ErrorContains(t, err, "peak_limit: give a share")
 }
 
 // A comparison tells chance from gain: a variant that is the default one has a
 // difference of 0, and a plot is a picture.
 func TestCompareAndPlot(t *testing.T) {
-	s := small(t)
+	s := smallScenario(t)
 	variants, err := Choose([]string{"first-come"})
 	require.NoError(t, err)
 	variants = append(variants, Variant{Name: "same", Policy: scheduler.DefaultPolicy()})
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 9, calls)
 	require.Zero(t, r.Variants[2].Difference)
-	require.False(t, r.Variants[2].Clear())
+	require.False(t, r.Variants[2].Significant())
 	file := filepath.Join(t.TempDir(), "p.svg")
 	require.NoError(t, Plot(&r, file))
 	raw, err := os.ReadFile(file)
@@ -124,7 +124,7 @@
 
 // A play ends when it is told to.
 func TestPlayIsCancelled(t *testing.T) {
-	s := small(t)
+	s := smallScenario(t)
 	variants, err := Choose(nil)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -141,9 +141,9 @@
 	const manyStarts = `"starved_crowded_ms": 2000, "keep_empty": 0`
 	s, err := Find("pressed-48")
 	require.NoError(t, err)
-	atStarts, err := Changed("at starts", []byte(`{`+manyStarts+`}`))
+	atStarts, err := ParseVariant("at starts", []byte(`{`+manyStarts+`}`))
 	require.NoError(t, err)
-	late, err := Changed("with reports only", []byte(`{`+manyStarts+`, "pace_at_start": false}`))
+	late, err := ParseVariant("with reports only", []byte(`{`+manyStarts+`, "pace_at_start": false}`))
 	require.NoError(t, err)
 	r, err := Compare(context.Background(), &s, Options{Variants: []Variant{atStarts, late}, Seeds: 8, First: 1, Workers: 4})
 	require.NoError(t, err)
@@ -157,8 +157,8 @@
 // from ending in time and press on what serves. The decision that answers it: in a
 // crowded fleet jobs wait longer before they start beside others.
 func TestStarvedJobsWaitLongerInACrowdedFleet(t *testing.T) {
-	s := pressed(t)
-	soon, err := Changed("as soon as elsewhere", []byte(`{"starved_crowded_ms": 2000}`))
+	s := pressedScenario(t)
+	soon, err := ParseVariant("as soon as elsewhere", []byte(`{"starved_crowded_ms": 2000}`))
 	require.NoError(t, err)
 	variants, err := Choose(nil)
 	require.NoError(t, err)
@@ -174,8 +174,8 @@
 // processors, since each VM serves something. The decision that answers it: a tenth of
 // the VMs is left to them as long as what serves has room elsewhere.
 func TestKeptEmptyVMsServeFillersThatPressEverywhere(t *testing.T) {
-	s := pressed(t)
-	spread, err := Changed("spread", []byte(`{"keep_empty": 0}`))
+	s := pressedScenario(t)
+	spread, err := ParseVariant("spread", []byte(`{"keep_empty": 0}`))
 	require.NoError(t, err)
 	variants, err := Choose(nil)
 	require.NoError(t, err)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -11,15 +11,15 @@
 
 // The size of a plot.
 const (
-	plotWidth     = 20 * vg.Centimeter
-	rowHeight     = 0.9 * vg.Centimeter
-	plotMargin    = 3 * vg.Centimeter
-	pointRadius   = 2.5
-	farFromChance = 0.55
+	plotWidth        = 20 * vg.Centimeter
+	rowHeight        = 0.9 * vg.Centimeter
+	plotMargin       = 3 * vg.Centimeter
+	pointRadius      = 2.5
+	zeroLineOverhang = 0.55
 )
 
-// row is a difference with its interval, as gonum's plotters want it.
-type row struct {
+// errorBarData is a difference with its interval, as gonum's plotters want it.
+type errorBarData struct {
 	plotter.XYs
 	plotter.XErrors
 }
@@ -32,7 +32,7 @@
 	p.X.Label.Text = "share of the worth asked for; bars are 95 % intervals"
 	n := len(r.Variants) - 1
 	names := make([]string, n)
-	data := row{XYs: make(plotter.XYs, n), XErrors: make(plotter.XErrors, n)}
+	data := errorBarData{XYs: make(plotter.XYs, n), XErrors: make(plotter.XErrors, n)}
 	for i, v := range r.Variants[1:] {
 		// The first one at the top.
 		at := n - 1 - i
@@ -50,7 +50,7 @@
 	}
 	points.Radius = vg.Points(pointRadius)
 	points.Color = color.RGBA{R: 30, G: 90, B: 160, A: 255}
-	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -farFromChance}, {X: 0, Y: float64(n) - 1 + farFromChance}})
+	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -zeroLineOverhang}, {X: 0, Y: float64(n) - 1 + zeroLineOverhang}})
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
--- a/internal/experiment/rate.go
+++ b/internal/experiment/rate.go
@@ -6,125 +6,125 @@
 	"time"
 )
 
-// rate takes the state of lasting work into its account.
-func (p *player) rate() {
-	for _, j := range p.known {
+// rateServing takes the state of lasting work into its account.
+func (p *player) rateServing() {
+	for _, j := range p.submittedJobs {
 		if j.kind == servingKind && !j.cancelled {
-			p.span(j).all += playStep * time.Duration(j.spec.Steps[0].Tasks)
+			p.account(j).totalTime += timeStep * time.Duration(j.spec.Steps[0].Tasks)
 		}
 	}
-	for _, v := range p.f.vms {
-		for _, r := range v.list {
-			if r.job.kind == servingKind && !r.job.cancelled && p.f.ready(p.now, r) {
+	for _, v := range p.fleet.vms {
+		for _, r := range v.orderedRuns {
+			if r.job.kind == servingKind && !r.job.cancelled && p.fleet.ready(p.now, r) {
 				p.rateRun(r)
 			}
 		}
 	}
-	if (p.now-seconds(p.s.LeadS))%account < playStep {
-		p.closeSpans()
+	if (p.now-seconds(p.scenario.LeadS))%ratingInterval < timeStep {
+		p.closeAccounts()
 	}
 }
 
-func (p *player) span(j *job) *span {
-	a := p.spans[j]
+func (p *player) account(j *job) *servingAccount {
+	a := p.accounts[j]
 	if a == nil {
-		a = &span{}
-		p.spans[j] = a
+		a = &servingAccount{}
+		p.accounts[j] = a
 	}
 	return a
 }
 
 func (p *player) rateRun(r *run) {
-	a := p.span(r.job)
-	a.atWork += playStep
+	a := p.account(r.job)
+	a.readyTime += timeStep
 	switch {
 	case r.harmed:
-		a.lost += time.Duration(harmFactor * float64(playStep))
-		p.out.HarmS += playStep.Seconds()
-		p.harm[r.order.Task] += playStep
-		p.out.LongestHarmS = max(p.out.LongestHarmS, p.harm[r.order.Task].Seconds())
-	case r.over:
-		a.lost += playStep
+		a.lostTime += time.Duration(harmFactor * float64(timeStep))
+		p.result.HarmS += timeStep.Seconds()
+		p.harmDurations[r.order.Task] += timeStep
+		p.result.LongestHarmS = max(p.result.LongestHarmS, p.harmDurations[r.order.Task].Seconds())
+	case r.overTarget:
+		a.lostTime += timeStep
 	default:
-		delete(p.harm, r.order.Task)
+		delete(p.harmDurations, r.order.Task)
 	}
 }
 
-func (p *player) closeSpans() {
+func (p *player) closeAccounts() {
 	// In the order of the jobs: sums must not follow the order of a map.
-	for _, j := range p.known {
-		a := p.spans[j]
+	for _, j := range p.submittedJobs {
+		a := p.accounts[j]
 		if a == nil {
 			continue
 		}
-		p.earned[servingKind] += j.worth * max(a.atWork-a.lost, 0).Seconds() / a.all.Seconds()
-		p.owed[servingKind] += j.worth
+		p.earned[servingKind] += j.value * max(a.readyTime-a.lostTime, 0).Seconds() / a.totalTime.Seconds()
+		p.requested[servingKind] += j.value
 	}
-	clear(p.spans)
+	clear(p.accounts)
 }
 
 func (p *player) outcome(seed uint64) Outcome {
-	o := p.out
+	o := p.result
 	o.Seed = seed
 	var fillers []*job
-	for _, j := range p.known {
-		if j.kind == servingKind || j.crashes {
+	for _, j := range p.submittedJobs {
+		if j.kind == servingKind || j.isCrashing {
 			continue
 		}
-		p.earned[j.kind] += j.earned()
-		p.owed[j.kind] += j.worth
+		p.earned[j.kind] += j.earnedValue()
+		p.requested[j.kind] += j.value
 		if j.kind == fillerKind {
 			fillers = append(fillers, j)
 		} else {
-			o.LongestWaitS = max(o.LongestWaitS, p.wait(j).Seconds())
+			o.LongestWaitS = max(o.LongestWaitS, p.firstTaskWait(j).Seconds())
 		}
 	}
 	o.Kinds = map[string]float64{}
 	earned, owed := 0.0, 0.0
-	for k := range kinds {
-		o.Kinds[kindNames[k]] = ratio(p.earned[k], p.owed[k])
-		earned, owed = earned+p.earned[k], owed+p.owed[k]
+	for k := range kindCount {
+		o.Kinds[kindNames[k]] = ratio(p.earned[k], p.requested[k])
+		earned, owed = earned+p.earned[k], owed+p.requested[k]
 	}
 	o.Service = ratio(earned, owed)
-	slices.SortStableFunc(fillers, func(a, b *job) int { return cmp.Compare(a.work, b.work) })
-	o.Largest, o.Smallest = share(fillers[len(fillers)*9/10:]), share(fillers[:len(fillers)/2])
+	slices.SortStableFunc(fillers, func(a, b *job) int { return cmp.Compare(a.totalWork, b.totalWork) })
+	o.Largest, o.Smallest = earnedShare(fillers[len(fillers)*9/10:]), earnedShare(fillers[:len(fillers)/2])
 	capacity := 0.0
-	for _, v := range p.f.vms {
+	for _, v := range p.fleet.vms {
 		capacity += float64(v.inst.Capacity.MilliCPU) / 1000
 	}
-	o.Used = p.f.used / (capacity * (p.s.LeadS + p.s.LoadS + p.s.AfterS))
-	o.WastedS = p.f.wasted
-	o.NsPerDecision = ratio(float64(p.busy.Nanoseconds()), float64(o.Starts))
+	o.Used = p.fleet.usedCoreSeconds / (capacity * (p.scenario.LeadS + p.scenario.LoadS + p.scenario.AfterS))
+	o.WastedS = p.fleet.wastedCoreSeconds
+	o.NsPerDecision = ratio(float64(p.schedulerTime.Nanoseconds()), float64(o.Starts))
 	o.AllocsPerDecision = ratio(float64(p.allocs), float64(o.Starts))
 	return o
 }
 
-// wait is how long a job waited for its first task, so far.
-func (p *player) wait(j *job) time.Duration {
-	if w := p.waits[j]; w > 0 {
+// firstTaskWait is how long a job waited for its first task, so far.
+func (p *player) firstTaskWait(j *job) time.Duration {
+	if w := p.firstTaskWaits[j]; w > 0 {
 		return w
 	}
-	return p.now - j.at
+	return p.now - j.arrivesAt
 }
 
-// earned is what a job that ends came to.
-func (j *job) earned() float64 {
-	took := j.ended - j.at
+// earnedValue is what a job that ends came to.
+func (j *job) earnedValue() float64 {
+	took := j.endedAt - j.arrivesAt
 	switch {
-	case j.ended == 0 || j.failed:
+	case j.endedAt == 0 || j.failed:
 		return 0
 	case took <= j.objective:
-		return j.worth
+		return j.value
 	case took <= time.Duration(lateFactor*float64(j.objective)):
-		return lateShare * j.worth
+		return lateValueShare * j.value
 	}
 	return 0
 }
 
-func share(jobs []*job) float64 {
+func earnedShare(jobs []*job) float64 {
 	earned, owed := 0.0, 0.0
 	for _, j := range jobs {
-		earned, owed = earned+j.earned(), owed+j.worth
+		earned, owed = earned+j.earnedValue(), owed+j.value
 	}
 	return ratio(earned, owed)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -208,9 +208,9 @@
 
 // bound is what a field may be.
 type bound struct {
-	field    string
-	value    float64
-	low, top float64
+	field     string
+	value     float64
+	low, high float64
 }
 
 func (s *Scenario) check(d *settings.Document) {
@@ -235,8 +235,8 @@
 	bounds = append(bounds, s.Fillers.bounds("fillers")...)
 	bounds = append(bounds, s.Interference.bounds()...)
 	for _, b := range bounds {
-		if b.value < b.low || b.value > b.top {
-			d.Fault(b.field, fmt.Sprintf("give %g to %g, not %g", b.low, b.top, b.value))
+		if b.value < b.low || b.value > b.high {
+			d.Fault(b.field, fmt.Sprintf("give %g to %g, not %g", b.low, b.high, b.value))
 		}
 	}
 	s.checkFaults(d)
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -16,8 +16,8 @@
 	// Informed tells the scheduler the true durations and who presses on whom: what the
 	// same policy could reach if nothing had to be found out.
 	Informed bool
-	// Unpressed plays a world in which no filler presses: what the fleet could carry.
-	Unpressed bool
+	// WithoutInterference plays a world in which no filler presses: what the fleet could carry.
+	WithoutInterference bool
 }
 
 // Default is the policy that deployments run on, and the first of every comparison.
@@ -28,12 +28,12 @@
 func Variants() []Variant {
 	list := []Variant{
 		{Name: Default, Policy: scheduler.DefaultPolicy()},
-		{Name: "first-come", Policy: firstCome()},
-		{Name: "least-loaded", Policy: leastLoaded()},
+		{Name: "first-come", Policy: firstComePolicy()},
+		{Name: "least-loaded", Policy: leastLoadedPolicy()},
 		{Name: "informed", Policy: scheduler.DefaultPolicy(), Informed: true},
-		{Name: "unpressed", Policy: scheduler.DefaultPolicy(), Unpressed: true},
+		{Name: "unpressed", Policy: scheduler.DefaultPolicy(), WithoutInterference: true},
 	}
-	for _, off := range switches {
+	for _, off := range ablations {
 		p := scheduler.DefaultPolicy()
 		off.set(&p)
 		list = append(list, Variant{Name: "no-" + off.name, Policy: p})
@@ -41,23 +41,23 @@
 	return list
 }
 
-// firstCome is first come, first served with first fit.
-func firstCome() scheduler.Policy {
+// firstComePolicy is first come, first served with first fit.
+func firstComePolicy() scheduler.Policy {
 	p := scheduler.DefaultPolicy()
 	p.Order, p.Placement, p.ReserveMost, p.StarvedAfterMS, p.StarvedCrowdedMS = scheduler.OrderArrival, scheduler.PlacementFirst, 0, 0, 0
 	p.Learn, p.Pace, p.BlindAfterMS, p.MoveBelow = false, false, 0, 0
 	return p
 }
 
-// leastLoaded goes by slack and to the VM with the most room.
-func leastLoaded() scheduler.Policy {
-	p := firstCome()
+// leastLoadedPolicy goes by slack and to the VM with the most room.
+func leastLoadedPolicy() scheduler.Policy {
+	p := firstComePolicy()
 	p.Order, p.Placement = scheduler.OrderSlack, scheduler.PlacementLeastLoaded
 	return p
 }
 
-// switches turn one mechanism off each.
-var switches = []struct {
+// ablations turn one mechanism off each.
+var ablations = []struct {
 	name string
 	set  func(*scheduler.Policy)
 }{
@@ -110,8 +110,8 @@
 	return text
 }
 
-// Changed returns the default policy with the fields that raw gives, as JSON.
-func Changed(name string, raw []byte) (Variant, error) {
+// ParseVariant returns the default policy with the fields that raw gives, as JSON.
+func ParseVariant(name string, raw []byte) (Variant, error) {
 	v := Variant{Name: name, Policy: scheduler.DefaultPolicy()}
 	if _, err := settings.Read(name, raw, &v.Policy); err != nil {
 		return v, err
@@ -124,19 +124,19 @@
 
 // apply changes a world to what the variant asks for.
 func (v *Variant) apply(w *world) {
-	if v.Unpressed {
+	if v.WithoutInterference {
 		clear(w.slopes)
 	}
 	if !v.Informed {
 		return
 	}
 	for _, j := range w.jobs {
-		for i := range j.lengths {
+		for i := range j.durations {
 			sum := time.Duration(0)
-			for _, length := range j.lengths[i] {
+			for _, length := range j.durations[i] {
 				sum += length
 			}
-			j.spec.Steps[i].Estimate = sum / time.Duration(len(j.lengths[i]))
+			j.spec.Steps[i].Estimate = sum / time.Duration(len(j.durations[i]))
 		}
 	}
 }
@@ -145,11 +145,11 @@
 // play may tell.
 const knownWeight = 1e6
 
-// knowledge is the interference as an earlier leader would have learned it.
-func (w *world) knowledge(servingImages, fillerImages int) scheduler.InterferenceModel {
+// trueInterference is the interference as an earlier leader would have learned it.
+func (w *world) trueInterference(servingImages, fillerImages int) scheduler.InterferenceModel {
 	m := scheduler.InterferenceModel{Pairs: map[string]scheduler.NormalEquations{}}
 	for f := range fillerImages {
-		m.Images = append(m.Images, image("fill", f))
+		m.Images = append(m.Images, imageName("fill", f))
 	}
 	for n := range servingImages {
 		e := scheduler.NormalEquations{A: make([][]float32, fillerImages+1), B: make([]float32, fillerImages+1)}
@@ -158,9 +158,9 @@
 			e.A[i][i] = knownWeight
 		}
 		for f := range fillerImages {
-			e.B[f+1] = float32(knownWeight * w.slopes[[2]string{image("serve", n), image("fill", f)}].mean)
+			e.B[f+1] = float32(knownWeight * w.slopes[[2]string{imageName("serve", n), imageName("fill", f)}].mean)
 		}
-		m.Pairs[image("serve", n)] = e
+		m.Pairs[imageName("serve", n)] = e
 	}
 	return m
 }
--- a/internal/trace/runs.go
+++ b/internal/trace/runs.go
@@ -32,17 +32,17 @@
 	Reason string    `json:"reason,omitempty"`
 }
 
-// done reports whether its VM told that the run was done, whether a leader took
+// isDone reports whether its VM told that the run was done, whether a leader took
 // note of it or not.
-func (r *Run) done() bool {
+func (r *Run) isDone() bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		return o.Event == scheduler.EventEndWithheld || (o.Event == scheduler.EventRunEnded && o.Reason == string(batch.EndDone))
 	})
 }
 
-// outlived reports whether the run was seen at its VM, or told to have ended there,
+// outlivedStart reports whether the run was seen at its VM, or told to have ended there,
 // after another was started. A lease that lapsed is told late as a matter of course.
-func (r *Run) outlived(start time.Time) bool {
+func (r *Run) outlivedStart(start time.Time) bool {
 	return !start.IsZero() && slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		if !o.Time.After(start) {
 			return false
@@ -57,28 +57,28 @@
 	})
 }
 
-// twice reports whether runs, in the order of their numbers, are more than one
+// ranTwice reports whether runs, in the order of their numbers, are more than one
 // after the other: an earlier one was done, or outlived the start of a later one.
-func twice(runs []*Run) bool {
+func ranTwice(runs []*Run) bool {
 	for i, r := range runs[:len(runs)-1] {
-		if r.done() || slices.ContainsFunc(runs[i+1:], func(later *Run) bool { return r.outlived(later.Started) }) {
+		if r.isDone() || slices.ContainsFunc(runs[i+1:], func(later *Run) bool { return r.outlivedStart(later.Started) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// TwiceRuns returns the runs of those tasks in a story of which a later run was
+// RepeatedRuns returns the runs of those tasks in a story of which a later run was
 // started although an earlier one was done, or was yet to be: of each task the runs
 // in the order of their numbers, which is that of their starts. A task that failed
 // and was done at its last try is none of them; one that was copied (run_copied)
 // may be.
-func TwiceRuns(story []Line) []Run {
+func RepeatedRuns(story []Line) []Run {
 	byTask := map[string][]*Run{}
 	var order []string
 	for i := range story {
 		l := &story[i]
-		task, number := l.text("task"), l.number("run")
+		task, number := l.stringField("task"), l.intField("run")
 		if task == "" || number == 0 {
 			continue
 		}
@@ -92,13 +92,13 @@
 			runs = append(runs, &Run{Task: task, Number: number, Fence: l.Fence, Leader: l.Leader})
 			byTask[task] = runs
 		}
-		runs[k].note(l)
+		runs[k].addLine(l)
 	}
 	var found []Run
 	for _, task := range order {
 		runs := byTask[task]
 		slices.SortFunc(runs, func(a, b *Run) int { return cmp.Compare(a.Number, b.Number) })
-		if !twice(runs) {
+		if !ranTwice(runs) {
 			continue
 		}
 		for _, r := range runs {
@@ -108,9 +108,9 @@
 	return found
 }
 
-// note adds what a line tells of the run.
-func (r *Run) note(l *Line) {
-	if vm := l.text("vm"); vm != "" {
+// addLine adds what a line tells of the run.
+func (r *Run) addLine(l *Line) {
+	if vm := l.stringField("vm"); vm != "" {
 		r.VM = vm
 	}
 	switch l.Event {
@@ -118,6 +118,6 @@
 		r.Started = l.Time
 	case scheduler.EventRunEnded, scheduler.EventRunLost, scheduler.EventEndWithheld, scheduler.EventRunUnwanted, scheduler.EventRunAdopted,
 		scheduler.EventStartRefused, scheduler.EventStartUnknown, scheduler.EventRunNotBegun:
-		r.Outcomes = append(r.Outcomes, Outcome{Time: l.Time, Node: l.Node, Event: l.Event, Reason: l.text("reason")})
+		r.Outcomes = append(r.Outcomes, Outcome{Time: l.Time, Node: l.Node, Event: l.Event, Reason: l.stringField("reason")})
 	}
 }
--- a/internal/trace/runs_test.go
+++ b/internal/trace/runs_test.go
@@ -37,7 +37,7 @@
 `
 )
 
-func twiceLines(t *testing.T) []Line {
+func readLeaderLogs(t *testing.T) []Line {
 	t.Helper()
 	lines, err := Read(strings.NewReader(firstLeaderLog), "edge-2")
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 // first on, and between the runs what the second believed of the first one's VM.
 func TestStoryOfATaskThatRanTwice(t *testing.T) {
 	var told []string
-	for _, l := range Story(twiceLines(t), "522c.0.0.1") {
+	for _, l := range Timeline(readLeaderLogs(t), "522c.0.0.1") {
 		told = append(told, strings.TrimSpace(fmt.Sprintf("%s %s %s", l.Node, l.Event, l.Leader)))
 	}
 	require.Equal(t, []string{
@@ -63,7 +63,7 @@
 // Of a job's tasks the one that ran again although it was done is named, with each
 // run's leader, token, VM and end; one that was done at its second try is not.
 func TestRunsOfATaskThatRanTwice(t *testing.T) {
-	runs := TwiceRuns(Story(twiceLines(t), "522c"))
+	runs := RepeatedRuns(Timeline(readLeaderLogs(t), "522c"))
 	at := func(text string) time.Time {
 		v, err := time.Parse(time.RFC3339Nano, "2026-03-23T02:46:"+text+"Z")
 		require.NoError(t, err)
@@ -79,7 +79,7 @@
 			Outcomes: []Outcome{{Time: at("27.329"), Node: "edge-3", Event: "run_ended", Reason: "done"}},
 		},
 	}, runs)
-	require.Empty(t, TwiceRuns(Story(twiceLines(t), "522c.0.0.2")))
+	require.Empty(t, RepeatedRuns(Timeline(readLeaderLogs(t), "522c.0.0.2")))
 }
 
 // An end that was withheld was an end all the same; a log that is missing leaves
@@ -89,7 +89,7 @@
 		`{"msg":"end_withheld","job":"522c","task":"522c.0.0.1","vm":"i-1","run":11844717423,"time":"2026-03-23T02:46:26.000Z"}
 `), "edge-3")
 	require.NoError(t, err)
-	runs := TwiceRuns(Story(lines, "522c.0.0.1"))
+	runs := RepeatedRuns(Timeline(lines, "522c.0.0.1"))
 	require.Len(t, runs, 2)
 	require.True(t, runs[0].Started.IsZero())
 	require.Equal(t, int64(706), runs[0].Fence)
@@ -109,6 +109,6 @@
 {"msg":"run_ended","job":"j","task":"j.0.0.4","vm":"i-1","run":33554446,"reason":"`+reason+`","time":"2026-03-23T02:46:30.554Z"}
 `), "edge-1")
 		require.NoError(t, err)
-		require.Len(t, TwiceRuns(Story(lines, "j")), runs, reason)
+		require.Len(t, RepeatedRuns(Timeline(lines, "j")), runs, reason)
 	}
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -17,8 +17,8 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// maxLine bounds one line of a log, in bytes; a longer one is an error.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes; a longer one is an error.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
@@ -40,7 +40,7 @@
 // are no events and are left out too.
 func Read(r io.Reader, node string) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		raw := scanner.Bytes()
@@ -48,14 +48,14 @@
 		if start < 0 {
 			continue
 		}
-		if line, ok := decode(raw[start:], node); ok {
+		if line, ok := decodeLine(raw[start:], node); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, errors.Wrapf(scanner.Err(), "log of %s", node)
 }
 
-func decode(raw []byte, node string) (Line, bool) {
+func decodeLine(raw []byte, node string) (Line, bool) {
 	fields := map[string]any{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	// Run numbers have more digits than a float keeps.
@@ -75,30 +75,30 @@
 	return Line{Time: at, Node: node, Event: event, Fields: fields}, true
 }
 
-func (l *Line) number(field string) int64 {
+func (l *Line) intField(field string) int64 {
 	n, _ := l.Fields[field].(json.Number)
 	i, _ := n.Int64()
 	return i
 }
 
-func (l *Line) text(field string) string {
+func (l *Line) stringField(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-// about reports whether the line names the job, task or VM.
-func (l *Line) about(id string) bool {
+// mentions reports whether the line names the job, task or VM.
+func (l *Line) mentions(id string) bool {
 	for _, field := range [...]string{"job", "task", "vm", "request"} {
-		if v := l.text(field); v == id || (field == "task" && strings.HasPrefix(v, id+".")) {
+		if v := l.stringField(field); v == id || (field == "task" && strings.HasPrefix(v, id+".")) {
 			return true
 		}
 	}
 	return false
 }
 
-// ofLeader reports whether the line tells of a change of the leader, or of how one
+// isLeaderEvent reports whether the line tells of a change of the leader, or of how one
 // stands to the store.
-func (l *Line) ofLeader() bool {
+func (l *Line) isLeaderEvent() bool {
 	switch l.Event {
 	case "leader_elected", "leader_ready", "leader_deposed", "leader_stepped_down", "leader_fenced", "leader_lease_gone", "leader_lease_unrenewed",
 		"leader_unconfirmed", "leader_confirmed", "leader_ended":
@@ -107,15 +107,15 @@
 	return false
 }
 
-// explains reports whether the line tells something of the VMs or of the leader
+// isContext reports whether the line tells something of the VMs or of the leader
 // that bears on whatever happened at the time.
-func (l *Line) explains(vms map[string]bool) bool {
+func (l *Line) isContext(vms map[string]bool) bool {
 	switch l.Event {
 	case scheduler.EventVMListed, scheduler.EventVMHeard, scheduler.EventVMSuspected, scheduler.EventVMGone, scheduler.EventVMUnlisted,
 		scheduler.EventVMDraining, scheduler.EventVMWaitedOut, "vm_unanswered", "vm_answers", "vm_replaced", "ends_unacknowledged":
-		return vms[l.text("vm")]
+		return vms[l.stringField("vm")]
 	}
-	return l.ofLeader()
+	return l.isLeaderEvent()
 }
 
 // subject is what a story is about.
@@ -125,18 +125,18 @@
 	first, last time.Time
 }
 
-// find goes through the lines about id.
-func find(lines []Line, id string) subject {
+// findSubject goes through the lines about id.
+func findSubject(lines []Line, id string) subject {
 	s := subject{vms: map[string]bool{}, fences: map[int64]bool{}}
 	for i := range lines {
 		l := &lines[i]
-		if !l.about(id) {
+		if !l.mentions(id) {
 			continue
 		}
-		if vm := l.text("vm"); vm != "" {
+		if vm := l.stringField("vm"); vm != "" {
 			s.vms[vm] = true
 		}
-		if run := l.number("run"); run != 0 {
+		if run := l.intField("run"); run != 0 {
 			s.fences[scheduler.FenceOf(run)] = true
 		}
 		if s.first.IsZero() || l.Time.Before(s.first) {
@@ -149,25 +149,25 @@
 	return s
 }
 
-// Story returns, in order of time, the lines about id, and between the first and
+// Timeline returns, in order of time, the lines about id, and between the first and
 // the last of them those that explain what became of it: changes of the leader,
 // and what was believed of the VMs that ran it. The leaders that started its runs
 // are told from their election to their end.
-func Story(lines []Line, id string) []Line {
-	s := find(lines, id)
+func Timeline(lines []Line, id string) []Line {
+	s := findSubject(lines, id)
 	if s.first.IsZero() {
 		return nil
 	}
-	elected := elections(lines)
+	elected := electedNodes(lines)
 	var story []Line
 	for i := range lines {
 		l := lines[i]
 		within := !l.Time.Before(s.first) && !l.Time.After(s.last)
-		starter := l.ofLeader() && s.fences[l.number("fence")]
-		if told := l.about(id) || starter || (within && l.explains(s.vms)); !told {
+		starter := l.isLeaderEvent() && s.fences[l.intField("fence")]
+		if told := l.mentions(id) || starter || (within && l.isContext(s.vms)); !told {
 			continue
 		}
-		if run := l.number("run"); run != 0 {
+		if run := l.intField("run"); run != 0 {
 			l.Fence = scheduler.FenceOf(run)
 			l.Leader = elected[l.Fence]
 		}
@@ -177,12 +177,12 @@
 	return story
 }
 
-// elections are where the leaders were elected, by fencing token.
-func elections(lines []Line) map[int64]string {
+// electedNodes are where the leaders were elected, by fencing token.
+func electedNodes(lines []Line) map[int64]string {
 	elected := map[int64]string{}
 	for i := range lines {
 		if lines[i].Event == "leader_elected" {
-			elected[lines[i].number("fence")] = lines[i].Node
+			elected[lines[i].intField("fence")] = lines[i].Node
 		}
 	}
 	return elected
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -31,13 +31,13 @@
 	more, err := Read(strings.NewReader(entryLog), "edge-2")
 	require.NoError(t, err)
 	var events []string
-	for _, l := range Story(append(lines, more...), "06ad") {
+	for _, l := range Timeline(append(lines, more...), "06ad") {
 		events = append(events, l.Node+" "+l.Event)
 	}
 	require.Equal(t, []string{
 		"edge-2 job_submitted", "edge-1 job_taken", "edge-1 run_started", "edge-1 vm_suspected", "edge-1 leader_deposed", "edge-1 run_ended",
 	}, events)
-	require.Empty(t, Story(lines, "none"))
-	require.Equal(t, "922210010639", fmt.Sprint(Story(lines, "06ad")[1].Fields["run"]))
-	require.Len(t, Story(lines, "06ad.0.0.5"), 4)
+	require.Empty(t, Timeline(lines, "none"))
+	require.Equal(t, "922210010639", fmt.Sprint(Timeline(lines, "06ad")[1].Fields["run"]))
+	require.Len(t, Timeline(lines, "06ad.0.0.5"), 4)
 }
