--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -16,40 +16,41 @@
 	"github.com/rattanwall/rattanwall/internal/pause"
 )
 
-// headKey holds the whole configuration.
+// headKey is the key in the store of the whole configuration.
 const headKey = "config/head"
 
 const (
-	// watchTimeout is how long one watch waits; a watch gone silent is noticed soon
-	// after, well within the ten seconds that a change may take to be in force.
+	// watchTimeout limits one watch call. A watch that stops responding is detected
+	// soon after, well within the ten seconds in which a change must be in force.
 	watchTimeout = 3 * time.Second
-	// retryDelay is the least time between failed reads.
+	// retryDelay is the minimum delay between failed reads.
 	retryDelay = 300 * time.Millisecond
-	// callTimeout bounds one call to the store.
+	// callTimeout limits one call to the store.
 	callTimeout = 2 * time.Second
-	// maxPatchAttempts bounds how often a patch whose write's outcome is unknown is
-	// read back before the sender is told so.
+	// maxPatchAttempts limits how often a patch whose write has an unknown outcome is
+	// read back before the sender gets an error.
 	maxPatchAttempts = 3
 )
 
-// Installed is one version in use at a node. It is immutable.
+// Installed is a version in use at a node. It is immutable.
 type Installed struct {
 	Head     Head
 	Document Document
 	revision hosting.Revision
-	// identities maps a token's hash to who holds it.
+	// identities maps a token's hash to the identity of its holder.
 	identities map[string]Identity
 }
 
-// Identity is whom a credential stands for.
+// Identity is the operator or team that a credential belongs to.
 type Identity struct {
-	// Name is the operator's or team's name.
+	// Name is the name of the operator or team.
 	Name string
-	// IsOperator may change anything; otherwise Name is a team.
+	// IsOperator is set for operators, who may change anything; otherwise Name is a
+	// team.
 	IsOperator bool
 }
 
-// Keeper keeps a node's copy of the configuration up to date and makes changes.
+// Keeper keeps a node's copy of the configuration up to date and applies patches.
 type Keeper struct {
 	store     hosting.Store
 	log       *logrus.Entry
@@ -61,8 +62,9 @@
 	confirmedAt time.Time
 }
 
-// NewKeeper returns a keeper with the empty configuration, version 0. bootstrap
-// is the hash of a token that counts as an operator's while there are none.
+// NewKeeper returns a keeper with the empty configuration, version 0. bootstrap is the
+// hash of a token that is accepted as an operator's while the configuration has no
+// operators.
 func NewKeeper(store hosting.Store, bootstrap string, log *logrus.Entry) *Keeper {
 	k := &Keeper{store: store, bootstrap: bootstrap, log: log, changed: make(chan struct{})}
 	k.current.Store(&Installed{identities: k.identitiesByToken(Document{})})
@@ -72,38 +74,38 @@
 // Current returns the version in use.
 func (k *Keeper) Current() *Installed { return k.current.Load() }
 
-// Identify returns whom a token stands for.
+// Identify returns the identity that a token belongs to.
 func (i *Installed) Identify(token string) (Identity, bool) {
 	id, ok := i.identities[HashToken(token)]
 	return id, ok
 }
 
-// ConfirmedAt returns when the store last confirmed that the version in use is
-// the newest.
+// ConfirmedAt returns when the store last confirmed that the version in use is the
+// latest.
 func (k *Keeper) ConfirmedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.confirmedAt
 }
 
-// Changed returns a channel that closes when another version is installed.
+// Changed returns a channel that is closed when another version is installed.
 func (k *Keeper) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
-// Serve implements suture.Service: it follows the head in the store.
+// Serve implements suture.Service: it follows changes of the head in the store.
 func (k *Keeper) Serve(ctx context.Context) error {
-	listed := false
+	synced := false
 	for ctx.Err() == nil {
 		var err error
-		if listed {
+		if synced {
 			err = k.follow(ctx)
 		} else {
 			err = k.read(ctx)
 		}
-		listed = err == nil
+		synced = err == nil
 		if err != nil {
 			pause.For(ctx, retryDelay)
 		}
@@ -136,8 +138,8 @@
 }
 
 func (k *Keeper) follow(ctx context.Context) error {
-	before := k.Current().revision
-	events, _, err := k.store.Watch(ctx, headKey, before, watchTimeout)
+	prevRevision := k.Current().revision
+	events, _, err := k.store.Watch(ctx, headKey, prevRevision, watchTimeout)
 	if err != nil {
 		return err
 	}
@@ -150,20 +152,21 @@
 		}
 	}
 	k.markConfirmed()
-	if len(events) > 0 && k.Current().revision == before {
-		// A watch that replays what is known answers at once, again and again.
+	if len(events) > 0 && k.Current().revision == prevRevision {
+		// A watch that replays known events returns at once; the delay prevents a busy
+		// loop.
 		pause.For(ctx, retryDelay)
 	}
 	return nil
 }
 
-// InstallFromPeer takes a head that a peer uses, read from the store by that peer. A node
-// that cannot reach the store keeps up with the others this way.
+// InstallFromPeer installs a head that a peer read from the store, if it is newer. It
+// keeps a node up to date that cannot reach the store.
 func (k *Keeper) InstallFromPeer(head []byte, revision int64) error {
 	return k.install(hosting.Entry{Key: headKey, Value: head, Revision: hosting.Revision(revision)})
 }
 
-// EncodeHead returns the head in use as a peer may take it, with its revision.
+// EncodeHead returns the head in use, encoded for InstallFromPeer, with its revision.
 func (k *Keeper) EncodeHead() (head []byte, revision int64, err error) {
 	cur := k.Current()
 	head, err = json.Marshal(cur.Head)
@@ -176,9 +179,9 @@
 	k.confirmedAt = time.Now()
 }
 
-// install puts an entry of the store in use unless it is older than, or the
-// same as, the one in use. A stale read, a replayed watch or a slow answer
-// would otherwise bring back a configuration that operators have replaced.
+// install makes an entry of the store the version in use unless its version is the
+// same or older. Without this check a stale read, a replayed watch or a delayed
+// response would restore a configuration that operators have replaced.
 func (k *Keeper) install(e hosting.Entry) error {
 	var h Head
 	if err := json.Unmarshal(e.Value, &h); err != nil {
@@ -202,25 +205,25 @@
 }
 
 func (k *Keeper) identitiesByToken(d Document) map[string]Identity {
-	t := make(map[string]Identity, len(d.Operators)+len(d.Teams)+1)
+	identities := make(map[string]Identity, len(d.Operators)+len(d.Teams)+1)
 	if len(d.Operators) == 0 && k.bootstrap != "" {
-		t[k.bootstrap] = Identity{Name: "bootstrap", IsOperator: true}
+		identities[k.bootstrap] = Identity{Name: "bootstrap", IsOperator: true}
 	}
 	for n, c := range d.Operators {
-		t[c.TokenSHA256] = Identity{Name: n, IsOperator: true}
+		identities[c.TokenSHA256] = Identity{Name: n, IsOperator: true}
 	}
 	for n, team := range d.Teams {
-		t[team.TokenSHA256] = Identity{Name: n}
+		identities[team.TokenSHA256] = Identity{Name: n}
 	}
-	return t
+	return identities
 }
 
-// Patch makes a new version and returns it once the store has taken it.
+// Patch creates a new version and returns it once the store has accepted it.
 //
-// The answer to the write may be lost after it took effect. Sending the patch
-// again would then fail against its own result, or worse, be applied twice. So
-// each patch has an id, kept with the change in the same value: the head read
-// back says whether the write was ours.
+// The response to the write may be lost after it took effect. Sending the patch again
+// would then conflict with its own result or apply it twice. So each patch has an ID,
+// which is stored with the change in the same value: reading the head back shows
+// whether the write succeeded.
 func (k *Keeper) Patch(ctx context.Context, p Patch) (Head, error) {
 	if p.ID == "" {
 		p.ID = uuid.NewString()
@@ -228,13 +231,13 @@
 	uncertain := false
 	var lastErr error
 	for range maxPatchAttempts {
-		head, wrote, err := k.tryPatch(ctx, p)
+		head, written, err := k.tryPatch(ctx, p)
 		if err == nil {
 			return head, nil
 		}
 		lastErr = err
-		uncertain = uncertain || wrote && errors.Is(err, hosting.ErrUnknown)
-		if !isStoreError(err) || !uncertain && !wrote {
+		uncertain = uncertain || written && errors.Is(err, hosting.ErrUnknown)
+		if !isStoreError(err) || !uncertain && !written {
 			break
 		}
 	}
@@ -249,9 +252,9 @@
 		errors.Is(err, hosting.ErrConflict)
 }
 
-// tryPatch reads the head and writes the next one. wrote is set when the write
-// was sent, so that an unknown outcome is the write's.
-func (k *Keeper) tryPatch(ctx context.Context, p Patch) (next Head, wrote bool, err error) {
+// tryPatch reads the head and writes the next one. written is set when the write was
+// sent, so that an unknown outcome is attributed to the write.
+func (k *Keeper) tryPatch(ctx context.Context, p Patch) (next Head, written bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	cur, err := k.refresh(ctx)
@@ -273,7 +276,7 @@
 	return next, true, k.install(hosting.Entry{Key: headKey, Value: value, Revision: rev})
 }
 
-// classifyStoreError gives an error of the store its kind.
+// classifyStoreError converts an error of the store to an errkind error.
 func classifyStoreError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -13,19 +13,19 @@
 	"github.com/rattanwall/rattanwall/internal/hosting"
 )
 
-// Patch is a change that someone asks for.
+// Patch is a requested change of the configuration.
 type Patch struct {
 	// BaseVersion is the version that the patch was made against.
 	BaseVersion int64
-	// ID is chosen by the sender; a second patch with the same ID and content is
-	// the same patch.
+	// ID is chosen by the sender; a patch with the ID and content of an earlier one is
+	// a repeat of it.
 	ID     string
 	Author string
 	// Body is a JSON merge patch (RFC 7396).
 	Body json.RawMessage
 }
 
-// Decode reads a document strictly: a field that does not exist is an error.
+// Decode decodes a document strictly: an unknown field is an error.
 func Decode(raw json.RawMessage) (Document, error) {
 	var d Document
 	dec := json.NewDecoder(bytes.NewReader(raw))
@@ -36,8 +36,8 @@
 	return d, nil
 }
 
-// FindChange returns the version that an earlier patch with the given ID made, while
-// the head still remembers it.
+// FindChange returns the change made by an earlier patch with the given ID, if the
+// head still keeps it.
 func (h Head) FindChange(patchID string) (Change, bool) {
 	for _, c := range h.Changes {
 		if patchID != "" && c.PatchID == patchID {
@@ -47,8 +47,9 @@
 	return Change{}, false
 }
 
-// Apply returns the head after p, or why not. It is pure: at is the time noted.
-// A repeat of a patch already in h returns h itself.
+// Apply returns the head with p applied, or the reason for refusing p. It has no side
+// effects; at is the time recorded in the change. If h already contains the patch, h
+// is returned unchanged.
 func (h Head) Apply(p Patch, at time.Time) (Head, error) {
 	if c, ok := h.FindChange(p.ID); ok {
 		if !jsonpatch.Equal(c.Patch, p.Body) {
@@ -89,8 +90,8 @@
 	return result, result.checkSize()
 }
 
-// checkSize refuses a head that the store would not take. Half of the limit is
-// left for the operators to get out of the corner with another patch.
+// checkSize rejects a head that is larger than half of the store's limit. The other
+// half leaves room for a patch that reduces the size.
 func (h Head) checkSize() error {
 	raw, err := json.Marshal(h)
 	if err != nil {
@@ -102,18 +103,19 @@
 	return nil
 }
 
-// conflictMessage tells a patch's sender which change it lost to.
-func (h Head) conflictMessage(against int64) string {
-	message := fmt.Sprintf("the patch is against version %d, the configuration is at version %d", against, h.Version)
+// conflictMessage describes a version conflict and names the author of the first
+// change that the patch missed.
+func (h Head) conflictMessage(baseVersion int64) string {
+	message := fmt.Sprintf("the patch is against version %d, the configuration is at version %d", baseVersion, h.Version)
 	for _, c := range h.Changes {
-		if c.Version == against+1 {
+		if c.Version == baseVersion+1 {
 			message += fmt.Sprintf(" (version %d was made by %s)", c.Version, c.Author)
 		}
 	}
 	return message
 }
 
-// RevertTo returns the patch that brings back the document of an older version.
+// RevertTo returns the patch that restores the document of an older version.
 func (h Head) RevertTo(version int64) (json.RawMessage, error) {
 	oldest := h.Version
 	if len(h.Changes) > 0 {
--- a/internal/config/patch_test.go
+++ b/internal/config/patch_test.go
@@ -21,9 +21,8 @@
 	return next
 }
 
-// Symptom: a patch is applied twice, or refused although it took effect.
-// Sequence: its answer is lost and it is sent again, against the version it was
-// made against. Cause: it is judged by that version alone.
+// A patch whose response is lost is sent again with its original base version.
+// Comparing only versions would reject it although it took effect, or apply it twice.
 func TestRepeatedPatchIsRecognised(t *testing.T) {
 	one := apply(t, Head{}, "p1", `{"weights":{"tail":1}}`)
 	two := apply(t, one, "p2", `{"weights":{"tail":2}}`)
@@ -34,14 +33,16 @@
 	require.True(t, errkind.Is(err, errkind.AlreadyExists), "another patch under the same id")
 }
 
-func TestRacedPatchIsToldTheVersionItLostTo(t *testing.T) {
+// The error for an outdated base version names the conflicting change and its author.
+func TestVersionConflictNamesConflictingChange(t *testing.T) {
 	one := apply(t, Head{}, "p1", `{"weights":{"tail":1}}`)
 	_, err := one.Apply(Patch{BaseVersion: 0, ID: "p2", Body: json.RawMessage(`{}`)}, time.Unix(2, 0))
 	require.True(t, errkind.Is(err, errkind.VersionConflict))
 	require.ErrorContains(t, err, "version 1 was made by ann")
 }
 
-// A patch is refused whole, with field and fix, and changes nothing.
+// An invalid patch is rejected as a whole with an error that names the field and the
+// fix, and leaves the head unchanged.
 func TestFaultyPatches(t *testing.T) {
 	base := apply(t, Head{}, "p1", `{"teams":{"a":{"token_sha256":"`+hash+`"}},"services":{"s":{"team":"a"}}}`)
 	for body, want := range map[string]string{
@@ -60,7 +61,7 @@
 	}
 }
 
-// Any kept version can be brought back, whatever came after it.
+// Each version that the history keeps can be restored, regardless of later changes.
 func TestRevert(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	h := apply(t, Head{}, "p0", `{"teams":{"a":{"token_sha256":"`+hash+`"}}}`)
@@ -76,15 +77,14 @@
 	for version := h.Version - maxChanges; version <= h.Version; version++ {
 		patch, err := h.RevertTo(version)
 		require.NoError(t, err)
-		back := apply(t, h, fmt.Sprint("r", version), string(patch))
-		require.JSONEq(t, documents[version], string(back.Document))
+		restored := apply(t, h, fmt.Sprint("r", version), string(patch))
+		require.JSONEq(t, documents[version], string(restored.Document))
 	}
 	_, err := h.RevertTo(h.Version - maxChanges - 1)
 	require.True(t, errkind.Is(err, errkind.NotFound))
 }
 
-// Whatever a patch holds, it is refused whole, or what comes out passes the
-// checks.
+// Any patch is either rejected as a whole or produces a valid document.
 func FuzzPatch(f *testing.F) {
 	f.Add([]byte(`{"weights":{"tail":1}}`))
 	f.Add([]byte(`{"teams":{"a":null},"services":{"s":{"zones":["x"]}}}`))
@@ -97,7 +97,7 @@
 		}
 		d, err := Decode(next.Document)
 		if err != nil || len(d.Validate()) > 0 {
-			t.Fatalf("%s made %s: %v %v", body, next.Document, err, d.Validate())
+			t.Fatalf("patch %s produced invalid document %s: decode error %v, faults %v", body, next.Document, err, d.Validate())
 		}
 	})
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -12,7 +12,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a file of JSON with comments that knows on which line each field stands.
+// Document is a JSON file with comments that records the line of each field.
 type Document struct {
 	file   string
 	raw    []byte
@@ -20,19 +20,19 @@
 	faults []string
 }
 
-// Read reads raw into target, a pointer to a struct; file stands for it in errors. The
-// caller checks what it has read with Fault and Err.
+// Read decodes raw into target, a pointer to a struct; file is the name used in
+// errors. The caller reports invalid values with Fault and gets all of them from Err.
 func Read(file string, raw []byte, target any) (*Document, error) {
 	d := &Document{file: file, raw: raw}
 	return d, d.decode(target)
 }
 
-// decode reads the file into target, a pointer to a struct. Every field that
-// target does not have is a fault.
+// decode decodes the file into target, a pointer to a struct. A field that target
+// lacks is a fault.
 func (d *Document) decode(target any) error {
 	root, err := hujson.Parse(d.raw)
 	if err != nil {
-		// hujson's message already tells line and column.
+		// hujson's message already contains line and column.
 		return fmt.Errorf("%s: %w; settings are JSON, comments and trailing commas allowed", d.file, err)
 	}
 	d.lines = map[string]int{}
@@ -43,9 +43,9 @@
 	root.Standardize()
 	dec := json.NewDecoder(bytes.NewReader(root.Pack()))
 	if err := dec.Decode(target); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			d.Fault(wrong.Field, fmt.Sprintf("give a %s, not a %s", wrong.Type, wrong.Value))
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			d.Fault(typeErr.Field, fmt.Sprintf("give a %s, not a %s", typeErr.Type, typeErr.Value))
 			return d.Err()
 		}
 		return fmt.Errorf("%s: %w", d.file, err)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// walk notes the line of each field of v and refuses those that t lacks.
+// walk records the line of each field of v and rejects fields that t lacks.
 func (d *Document) walk(v hujson.Value, t reflect.Type, path string) {
 	if list, ok := v.Value.(*hujson.Array); ok && t.Kind() == reflect.Slice {
 		for i := range list.Elements {
@@ -69,19 +69,19 @@
 	for _, member := range object.Members {
 		var name string
 		_ = json.Unmarshal(bytes.TrimSpace(member.Name.Value.(hujson.Literal)), &name)
-		full := joinPath(path, name)
+		fieldPath := joinPath(path, name)
 		line := 1 + bytes.Count(d.raw[:member.Name.StartOffset], []byte("\n"))
-		if d.lines[full] != 0 {
-			d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: given twice; keep one", d.file, line, full))
+		if d.lines[fieldPath] != 0 {
+			d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: given twice; keep one", d.file, line, fieldPath))
 			continue
 		}
-		d.lines[full] = line
-		ft, known := fields[name]
+		d.lines[fieldPath] = line
+		fieldType, known := fields[name]
 		if !known {
-			d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: no such field; %s", d.file, line, full, suggest(name, fields)))
+			d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: no such field; %s", d.file, line, fieldPath, suggest(name, fields)))
 			continue
 		}
-		d.walk(member.Value, ft, full)
+		d.walk(member.Value, fieldType, fieldPath)
 	}
 }
 
@@ -103,7 +103,7 @@
 	return fields
 }
 
-// suggest names the field that was probably meant, or all there are.
+// suggest returns a hint with the field that was probably meant, or with all fields.
 func suggest(name string, fields map[string]reflect.Type) string {
 	var names []string
 	for n := range fields {
@@ -117,8 +117,8 @@
 	return "use one of " + strings.Join(names, ", ")
 }
 
-// Fault notes a fault of a field. A field that is not in the file is shown
-// without a line, as missing.
+// Fault records an invalid field and its fix. A field that is not in the file is
+// reported as missing, without a line.
 func (d *Document) Fault(field, fix string) {
 	if line := d.lines[field]; line > 0 {
 		d.faults = append(d.faults, fmt.Sprintf("%s:%d: %s: %s", d.file, line, field, fix))
@@ -127,7 +127,7 @@
 	d.faults = append(d.faults, fmt.Sprintf("%s: %s: missing; %s", d.file, field, fix))
 }
 
-// Err lists the faults, or is nil when there are none.
+// Err returns an error that lists all faults, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a node's settings: JSON with comments, checked whole
-// before anything starts. Each error names file, line, field and the fix.
+// Package settings reads a node's settings: JSON with comments, validated completely
+// before anything starts. Each error names file, line, field and fix.
 package settings
 
 import (
@@ -14,68 +14,69 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Node is the settings of one node.
+// Node holds the settings of one node.
 type Node struct {
-	// Name is unique in the deployment and stays when the VM is replaced.
+	// Name is unique in the deployment and stays the same when the VM is replaced.
 	Name string `json:"name"`
-	// Zone is the availability zone that the VM is in, spelt as in the
-	// platform's list.
+	// Zone is the availability zone of the VM, spelled as in the platform's list.
 	Zone string `json:"zone"`
 	// Region groups availability zones; optional.
 	Region string `json:"region"`
-	// Listen holds the addresses served.
+	// Listen holds the addresses that the node listens on.
 	Listen Listen `json:"listen"`
-	// Platform is how the platform is reached.
+	// Platform holds the address of the platform.
 	Platform Platform `json:"platform"`
-	// Drain times a planned stop.
+	// Drain holds the timing of a planned stop.
 	Drain Drain `json:"drain"`
-	// Leases time ownership and tasks; leave out for the defaults.
+	// Leases holds the timing of ownership and tasks; omit it to use the defaults.
 	Leases Leases `json:"leases"`
-	// Log is what is logged.
+	// Log holds the level and format of the log.
 	Log Log `json:"log"`
-	// BootstrapOperatorSHA256 is the SHA-256, in hex, of a token that counts as
+	// BootstrapOperatorSHA256 is the SHA-256, in hex, of a token that is accepted as
 	// an operator's while the configuration has no operators.
 	BootstrapOperatorSHA256 string `json:"bootstrap_operator_sha256"`
 }
 
-// Listen holds ip:port addresses; port 0 takes any free port.
+// Listen holds ip:port addresses; port 0 selects any free port.
 type Listen struct {
-	// Callers is where requests come in from the platform's balancer.
+	// Callers receives requests from the platform's load balancer.
 	Callers string `json:"callers"`
 	// Admin serves the administration API.
 	Admin string `json:"admin"`
-	// Peers serves the other nodes; they use the address as given here.
+	// Peers serves the other nodes, which connect to the address exactly as given
+	// here.
 	Peers string `json:"peers"`
 	// Operations serves metrics, health, readiness and the state dump.
 	Operations string `json:"operations"`
 }
 
-// Platform is how the platform is reached.
+// Platform holds the address of the platform.
 type Platform struct {
 	// Address is the ip:port of the platform's interface.
 	Address string `json:"address"`
 }
 
-// Drain times a planned stop.
+// Drain holds the timing of a planned stop.
 type Drain struct {
-	// NoticeMS is how long the balancer may take to notice that the node is not
-	// ready, in milliseconds; the node serves on meanwhile. Default 3,000.
+	// NoticeMS is how long the load balancer may take to detect that the node is not
+	// ready, in milliseconds; the node keeps serving meanwhile. Default 3,000.
 	NoticeMS int64 `json:"notice_ms"`
-	// LimitMS bounds the wait for requests under way after that, in
-	// milliseconds. Default 60,000.
+	// LimitMS limits the subsequent wait for requests in flight, in milliseconds.
+	// Default 60,000.
 	LimitMS int64 `json:"limit_ms"`
 }
 
-// Leases time ownership and tasks, in milliseconds. A zero takes the default.
+// Leases holds the timing of ownership and tasks, in milliseconds. Zero selects the
+// default.
 type Leases struct {
-	// SessionMS is how long the store keeps a node's session without a renewal;
-	// a dead node's shards are taken over after that. Default 5,000.
+	// SessionMS is how long the store keeps a node's session without a renewal; after
+	// that, the shards of a dead node are taken over. Default 5,000.
 	SessionMS int64 `json:"session_ms"`
 	// TaskMS is how long a task runs without a renewal. Default 30,000.
 	TaskMS int64 `json:"task_ms"`
 }
 
-// Log is what is logged.
+// Log holds the level and format of the log.
 type Log struct {
 	// Level is debug, info (default), warning or error.
 	Level string `json:"level"`
@@ -89,7 +90,7 @@
 	DefaultTaskMS    = 30_000
 )
 
-// Other defaults and limits of fields.
+// Other defaults and lower limits of fields.
 const (
 	defaultNoticeMS = 3_000
 	defaultLimitMS  = 60_000
@@ -97,7 +98,7 @@
 	minTaskMS       = 4_000
 )
 
-// Load reads and checks the file. Its error lists every fault found.
+// Load reads and validates the file. Its error lists every fault found.
 func Load(path string) (Node, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return Parse(path, raw)
 }
 
-// Parse checks raw; name stands for the file in errors.
+// Parse decodes and validates raw; name is the file name used in errors.
 func Parse(name string, raw []byte) (Node, error) {
 	var n Node
 	d, err := Read(name, raw, &n)
@@ -167,8 +168,8 @@
 	}
 }
 
-// checkAddress wants an IP number and a port: names would need a resolver that
-// may be away when it is needed most.
+// checkAddress requires an IP address and a port: a host name would need a resolver,
+// which may be unavailable during an outage.
 func checkAddress(d *Document, field, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(strings.Trim(host, "[]")) == nil {
@@ -176,8 +177,8 @@
 	}
 }
 
-// Notice is Drain.NoticeMS as a duration.
+// Notice returns NoticeMS as a duration.
 func (d Drain) Notice() time.Duration { return time.Duration(d.NoticeMS) * time.Millisecond }
 
-// Limit is Drain.LimitMS as a duration.
+// Limit returns LimitMS as a duration.
 func (d Drain) Limit() time.Duration { return time.Duration(d.LimitMS) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+// Every settings file under examples passes validation.
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.jsonc")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -19,22 +20,22 @@
 	}
 }
 
-const good = `{
+const validSettings = `{
   "name": "n1", "zone": "east", // a comment
   "listen": {"callers": "127.0.0.1:1", "admin": "127.0.0.1:2", "peers": "127.0.0.1:3", "operations": "127.0.0.1:4"},
   "platform": {"address": "127.0.0.1:5"},
 }`
 
 func TestDefaults(t *testing.T) {
-	n, err := Parse("f", []byte(good))
+	n, err := Parse("f", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, int64(defaultNoticeMS), n.Drain.NoticeMS)
 	require.Equal(t, int64(DefaultSessionMS), n.Leases.SessionMS)
 	require.Equal(t, "info", n.Log.Level)
 }
 
-// Each fault is refused with file, line, field and the fix.
-func TestFaultsAreNamed(t *testing.T) {
+// Each invalid setting is rejected with file, line, field and fix.
+func TestFaultsNameFieldAndFix(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"zone": "east"`, `"zonee": "east"`, `f:2: zonee: no such field; did you mean "zone"?`},
 		{`"zone": "east"`, `"colour": "east"`, `f:2: colour: no such field; use one of`},
@@ -47,17 +48,16 @@
 		{`"platform": {`, `"log": {"level": "loud"}, "platform": {`, `f:4: log.level: use debug, info, warning or error`},
 		{`}`, ``, `settings are JSON`},
 	} {
-		_, err := Parse("f", []byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse("f", []byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		require.ErrorContains(t, err, c.want)
 	}
 	_, err := Load(filepath.Join(t.TempDir(), "none"))
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// Whatever the file holds, it is refused or read, never a crash; and what is
-// read passes the checks.
+// No input crashes the parser, and accepted settings pass validation.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"listen": []}`))
 	f.Add([]byte(`{"name": {"a": 1}, "name": 2}`))
 	f.Add([]byte(`[]`))
@@ -65,7 +65,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		n, err := Parse("f", raw)
 		if err == nil && (n.Name == "" || n.Platform.Address == "") {
-			t.Fatalf("accepted without name or platform: %q", raw)
+			t.Fatalf("Parse accepted settings without name or platform address: %q", raw)
 		}
 	})
 }
