--- a/cmd/rattanwall/main.go
+++ b/cmd/rattanwall/main.go
@@ -1,4 +1,4 @@
-// Command rattanwall is every process of the system and its command line.
+// Command rattanwall runs every process of the system and provides its command line.
 package main
 
 import (
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the administration API, by which operators and teams
-// change the configuration and submit work. Every node serves it; each change
-// is a conditional write to the platform's store.
+// Package admin implements the administration API, through which operators and teams
+// change the configuration and submit jobs. Every node serves it; each change is a
+// conditional write to the platform's store.
 package admin
 
 import (
@@ -20,44 +20,44 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes limits the size of a request body.
 const maxBodyBytes = 256 << 10
 
 const (
-	// callTimeout bounds one administration call.
+	// callTimeout limits one administration call.
 	callTimeout = 8 * time.Second
-	// waitPollInterval is how often a wait for a version looks again.
+	// waitPollInterval is the interval between checks of the versions in use.
 	waitPollInterval = 100 * time.Millisecond
 	maxWaitTimeout   = 60 * time.Second
 )
 
-// Node is what the API shows and changes.
+// Node gives the API access to the state of the node that serves it.
 type Node interface {
 	Keeper() *config.Keeper
 	Cluster() *cluster.Cluster
 	// ConfigVersions returns the configuration version in use at each live node, as
-	// last heard; 0 for a node not heard from.
+	// last reported; 0 for a node that has not reported.
 	ConfigVersions() map[string]int64
 	VMs() []VMInfo
 	Status() any
 	Dump() any
 }
 
-// VMInfo is a VM with its owner.
+// VMInfo describes a VM and its owner.
 type VMInfo struct {
 	model.VM
 	Owner   string `json:"owner"`
 	Drained bool   `json:"drained,omitempty"`
 }
 
-// API is the handler of the administration API.
+// API is the HTTP handler of the administration API.
 type API struct {
 	node Node
 	log  *logrus.Entry
 	mux  *http.ServeMux
 }
 
-// call is one request with whom it is from.
+// call is a request with the identity of its sender.
 type call struct {
 	*http.Request
 	identity config.Identity
@@ -93,7 +93,7 @@
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.mux.ServeHTTP(w, r) }
 
-// ErrorBody is the answer to a call that failed.
+// ErrorBody is the response body of a failed call.
 type ErrorBody struct {
 	Error   errkind.Kind    `json:"error"`
 	Outcome errkind.Outcome `json:"outcome"`
@@ -104,7 +104,7 @@
 func (a *API) handle(pattern string, f func(context.Context, *call) (any, error)) {
 	a.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		who, ok := a.node.Keeper().Current().Identify(token)
+		identity, ok := a.node.Keeper().Current().Identify(token)
 		if !ok {
 			writeError(w, errkind.New(errkind.Unauthorized, "", nil))
 			return
@@ -116,15 +116,15 @@
 			defer cancel()
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
-		answer, err := f(ctx, &call{Request: r, identity: who, w: w})
+		resp, err := f(ctx, &call{Request: r, identity: identity, w: w})
 		if r.Method != http.MethodGet {
-			a.log.WithError(err).WithFields(logrus.Fields{"who": who.Name, "call": r.Method + " " + r.URL.Path}).Info("administration call")
+			a.log.WithError(err).WithFields(logrus.Fields{"who": identity.Name, "call": r.Method + " " + r.URL.Path}).Info("administration call")
 		}
 		if err != nil {
 			writeError(w, err)
 			return
 		}
-		writeJSON(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, resp)
 	})
 }
 
@@ -143,7 +143,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// decodeBody reads the request's body as JSON, strictly.
+// decodeBody decodes the request's JSON body; an unknown field is an error.
 func (c *call) decodeBody(into any) error {
 	dec := json.NewDecoder(c.Body)
 	dec.DisallowUnknownFields()
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// requireOperator refuses everyone but operators.
+// requireOperator returns an error unless the caller is an operator.
 func (c *call) requireOperator() error {
 	if !c.identity.IsOperator {
 		return errkind.New(errkind.Forbidden, "only an operator may do this", nil)
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// requireTeam refuses everyone but operators and the team itself.
+// requireTeam returns an error unless the caller is an operator or the team itself.
 func (c *call) requireTeam(name string) error {
 	if !c.identity.IsOperator && c.identity.Name != name {
 		return errkind.New(errkind.Forbidden, "this is team "+name+"'s", nil)
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// dump shows the node's whole state, credentials' hashes excepted.
+// dump returns the node's whole state without the hashes of credentials.
 func (a *API) dump(_ context.Context, c *call) (any, error) {
 	if err := c.requireOperator(); err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 	return a.node.Dump(), nil
 }
 
-// ConfigResponse is the configuration with its version.
+// ConfigResponse holds the configuration and its version.
 type ConfigResponse struct {
 	Version  int64           `json:"version"`
 	Document json.RawMessage `json:"document"`
@@ -196,7 +196,8 @@
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(version, 10)))
 }
 
-// baseVersion reads the version that a patch was made against.
+// baseVersion returns the version that a patch was made against, from the If-Match
+// header.
 func (c *call) baseVersion() (int64, error) {
 	raw := c.Header.Get("If-Match")
 	if raw == "" {
@@ -209,7 +210,7 @@
 	return version, nil
 }
 
-// PatchResponse tells the version that a patch made.
+// PatchResponse holds the version that a patch created.
 type PatchResponse struct {
 	Version int64 `json:"version"`
 }
@@ -218,7 +219,7 @@
 	if err := c.requireOperator(); err != nil {
 		return nil, err
 	}
-	against, err := c.baseVersion()
+	baseVersion, err := c.baseVersion()
 	if err != nil {
 		return nil, err
 	}
@@ -226,18 +227,18 @@
 	if err != nil {
 		return nil, errkind.New(errkind.BodyTooLarge, "", err)
 	}
-	return a.patch(ctx, c, against, raw)
+	return a.patch(ctx, c, baseVersion, raw)
 }
 
-func (a *API) patch(ctx context.Context, c *call, against int64, body json.RawMessage) (any, error) {
+func (a *API) patch(ctx context.Context, c *call, baseVersion int64, body json.RawMessage) (any, error) {
 	id := c.Header.Get("Idempotency-Key")
-	head, err := a.node.Keeper().Patch(ctx, config.Patch{BaseVersion: against, ID: id, Author: c.identity.Name, Body: body})
+	head, err := a.node.Keeper().Patch(ctx, config.Patch{BaseVersion: baseVersion, ID: id, Author: c.identity.Name, Body: body})
 	if err != nil {
 		return nil, err
 	}
 	version := head.Version
-	if made, ok := head.FindChange(id); ok {
-		version = made.Version
+	if change, ok := head.FindChange(id); ok {
+		version = change.Version
 	}
 	setVersion(c.w, version)
 	return PatchResponse{Version: version}, nil
@@ -254,7 +255,7 @@
 	return changes, nil
 }
 
-// revert makes a new version with the document of an older one.
+// revert creates a new version with the document of an older one.
 func (a *API) revert(ctx context.Context, c *call) (any, error) {
 	if err := c.requireOperator(); err != nil {
 		return nil, err
@@ -273,14 +274,16 @@
 	return a.patch(ctx, c, head.Version, patch)
 }
 
-// WaitResponse tells where a version is in force.
+// WaitResponse holds the version in use at each node and whether the requested one is
+// in force everywhere.
 type WaitResponse struct {
 	Version int64            `json:"version"`
 	InForce bool             `json:"in_force"`
 	Nodes   map[string]int64 `json:"nodes"`
 }
 
-// wait returns once every live node uses the version or a newer one.
+// wait returns when every live node uses the version or a later one, or at the
+// timeout.
 func (a *API) wait(ctx context.Context, c *call) (any, error) {
 	version, err := strconv.ParseInt(c.FormValue("version"), 10, 64)
 	if err != nil {
@@ -294,12 +297,12 @@
 	for {
 		a.node.Cluster().RefreshVersions(ctx, version)
 		nodes := a.node.ConfigVersions()
-		answer := WaitResponse{Version: version, InForce: true, Nodes: nodes}
+		resp := WaitResponse{Version: version, InForce: true, Nodes: nodes}
 		for _, v := range nodes {
-			answer.InForce = answer.InForce && v >= version
+			resp.InForce = resp.InForce && v >= version
 		}
-		if answer.InForce || time.Now().After(deadline) || ctx.Err() != nil {
-			return answer, nil
+		if resp.InForce || time.Now().After(deadline) || ctx.Err() != nil {
+			return resp, nil
 		}
 		time.Sleep(waitPollInterval)
 	}
--- a/internal/admin/resources.go
+++ b/internal/admin/resources.go
@@ -12,8 +12,8 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// maxPatchAttempts bounds how often a change of one service or watch is made again
-// against a newer version, when others change other things meanwhile.
+// maxPatchAttempts limits how often a change of one service or watch is retried
+// against a later version after concurrent changes of other resources.
 const maxPatchAttempts = 5
 
 func (a *API) listServices(_ context.Context, _ *call) (any, error) {
@@ -47,8 +47,8 @@
 	return changeResource(ctx, a, c, "watches", team, func(w config.Watch) string { return w.Team })
 }
 
-// changeResource sets or deletes one named thing of the document. A team may do so
-// with what is its own. With If-Match it is tried against that version only.
+// changeResource sets or deletes one service or watch of the document. A team may
+// change only its own. With If-Match, the change is tried against that version only.
 func changeResource[V any](ctx context.Context, a *API, c *call, section string, ownerOf func(config.Document, string) (string, bool), teamOf func(V) string) (any, error) {
 	name := c.PathValue("name")
 	var value any
@@ -62,9 +62,9 @@
 		}
 		value = v
 	}
-	for try := 1; ; try++ {
-		cur := a.node.Keeper().Current()
-		owner, exists := ownerOf(cur.Document, name)
+	for attempt := 1; ; attempt++ {
+		current := a.node.Keeper().Current()
+		owner, exists := ownerOf(current.Document, name)
 		if !exists && value == nil {
 			return nil, errkind.New(errkind.NotFound, "no "+strings.TrimSuffix(section, "s")+" "+name, nil)
 		}
@@ -73,28 +73,28 @@
 				return nil, err
 			}
 		}
-		against := cur.Head.Version
+		baseVersion := current.Head.Version
 		if c.Header.Get("If-Match") != "" {
 			var err error
-			if against, err = c.baseVersion(); err != nil {
+			if baseVersion, err = c.baseVersion(); err != nil {
 				return nil, err
 			}
 		}
-		patch, err := replacementPatch(cur.Head, section, name, value)
+		patch, err := replacementPatch(current.Head, section, name, value)
 		if err != nil {
 			return nil, err
 		}
-		answer, err := a.patch(ctx, c, against, patch)
-		retry := errkind.Is(err, errkind.VersionConflict) && c.Header.Get("If-Match") == "" && try < maxPatchAttempts
+		resp, err := a.patch(ctx, c, baseVersion, patch)
+		retry := errkind.Is(err, errkind.VersionConflict) && c.Header.Get("If-Match") == "" && attempt < maxPatchAttempts
 		if !retry {
-			return answer, err
+			return resp, err
 		}
 	}
 }
 
-// replacementPatch is the merge patch that sets section.name to value whole, or
-// deletes it for nil. A merge patch keeps the old value's other fields, so those
-// that the new value lacks are set to null.
+// replacementPatch returns the merge patch that replaces section.name by value, or
+// deletes it if value is nil. A merge patch keeps fields that it does not mention, so
+// old fields that the new value lacks are set to null.
 func replacementPatch(head config.Head, section, name string, value any) (json.RawMessage, error) {
 	if value == nil {
 		return json.Marshal(map[string]any{section: map[string]any{name: nil}})
@@ -111,9 +111,9 @@
 	_ = json.Unmarshal(head.Document, &old)
 	var oldFields map[string]any
 	_ = json.Unmarshal(old[section][name], &oldFields)
-	for f := range oldFields {
-		if _, ok := fields[f]; !ok {
-			fields[f] = nil
+	for field := range oldFields {
+		if _, ok := fields[field]; !ok {
+			fields[field] = nil
 		}
 	}
 	return json.Marshal(map[string]any{section: map[string]any{name: fields}})
@@ -191,7 +191,7 @@
 	return map[string]string{"id": c.PathValue("id"), "state": "cancelled"}, nil
 }
 
-// drainVM marks a VM as one to be emptied, or takes the mark off.
+// drainVM marks a VM for draining or removes the mark.
 func (a *API) drainVM(ctx context.Context, c *call) (any, error) {
 	if err := c.requireOperator(); err != nil {
 		return nil, err
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -62,8 +62,8 @@
 func (c *Cluster) Offers() []jobs.Offer {
 	self := c.members.Self()
 	var offers []jobs.Offer
-	if own := c.vms.Summary(); own.VMs > 0 {
-		offers = append(offers, jobs.Offer{Node: c.node, Zone: self.Zone, Free: own.Free})
+	if summary := c.vms.Summary(); summary.VMs > 0 {
+		offers = append(offers, jobs.Offer{Node: c.node, Zone: self.Zone, Free: summary.Free})
 	}
 	c.forEachFreshPeer(func(n ownership.Node, s *pb.NodeState) {
 		if s.Vms > 0 {
@@ -85,8 +85,8 @@
 
 // FitsNowhere implements jobs.Cluster.
 func (c *Cluster) FitsNowhere(spec model.JobSpec) string {
-	list := c.vms.List()
-	if len(list) == 0 {
+	all := c.vms.List()
+	if len(all) == 0 {
 		return ""
 	}
 	zones := map[string]bool{}
@@ -94,7 +94,7 @@
 		zones[z] = true
 	}
 	inZone, cpu, memory, accelerators := 0, 0, 0, 0
-	for _, vm := range list {
+	for _, vm := range all {
 		if len(zones) > 0 && !zones[vm.Zone] {
 			continue
 		}
@@ -107,7 +107,7 @@
 		accelerators += boolToInt(spec.PerTask.Accelerators > vm.Capacity.Accelerators)
 	}
 	return fmt.Sprintf("of %d VMs %d are in its availability zones; of these %d have too few processors, %d too little memory, %d too few accelerators",
-		len(list), inZone, cpu, memory, accelerators)
+		len(all), inZone, cpu, memory, accelerators)
 }
 
 func boolToInt(b bool) int {
@@ -118,21 +118,21 @@
 }
 
 // Reserve implements jobs.Cluster.
-func (c *Cluster) Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.TaskRequirements) ([]vms.Attempt, error) {
+func (c *Cluster) Reserve(ctx context.Context, node string, refs []worker.Ref, req vms.TaskRequirements) ([]vms.Attempt, error) {
 	if node == c.node {
-		return c.vms.Reserve(refs, room), nil
+		return c.vms.Reserve(refs, req), nil
 	}
 	n, err := c.peerByID(node)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.peerClient(n).Reserve(ctx, &pb.ReserveRequest{
-		Attempts: toWire(attemptsFromRefs(refs)), PerTask: toAmount(room.PerTask), Zones: room.Zones, Urgent: room.Urgent,
+	resp, err := c.peerClient(n).Reserve(ctx, &pb.ReserveRequest{
+		Attempts: toWire(attemptsFromRefs(refs)), PerTask: toAmount(req.PerTask), Zones: req.Zones, Urgent: req.Urgent,
 	})
 	if err != nil {
 		return nil, callError(err)
 	}
-	return fromWire(answer.Attempts), nil
+	return fromWire(resp.Attempts), nil
 }
 
 // Start implements jobs.Cluster.
@@ -144,11 +144,11 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.peerClient(n).Start(ctx, &pb.StartRequest{Attempts: toWire(attempts), DurationMs: durationMS})
+	resp, err := c.peerClient(n).Start(ctx, &pb.StartRequest{Attempts: toWire(attempts), DurationMs: durationMS})
 	if err != nil {
 		return nil, callError(err)
 	}
-	return fromWire(answer.Refused), nil
+	return fromWire(resp.Refused), nil
 }
 
 // Stop implements jobs.Cluster.
@@ -175,18 +175,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	answer, err := c.peerClient(n).Audit(ctx, &pb.AuditRequest{Attempts: toWire(attempts)})
+	resp, err := c.peerClient(n).Audit(ctx, &pb.AuditRequest{Attempts: toWire(attempts)})
 	if err != nil {
 		return nil, nil, callError(err)
 	}
-	return fromWire(answer.Ended), answer.NotOwned, nil
+	return fromWire(resp.Ended), resp.NotOwned, nil
 }
 
-// reportTimeout bounds one report to a job shard's leader.
+// reportTimeout limits one report to a job shard's leader.
 const reportTimeout = 3 * time.Second
 
-// Report implements vms.Reporter. Reports go to the leaders of the tasks' job
-// shards; what a leader does not answer for is reported again later.
+// Report implements vms.Reporter. It sends each report to the leader of the task's job
+// shard; reports that a leader did not acknowledge are sent again later.
 func (c *Cluster) Report(ctx context.Context, attempts []vms.Attempt) (recorded, obsolete []worker.Ref) {
 	byShard := map[string][]vms.Attempt{}
 	for _, a := range attempts {
@@ -195,12 +195,12 @@
 	}
 	for shard, list := range byShard {
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		stale, err := c.reportToLeader(callCtx, shard, list)
+		obsoleteRefs, err := c.reportToLeader(callCtx, shard, list)
 		cancel()
 		if err != nil {
 			continue
 		}
-		obsolete = append(obsolete, stale...)
+		obsolete = append(obsolete, obsoleteRefs...)
 		for _, a := range list {
 			if a.End != "" {
 				recorded = append(recorded, a.Ref)
@@ -218,14 +218,14 @@
 	if !ok || n.ID == c.node {
 		return nil, errkind.New(errkind.NoOwner, "", nil)
 	}
-	answer, err := c.peerClient(n).Report(ctx, &pb.ReportRequest{Attempts: toWire(list)})
+	resp, err := c.peerClient(n).Report(ctx, &pb.ReportRequest{Attempts: toWire(list)})
 	if err != nil {
 		return nil, callError(err)
 	}
-	return refsFromWire(answer.Obsolete), nil
+	return refsFromWire(resp.Obsolete), nil
 }
 
-// The verbs of a job call.
+// Verbs of a job call.
 const (
 	VerbSubmit = "submit"
 	VerbCancel = "cancel"
@@ -234,17 +234,17 @@
 )
 
 const (
-	// jobCallTimeout bounds one try of a job call.
+	// jobCallTimeout limits one attempt of a job call.
 	jobCallTimeout = 4 * time.Second
-	// maxJobCallRetries and jobCallRetryDelay bridge the moment in which a job shard
-	// changes hands.
+	// maxJobCallRetries and jobCallRetryDelay cover the time in which a job shard
+	// changes its owner.
 	maxJobCallRetries = 10
 	jobCallRetryDelay = 150 * time.Millisecond
 )
 
-// Job carries a call to the leader of a team's job shard and returns its answer.
-// It tries again while ownership moves: submit and cancel are recognised when
-// they arrive a second time.
+// Job sends a call to the leader of a team's job shard and returns its response. It
+// retries while ownership moves; a repeated submit or cancel is recognised by the
+// leader.
 func (c *Cluster) Job(ctx context.Context, team, verb string, body any) (json.RawMessage, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -252,17 +252,17 @@
 	}
 	shard := jobs.ShardOfTeam(team)
 	uncertain := false
-	for try := 0; ; try++ {
-		answer, err := c.tryJobCall(ctx, shard, verb, raw)
-		lost := errkind.Is(err, errkind.ConnectionLost)
-		uncertain = uncertain || lost
-		again := lost || errkind.Is(err, errkind.NotOwner) || errkind.Is(err, errkind.NoOwner)
-		if !again {
-			return answer, err
+	for retries := 0; ; retries++ {
+		resp, err := c.tryJobCall(ctx, shard, verb, raw)
+		connectionLost := errkind.Is(err, errkind.ConnectionLost)
+		uncertain = uncertain || connectionLost
+		retryable := connectionLost || errkind.Is(err, errkind.NotOwner) || errkind.Is(err, errkind.NoOwner)
+		if !retryable {
+			return resp, err
 		}
-		if try == maxJobCallRetries || ctx.Err() != nil {
+		if retries == maxJobCallRetries || ctx.Err() != nil {
 			if uncertain {
-				// An earlier try may have taken effect.
+				// An earlier attempt may have taken effect.
 				err = errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", err)
 			}
 			return nil, err
@@ -284,20 +284,20 @@
 	if !ok || n.ID == c.node {
 		return nil, errkind.New(errkind.NoOwner, "no node leads the team's job shard now", nil)
 	}
-	answer, err := c.peerClient(n).Job(ctx, &pb.JobRequest{Shard: shard, Verb: verb, Body: body})
+	resp, err := c.peerClient(n).Job(ctx, &pb.JobRequest{Shard: shard, Verb: verb, Body: body})
 	if err != nil {
 		if e := callError(err); errkind.Is(e, errkind.NotOwner) {
 			return nil, e
 		}
 		return nil, errkind.New(errkind.ConnectionLost, "the job shard's owner did not answer", err)
 	}
-	if answer.ErrorKind != "" {
-		return nil, errkind.New(errkind.Kind(answer.ErrorKind), answer.ErrorMessage, nil)
+	if resp.ErrorKind != "" {
+		return nil, errkind.New(errkind.Kind(resp.ErrorKind), resp.ErrorMessage, nil)
 	}
-	return answer.Body, nil
+	return resp.Body, nil
 }
 
-// handleJobCall performs a job call at the leader.
+// handleJobCall executes a job call at the leader.
 func handleJobCall(ctx context.Context, leader *jobs.Leader, verb string, body []byte) (json.RawMessage, error) {
 	switch verb {
 	case VerbSubmit:
@@ -322,7 +322,7 @@
 	return nil, errkind.New(errkind.InvalidRequest, "no such call "+verb, nil)
 }
 
-// readJobs answers with one job by its key, or with all of a team.
+// readJobs returns one job by its key, or all jobs of a team.
 func readJobs(ctx context.Context, leader *jobs.Leader, verb, key string) (json.RawMessage, error) {
 	var found []jobs.Info
 	var totals jobs.Totals
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster is a node's side of the protocol between nodes: it tells
-// peers what this node has, hears what they have, and carries calls to the
-// owner of a shard, which may be this node itself.
+// Package cluster implements a node's side of the protocol between nodes: it exchanges
+// state with peers and sends calls to the owner of a shard, which may be this node
+// itself.
 package cluster
 
 import (
@@ -28,25 +28,27 @@
 )
 
 const (
-	// totalExchangeRate is how many exchanges a second all nodes begin together, some
-	// 1,100 bytes each; a node's share falls as nodes are added, within bounds.
+	// totalExchangeRate is the number of exchanges a second that all nodes start
+	// together, each of about 1,100 bytes. A node's rate falls as nodes are added,
+	// within the bounds below.
 	totalExchangeRate   = 36.0
 	minNodeExchangeRate = 0.5
 	maxNodeExchangeRate = 4.0
-	// farExchangePeriod: of so many exchanges all but one go to the own zone, where most
-	// requests that need another node find one.
+	// farExchangePeriod: one in this many exchanges goes to another availability zone,
+	// the others to the node's own, where most requests that need another node find
+	// one.
 	farExchangePeriod = 4
-	// exchangeTimeout bounds one exchange.
+	// exchangeTimeout limits one exchange.
 	exchangeTimeout = time.Second
-	// idleConnections is how many connections to each peer are kept for calls.
+	// idleConnections is the number of idle connections kept to each peer.
 	idleConnections = 4
-	// peerStateTTL is when a peer's word on its room counts no more. At the target
-	// size far peers hear of each other once in a minute or two; what they say is
-	// only where to ask first.
+	// peerStateTTL is how long the capacity that a peer reported stays in use. At the
+	// target size, peers in different zones exchange state only once in one or two
+	// minutes, and the state only decides which peer is tried first.
 	peerStateTTL = 3 * time.Minute
 )
 
-// Cluster connects a node with its peers. Serve runs the exchange.
+// Cluster connects a node with its peers. Serve runs the periodic exchange of state.
 type Cluster struct {
 	node    string
 	config  *config.Keeper
@@ -59,17 +61,17 @@
 	mu       sync.Mutex
 	draining bool
 	peers    map[string]*peerState
-	// exchangeCount counts the exchanges begun.
+	// exchangeCount is the number of exchanges started.
 	exchangeCount int
 }
 
-// peerState is what a peer last said.
+// peerState is the last state received from a peer.
 type peerState struct {
 	state      *pb.NodeState
 	receivedAt time.Time
 }
 
-// New returns the cluster of a node. Attach must follow before Serve.
+// New returns the cluster of a node. Attach must be called before Serve.
 func New(node string, network netio.Network, keeper *config.Keeper, log *logrus.Entry) *Cluster {
 	return &Cluster{
 		node: node, config: keeper, log: log, peers: map[string]*peerState{},
@@ -77,19 +79,19 @@
 	}
 }
 
-// Attach gives the parts of the node that calls are carried to.
+// Attach sets the local parts that calls to this node are served by.
 func (c *Cluster) Attach(members *membership.Membership, manager *vms.Manager, service *jobs.Service) {
 	c.members, c.vms, c.jobs = members, manager, service
 }
 
-// SetDraining makes peers stop sending requests here.
+// SetDraining reports the node as draining, so that peers stop sending requests to it.
 func (c *Cluster) SetDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
 }
 
-// Close drops the idle connections to peers.
+// Close closes the idle connections to peers.
 func (c *Cluster) Close() { c.client.CloseIdleConnections() }
 
 // Serve implements suture.Service.
@@ -109,40 +111,42 @@
 	}
 }
 
-// ExchangesPerSecond is how many exchanges each of so many nodes begins a second.
+// ExchangesPerSecond returns how many exchanges a second each node starts in a
+// deployment of the given number of nodes.
 func ExchangesPerSecond(nodes int) float64 {
 	return min(max(totalExchangeRate/float64(nodes), minNodeExchangeRate), maxNodeExchangeRate)
 }
 
-// nextPeer returns the peer to tell now: near ones and far ones in turn.
+// nextPeer returns the peer to exchange state with next: it cycles through the node's
+// own availability zone and, every farExchangePeriod, through the others.
 func (c *Cluster) nextPeer(nodes []ownership.Node) (ownership.Node, bool) {
 	zone := c.members.Self().Zone
-	var near, far []ownership.Node
+	var sameZone, otherZones []ownership.Node
 	for _, n := range nodes {
 		if n.Zone == zone {
-			near = append(near, n)
+			sameZone = append(sameZone, n)
 		} else {
-			far = append(far, n)
+			otherZones = append(otherZones, n)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exchangeCount++
-	list := near
-	if len(near) == 0 || len(far) > 0 && c.exchangeCount%farExchangePeriod == 0 {
-		list = far
+	peers := sameZone
+	if len(sameZone) == 0 || len(otherZones) > 0 && c.exchangeCount%farExchangePeriod == 0 {
+		peers = otherZones
 	}
-	if len(list) == 0 {
+	if len(peers) == 0 {
 		return ownership.Node{}, false
 	}
-	i := c.exchangeCount % len(list)
-	if len(near) > 0 && len(far) > 0 && c.exchangeCount%farExchangePeriod == 0 {
-		i = c.exchangeCount / farExchangePeriod % len(far)
+	i := c.exchangeCount % len(peers)
+	if len(sameZone) > 0 && len(otherZones) > 0 && c.exchangeCount%farExchangePeriod == 0 {
+		i = c.exchangeCount / farExchangePeriod % len(otherZones)
 	}
-	return list[i], true
+	return peers[i], true
 }
 
-// otherNodes returns the other live nodes, sorted by id.
+// otherNodes returns the other live nodes, sorted by ID.
 func (c *Cluster) otherNodes() []ownership.Node {
 	var nodes []ownership.Node
 	for id, n := range c.members.Nodes() {
@@ -167,9 +171,9 @@
 	}
 }
 
-// RefreshVersions exchanges state with every peer not yet known to use a version of
-// the configuration, at the same time, so that whoever waits for it does not
-// wait for the next exchange.
+// RefreshVersions exchanges state, in parallel, with every peer not yet known to use a
+// configuration version, so that a caller that waits for the version does not wait for
+// the next periodic exchange.
 func (c *Cluster) RefreshVersions(ctx context.Context, version int64) {
 	known := map[string]int64{}
 	for _, p := range c.Dump() {
@@ -189,19 +193,19 @@
 	wg.Wait()
 }
 
-// fetchConfig takes a newer configuration over from a peer. Usually the store's
-// watch is faster; it is for nodes that the store does not answer.
+// fetchConfig installs a newer configuration from a peer. The store's watch is usually
+// faster; this serves nodes that cannot reach the store.
 func (c *Cluster) fetchConfig(ctx context.Context, n ownership.Node) {
-	answer, err := c.peerClient(n).Config(ctx, &pb.ConfigRequest{})
+	resp, err := c.peerClient(n).Config(ctx, &pb.ConfigRequest{})
 	if err != nil {
 		return
 	}
-	if err := c.config.InstallFromPeer(answer.Head, answer.Revision); err != nil {
-		c.log.WithError(err).WithField("peer", n.ID).Warn("a peer's configuration was refused")
+	if err := c.config.InstallFromPeer(resp.Head, resp.Revision); err != nil {
+		c.log.WithError(err).WithField("peer", n.ID).Warn("configuration of a peer rejected")
 	}
 }
 
-// localState is what this node says of itself.
+// localState returns the state that this node reports to peers.
 func (c *Cluster) localState() *pb.NodeState {
 	self := c.members.Self()
 	summary := c.vms.Summary()
@@ -213,9 +217,9 @@
 	c.mu.Lock()
 	s.Draining = c.draining
 	c.mu.Unlock()
-	for name, room := range summary.Services {
+	for name, free := range summary.Services {
 		s.Services = append(s.Services, &pb.ServiceState{
-			Name: name, FreeQuick: room.Quick, FreeHeavy: room.Heavy, FreeStanding: room.Standing, Waiting: room.Waiting,
+			Name: name, FreeQuick: free.Quick, FreeHeavy: free.Heavy, FreeStanding: free.Standing, Waiting: free.Waiting,
 		})
 	}
 	return s
@@ -242,7 +246,8 @@
 	return model.Resources{MilliCPU: a.GetMilliCpu(), MemoryMB: a.GetMemoryMb(), Accelerators: a.GetAccelerators()}
 }
 
-// forEachFreshPeer calls f with each live peer's last word.
+// forEachFreshPeer calls f with the last state of each live peer that is not draining
+// and whose state is younger than peerStateTTL.
 func (c *Cluster) forEachFreshPeer(f func(n ownership.Node, s *pb.NodeState)) {
 	nodes := c.otherNodes()
 	now := time.Now()
@@ -255,8 +260,8 @@
 	}
 }
 
-// For implements route.Peers: peers of the same availability zone first, then
-// those with more room.
+// For implements route.Peers. It returns peers of the same availability zone first,
+// then those with more free capacity.
 func (c *Cluster) For(service string, class model.Class) []route.Peer {
 	zone := c.members.Self().Zone
 	var found []route.Peer
@@ -314,7 +319,7 @@
 
 // AskPromise implements membership.Promiser.
 func (c *Cluster) AskPromise(ctx context.Context, peer, self ownership.Node, d time.Duration) ownership.PromiseState {
-	answer, err := c.peerClient(peer).Promise(ctx, &pb.PromiseRequest{
+	resp, err := c.peerClient(peer).Promise(ctx, &pb.PromiseRequest{
 		Node: self.ID, Incarnation: self.Session, DurationMs: d.Milliseconds(),
 	})
 	switch {
@@ -322,41 +327,41 @@
 		return ownership.PromiseNotListening
 	case err != nil:
 		return ownership.PromiseNoResponse
-	case answer.Granted:
+	case resp.Granted:
 		return ownership.PromiseGiven
 	}
 	return ownership.PromiseRefused
 }
 
-// isConnectionRefused reports whether a host answered that no process listens there:
-// the process that did is dead.
+// isConnectionRefused reports whether the host refused the connection because no
+// process listens on the port: the process that did has ended.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // AskOwner implements membership.Promiser.
 func (c *Cluster) AskOwner(ctx context.Context, owner ownership.Node, shards []string) (acting []string, state ownership.OwnerState) {
-	answer, err := c.peerClient(owner).Acting(ctx, &pb.ActingRequest{Shards: shards})
+	resp, err := c.peerClient(owner).Acting(ctx, &pb.ActingRequest{Shards: shards})
 	switch {
 	case err == nil:
-		return answer.Shards, ownership.OwnerStopped
+		return resp.Shards, ownership.OwnerStopped
 	case isConnectionRefused(err):
 		return nil, ownership.OwnerStopped
 	}
 	return nil, ownership.OwnerNoResponse
 }
 
-// callError gives an error of a call to a peer its kind.
+// callError converts an error of a call to a peer to an errkind error.
 func callError(err error) error {
-	var te twirp.Error
+	var twirpErr twirp.Error
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &te) && te.Code() == twirp.FailedPrecondition:
+	case errors.As(err, &twirpErr) && twirpErr.Code() == twirp.FailedPrecondition:
 		return errkind.New(errkind.NotOwner, "", err)
 	}
 	return errkind.New(errkind.NoOwner, "the shard's owner was not reached", err)
 }
 
-// PeerDump describes a peer for the state dump.
+// PeerDump describes a peer in the state dump.
 type PeerDump struct {
 	Node           string `json:"node"`
 	Zone           string `json:"zone"`
@@ -367,7 +372,7 @@
 	StoreReachable bool   `json:"store_reachable"`
 }
 
-// Dump describes the peers, sorted by node.
+// Dump returns the peers, sorted by node.
 func (c *Cluster) Dump() []PeerDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/server.go
+++ b/internal/cluster/server.go
@@ -12,12 +12,12 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// Server answers peers' calls. It is the receiving side of Cluster.
+// Server serves the calls of peers: it is the receiving side of Cluster.
 type Server struct{ *Cluster }
 
 var _ pb.Peer = Server{}
 
-// errNotOwner is what a call to the wrong node is answered with.
+// errNotOwner is the error of a call to a node that does not own the shard.
 var errNotOwner = twirp.NewError(twirp.FailedPrecondition, string(errkind.NotOwner))
 
 // Exchange implements pb.Peer.
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the shapes of the two deployments that the
-// system runs in today, for the demo, tests and measurements.
+// Package deployment describes the two deployments that the system currently runs in,
+// for the demo, tests and measurements.
 package deployment
 
 import (
@@ -10,29 +10,30 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Shape is one deployment.
+// Shape describes the size and configuration of a deployment.
 type Shape struct {
 	Name    string
 	Service string
 	Team    string
-	// Zones maps each availability zone to its entry VMs.
+	// Zones maps each availability zone to the number of its entry VMs.
 	Zones map[string]int
-	// Workers is their number over all zones; WorkersPerRack share a rack.
+	// Workers is the number of worker VMs over all zones; WorkersPerRack of them share
+	// a rack.
 	Workers, WorkersPerRack int
 	Capacity                model.Resources
 	Weights                 config.Weights
-	// ReservePerVM is kept for the service on each VM.
+	// ReservePerVM is kept free for the service on each VM.
 	ReservePerVM model.Resources
 }
 
-// What is alike in both deployments.
+// Values common to both deployments.
 const (
 	slotsPerVM       = 8
 	connectionsPerVM = 64
-	// vmsPerAccelerator VMs one has an accelerator; the users' page does not tell
-	// the number of today.
+	// vmsPerAccelerator: one in this many VMs has an accelerator. The users'
+	// documentation does not give the real number.
 	vmsPerAccelerator = 4
-	// MaxBodyBytes is what the services take in a request.
+	// MaxBodyBytes is the maximum request body that the services accept.
 	MaxBodyBytes = 64 << 10
 )
 
@@ -66,7 +67,7 @@
 	return names
 }
 
-// VMs returns the workers; their addresses are not set.
+// VMs returns the worker VMs; their addresses are not set.
 func (s Shape) VMs() []model.VM {
 	zones := s.ZoneNames()
 	perZone := s.Workers / len(zones)
@@ -86,10 +87,10 @@
 	return list
 }
 
-// Node names one entry VM.
+// Node is the name and availability zone of an entry VM.
 type Node struct{ Name, Zone string }
 
-// Nodes returns the entry VMs.
+// Nodes returns the entry VMs, sorted by zone.
 func (s Shape) Nodes() []Node {
 	var nodes []Node
 	for _, zone := range s.ZoneNames() {
@@ -100,8 +101,9 @@
 	return nodes
 }
 
-// Document returns a configuration for the shape: its service with the team
-// that owns it, a batch team, and a standing watch.
+// Document returns a configuration for the shape: its service, the team that owns it,
+// a batch team and a standing watch. The arguments are the tokens of the operator and
+// the two teams.
 func (s Shape) Document(operator, team, batch string) config.Document {
 	return config.Document{
 		Operators: map[string]config.Credential{"operator": {TokenSHA256: config.HashToken(operator)}},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the parts of an entry VM's process together under one
-// supervisor tree, serves them, and stops them in order.
+// Package node assembles the process of an entry VM under one supervisor tree, serves
+// its listeners and stops it in order.
 package node
 
 import (
@@ -30,16 +30,17 @@
 )
 
 const (
-	// vmListInterval is how often the platform's list of VMs is read; a VM that leaves
-	// must get nothing new within 3 s of the list saying so.
+	// vmListInterval is the interval between reads of the platform's list of VMs. A VM
+	// marked as leaving must get no new work within 3 s of the change of the list.
 	vmListInterval = time.Second
-	// leaveTimeout bounds the last calls of a planned stop.
+	// leaveTimeout limits the last calls of a planned stop.
 	leaveTimeout = 2 * time.Second
-	// drainPollInterval is how often a planned stop looks whether requests are left.
+	// drainPollInterval is the interval at which a planned stop checks for requests in
+	// flight.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Node is one process of the system.
+// Node is the process of one entry VM.
 type Node struct {
 	settings settings.Node
 	network  netio.Network
@@ -59,8 +60,7 @@
 	hasVMList atomic.Bool
 }
 
-// New listens on the addresses of the settings and puts the node together;
-// Run starts it.
+// New opens the listeners of the settings and assembles the node; Run starts it.
 func New(s settings.Node, network netio.Network, log *logrus.Logger) (*Node, error) {
 	n := &Node{settings: s, network: network, log: log.WithField("node", s.Name), registry: prometheus.NewRegistry(), aborted: make(chan struct{})}
 	n.store = httphosting.New(network, s.Platform.Address)
@@ -72,7 +72,7 @@
 	return n, nil
 }
 
-// build makes the parts and gives each what it needs of the others.
+// build creates the parts of the node and connects them.
 func (n *Node) build() {
 	s := n.settings
 	n.keeper = config.NewKeeper(n.store, s.BootstrapOperatorSHA256, n.log.WithField("part", "config"))
@@ -101,7 +101,7 @@
 	n.setHandlers()
 }
 
-// ownershipTiming scales the defaults to the session's length.
+// ownershipTiming scales the default timing to the session's length.
 func ownershipTiming(l settings.Leases) ownership.Timing {
 	t := ownership.DefaultTiming()
 	ttl := time.Duration(l.SessionMS) * time.Millisecond
@@ -118,28 +118,28 @@
 	return vms.Timing{Lease: lease, RenewInterval: lease / 3, CheckpointInterval: t.CheckpointInterval, UnreachableGrace: t.UnreachableGrace}
 }
 
-// Run serves until ctx ends, then stops in order: see drain.
+// Run serves until ctx is done, then performs a planned stop; see drain.
 func (n *Node) Run(ctx context.Context) error {
 	spec := suture.Spec{
 		EventHook:                func(e suture.Event) { n.log.WithField("part", "supervisor").Warn(e.String()) },
 		DontPropagateTermination: true,
 	}
-	top := suture.New("node", spec)
-	top.Add(n.members)
-	top.Add(n.keeper)
-	top.Add(n.cluster)
-	top.Add(n.vms)
-	top.Add(n.jobs)
-	top.Add(serviceFunc(n.pollVMList))
-	front := suture.New("servers", spec)
+	root := suture.New("node", spec)
+	root.Add(n.members)
+	root.Add(n.keeper)
+	root.Add(n.cluster)
+	root.Add(n.vms)
+	root.Add(n.jobs)
+	root.Add(serviceFunc(n.pollVMList))
+	servers := suture.New("servers", spec)
 	for _, s := range n.servers {
-		front.Add(s)
+		servers.Add(s)
 	}
-	top.Add(front)
+	root.Add(servers)
 
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	ended := top.ServeBackground(runCtx)
+	ended := root.ServeBackground(runCtx)
 	n.log.WithFields(logrus.Fields{
 		"callers": n.Address(Callers), "admin": n.Address(Admin), "peers": n.Address(Peers), "operations": n.Address(Operations),
 	}).Info("node serves")
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Abort makes Run end at once, as if the process had died. For tests; call it
-// at most once.
+// Abort makes Run return immediately, as if the process had died. It is for tests and
+// must be called at most once.
 func (n *Node) Abort() { close(n.aborted) }
 
 // serviceFunc is a function run under the supervisor.
@@ -170,52 +170,52 @@
 // Serve implements suture.Service.
 func (s serviceFunc) Serve(ctx context.Context) error { return s(ctx) }
 
-// drain is the planned stop. The order matters: the balancer must see the node
-// not ready, and stop sending, before the listener closes; a request that comes
-// meanwhile is served, not refused. Ownership is handed over at the same time,
-// so that new requests find their slots elsewhere. Watches are ended cleanly
-// last, when callers that come back reach other nodes.
+// drain performs the planned stop. The order matters: the load balancer must see that
+// the node is not ready, and stop sending, before the listeners close; requests that
+// arrive meanwhile are served. Ownership is handed over at the same time, so that new
+// requests find their slots at other nodes. Watches are ended after that, when callers
+// that reconnect reach other nodes.
 func (n *Node) drain() {
 	n.log.Info("planned stop: not ready from now on")
 	n.draining.Store(true)
 	n.cluster.SetDraining()
-	handOver, cancel := context.WithTimeout(context.Background(), n.settings.Drain.Notice()+leaveTimeout)
+	handOverCtx, cancel := context.WithTimeout(context.Background(), n.settings.Drain.Notice()+leaveTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.members.Drain(handOver)
+		n.members.Drain(handOverCtx)
 	}()
 	time.Sleep(n.settings.Drain.Notice())
 	n.router.EndWatches()
-	limit := time.Now().Add(n.settings.Drain.Limit())
-	for n.router.InFlight() > 0 && time.Now().Before(limit) {
+	deadline := time.Now().Add(n.settings.Drain.Limit())
+	for n.router.InFlight() > 0 && time.Now().Before(deadline) {
 		time.Sleep(drainPollInterval)
 	}
 	<-done
 	for _, s := range n.servers {
-		if err := s.stop(limit); err != nil {
+		if err := s.stop(deadline); err != nil {
 			n.log.WithError(err).WithField("listener", s.purpose).Warn("planned stop: requests were cut off")
 		}
 	}
-	ctx, stop := context.WithTimeout(context.Background(), leaveTimeout)
-	defer stop()
+	ctx, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
+	defer cancelLeave()
 	n.members.Leave(ctx)
 	n.log.WithField("left_in_flight", n.router.InFlight()).Info("planned stop: done")
 }
 
-// pollVMList reads the platform's list of VMs. While the platform is away the
-// last list stays in use.
+// pollVMList reads the platform's list of VMs periodically. While the platform is
+// unreachable, the last list stays in use.
 func (n *Node) pollVMList(ctx context.Context) error {
 	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
-	known := ""
+	knownVersion := ""
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, 2*vmListInterval)
-		list, version, err := n.store.VMs(callCtx, known)
+		list, version, err := n.store.VMs(callCtx, knownVersion)
 		cancel()
-		if err == nil && version != known {
-			known = version
+		if err == nil && version != knownVersion {
+			knownVersion = version
 			n.setVMList(list)
 		}
 		select {
@@ -232,12 +232,12 @@
 	n.hasVMList.Store(true)
 }
 
-// Ready reports whether the balancer should send requests here.
+// Ready reports whether the load balancer should send requests to this node.
 func (n *Node) Ready() bool {
 	return n.hasVMList.Load() && !n.keeper.ConfirmedAt().IsZero() && !n.draining.Load()
 }
 
-// Address returns the ip:port served for a purpose.
+// Address returns the ip:port of the listener for a purpose.
 func (n *Node) Address(p Purpose) string {
 	for _, s := range n.servers {
 		if s.purpose == p {
@@ -249,15 +249,15 @@
 
 func (n *Node) listen() error {
 	l := n.settings.Listen
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		purpose Purpose
 		address string
 	}{{Callers, l.Callers}, {Admin, l.Admin}, {Peers, l.Peers}, {Operations, l.Operations}} {
-		ln, err := n.network.Listen(one.address)
+		ln, err := n.network.Listen(spec.address)
 		if err != nil {
-			return errors.Wrapf(err, "listen.%s", one.purpose)
+			return errors.Wrapf(err, "listen.%s", spec.purpose)
 		}
-		n.servers = append(n.servers, newServer(one.purpose, ln))
+		n.servers = append(n.servers, newServer(spec.purpose, ln))
 	}
 	return nil
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -22,10 +22,10 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// Purpose says whom a listener serves.
+// Purpose names the clients that a listener serves.
 type Purpose string
 
-// The purposes, named as in the settings.
+// Purposes, named as in the settings.
 const (
 	Callers    Purpose = "callers"
 	Admin      Purpose = "admin"
@@ -34,13 +34,13 @@
 )
 
 const (
-	// headerTimeout bounds the time that a client takes to send its headers.
+	// headerTimeout limits the time in which a client must send its headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes a client's connection that is not used.
+	// idleTimeout is how long a client's idle connection is kept open.
 	idleTimeout = 2 * time.Minute
 )
 
-// server is one listener under the supervisor.
+// server runs one listener under the supervisor.
 type server struct {
 	purpose  Purpose
 	listener net.Listener
@@ -57,16 +57,17 @@
 	defer stop()
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
-		// Closed on purpose: wait for the end instead of being restarted.
+		// The server was closed intentionally: wait for the end, because the
+		// supervisor would restart it.
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return errors.Wrapf(err, "serve %s", s.purpose)
 }
 
-// stop closes the listener and waits for the requests under way.
-func (s *server) stop(limit time.Time) error {
-	ctx, cancel := context.WithDeadline(context.Background(), limit)
+// stop closes the listener and waits for requests in flight.
+func (s *server) stop(deadline time.Time) error {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	return s.http.Stop(ctx)
 }
@@ -84,7 +85,8 @@
 	}
 }
 
-// callersHandler serves requests, and readiness for a balancer that probes the same port.
+// callersHandler serves requests, and readiness for a load balancer that probes the
+// same port.
 func (n *Node) callersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/svc/", n.router)
@@ -170,7 +172,7 @@
 	return infos
 }
 
-// Status is the short account of a node.
+// Status summarizes a node's state.
 type Status struct {
 	Node           string             `json:"node"`
 	Zone           string             `json:"zone"`
@@ -199,17 +201,17 @@
 	}
 }
 
-// DumpState is the whole state of a node, for people who look for a fault.
+// DumpState is the whole state of a node, for troubleshooting.
 type DumpState struct {
 	Status     Status       `json:"status"`
 	Membership any          `json:"membership"`
 	VMs        []vms.VMDump `json:"vms"`
 }
 
-// Dump implements admin.Node. It holds no credentials.
+// Dump implements admin.Node. The result contains no credentials.
 func (n *Node) Dump() any {
 	return DumpState{Status: n.status(), Membership: n.members.Dump(), VMs: n.vms.Dump()}
 }
 
-// VMDumps describes the VMs that this node owns.
+// VMDumps returns the state of the VMs that this node owns.
 func (n *Node) VMDumps() []vms.VMDump { return n.vms.Dump() }
