--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,9 +172,9 @@
 
 // drain performs the planned stop. The order matters: the load balancer must see that
 // the node is not ready, and stop sending, before the listeners close; requests that
-// arrive meanwhile are served. Ownership is handed over at the same time, so that new
-// requests find their slots at other nodes. Watches are ended after that, when callers
-// that reconnect reach other nodes.
+// arrive meanwhile are served, not refused. Ownership is handed over at the same time,
+// so that new requests find their slots at other nodes. Watches are ended cleanly
+// after that, when callers that reconnect reach other nodes.
 func (n *Node) drain() {
 	n.log.Info("planned stop: not ready from now on")
 	n.draining.Store(true)
