--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -16,13 +16,13 @@
 	"github.com/rattanwall/rattanwall/internal/errkind"
 )
 
-// The environment variables that stand in for flags.
+// Environment variables that replace flags.
 const (
 	envAdmin = "RATTANWALL_ADMIN"
 	envToken = "RATTANWALL_TOKEN"
 )
 
-// clientTimeout bounds one call of a verb, a wait's own time excepted.
+// clientTimeout limits one call of a command, excluding the time that a wait asks for.
 const clientTimeout = 15 * time.Second
 
 // client calls the administration API.
@@ -32,10 +32,11 @@
 	timeout        time.Duration
 }
 
-// addFlags adds what each verb that calls the API has in common.
+// addFlags adds the flags shared by all commands that call the API.
 func (c *client) addFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.address, "admin", "", "ip:port of any node's administration API; default $"+envAdmin)
-	// The variable is no default of the flag: --help prints defaults.
+	// The environment variable is not the flag's default, because --help prints
+	// defaults.
 	cmd.PersistentFlags().StringVar(&c.token, "token", "", "credential of a team or operator; better given as $"+envToken)
 	cmd.PersistentFlags().BoolVar(&c.asJSON, "json", false, "print JSON for programs")
 	c.timeout = clientTimeout
@@ -47,8 +48,8 @@
 	return sling.New().Client(&http.Client{}).Base("http://"+c.address).Set("Authorization", "Bearer "+c.token)
 }
 
-// do makes a call and decodes its answer. An error of the API keeps its kind.
-func (c *client) do(ctx context.Context, s *sling.Sling, answer any) error {
+// do sends a request and decodes its response. An error of the API keeps its kind.
+func (c *client) do(ctx context.Context, s *sling.Sling, result any) error {
 	if c.address == "" {
 		return fmt.Errorf("give a node's administration address with --admin or $%s", envAdmin)
 	}
@@ -59,17 +60,17 @@
 		return err
 	}
 	req.GetBody = nil
-	var failed admin.ErrorBody
-	resp, err := s.Do(req.WithContext(ctx), answer, &failed)
+	var errBody admin.ErrorBody
+	resp, err := s.Do(req.WithContext(ctx), result, &errBody)
 	if resp == nil {
 		return errkind.New(errkind.ConnectionLost, "the node did not answer; a change may have taken effect", err)
 	}
-	if failed.Error != "" {
-		message := failed.Message
+	if errBody.Error != "" {
+		message := errBody.Message
 		if message == "" {
-			message = failed.Hint
+			message = errBody.Hint
 		}
-		return errkind.New(failed.Error, message, nil)
+		return errkind.New(errBody.Error, message, nil)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return fmt.Errorf("the node answered %s", resp.Status)
@@ -77,10 +78,11 @@
 	return err
 }
 
-// print prints v as JSON, or calls people for a table.
-func (c *client) print(cmd *cobra.Command, v any, people func()) error {
-	if !c.asJSON && people != nil {
-		people()
+// print writes v as JSON, or calls printText unless JSON was requested. A nil
+// printText always gives JSON.
+func (c *client) print(cmd *cobra.Command, v any, printText func()) error {
+	if !c.asJSON && printText != nil {
+		printText()
 		return nil
 	}
 	enc := json.NewEncoder(cmd.OutOrStdout())
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -12,9 +12,9 @@
 	"github.com/rattanwall/rattanwall/internal/errkind"
 )
 
-// Each verb tells what it does and shows how it is called.
-func TestEachVerbHasHelp(t *testing.T) {
-	verbs := 0
+// Each command has a description and an example of its use.
+func TestEachCommandHasHelp(t *testing.T) {
+	commands := 0
 	var walk func(c *cobra.Command)
 	walk = func(c *cobra.Command) {
 		for _, sub := range c.Commands() {
@@ -23,14 +23,15 @@
 		if c.HasSubCommands() {
 			return
 		}
-		verbs++
+		commands++
 		require.NotEmpty(t, c.Short, c.CommandPath())
 		require.Contains(t, c.Example, c.CommandPath(), c.CommandPath())
 	}
 	walk(newRoot())
-	require.Greater(t, verbs, 25)
+	require.Greater(t, commands, 25)
 }
 
+// Each kind of error ends the process with its documented exit code.
 func TestExitCodes(t *testing.T) {
 	for want, err := range map[int]error{
 		exitOK: nil, exitFailed: errFailed, exitUnknown: errkind.New(errkind.StoreUnknown, "", nil),
@@ -41,7 +42,8 @@
 	require.Equal(t, exitUsage, exitCode(errors.New("wrong flag")))
 }
 
-// A verb that calls a node says which address is missing.
+// A command that calls a node without an address names the flag and variable that give
+// it.
 func TestMissingAddressIsNamed(t *testing.T) {
 	t.Setenv(envAdmin, "")
 	root := newRoot()
@@ -51,8 +53,8 @@
 	require.ErrorContains(t, root.Execute(), "--admin or $"+envAdmin)
 }
 
-// Symptom: the help of a verb shows the credential that the environment holds.
-// Cause: it was the default of a flag.
+// The help must not show the credential held by the environment, as it did when the
+// credential was the default of a flag.
 func TestHelpShowsNoCredential(t *testing.T) {
 	const secret = "credential-of-the-test"
 	t.Setenv(envToken, secret)
@@ -66,8 +68,8 @@
 	walk(newRoot())
 }
 
-// Symptom: a script with a misspelt verb goes on as if it had worked.
-func TestUnknownVerbsAreRefused(t *testing.T) {
+// A misspelled command must fail, so that a script that uses it does not continue.
+func TestUnknownCommandsAreRejected(t *testing.T) {
 	for _, args := range [][]string{{"job", "crate"}, {"config", "x"}, {"nonsense"}, {"vm", "x", "y"}} {
 		root := newRoot()
 		root.SetOut(io.Discard)
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -32,11 +32,11 @@
 		Example: "  rattanwall config get",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var answer admin.ConfigResponse
-			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config"), &answer); err != nil {
+			var result admin.ConfigResponse
+			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config"), &result); err != nil {
 				return err
 			}
-			return c.print(cmd, answer, nil)
+			return c.print(cmd, result, nil)
 		},
 	}
 }
@@ -62,14 +62,14 @@
 			if id == "" {
 				id = uuid.NewString()
 			}
-			var answer admin.PatchResponse
+			var result admin.PatchResponse
 			s := c.newRequest().Patch("/v1/config").Set("If-Match", strconv.Quote(strconv.FormatInt(version, 10))).
 				Set("Idempotency-Key", id).BodyJSON(patch)
-			if err := c.do(cmd.Context(), s, &answer); err != nil {
+			if err := c.do(cmd.Context(), s, &result); err != nil {
 				cmd.PrintErrln("patch id: " + id)
 				return err
 			}
-			return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+			return c.print(cmd, result, func() { cmd.Printf("version %d\n", result.Version) })
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file with the patch; - for standard input")
@@ -110,8 +110,8 @@
 			}
 			return c.print(cmd, changes, func() {
 				t := newTable(cmd.OutOrStdout(), "VERSION", "AT", "BY", "PATCH")
-				for _, ch := range changes {
-					t.row(ch.Version, time.UnixMilli(ch.AtUnixMS).UTC().Format(time.RFC3339), ch.Author, truncate(string(ch.Patch)))
+				for _, change := range changes {
+					t.row(change.Version, time.UnixMilli(change.AtUnixMS).UTC().Format(time.RFC3339), change.Author, truncate(string(change.Patch)))
 				}
 				t.flush()
 			})
@@ -119,7 +119,7 @@
 	}
 }
 
-// truncate cuts a text to fit a table.
+// truncate shortens a text to fit a table cell.
 func truncate(s string) string {
 	const limit = 100
 	if len(s) <= limit {
@@ -137,23 +137,23 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c.timeout = limit + clientTimeout
-			var answer admin.WaitResponse
+			var result admin.WaitResponse
 			q := struct {
 				Version   string `url:"version"`
 				TimeoutMS int64  `url:"timeout_ms"`
 			}{args[0], limit.Milliseconds()}
-			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config/wait").QueryStruct(q), &answer); err != nil {
+			if err := c.do(cmd.Context(), c.newRequest().Get("/v1/config/wait").QueryStruct(q), &result); err != nil {
 				return err
 			}
-			err := c.print(cmd, answer, func() {
+			err := c.print(cmd, result, func() {
 				t := newTable(cmd.OutOrStdout(), "NODE", "VERSION")
-				for node, v := range answer.Nodes {
+				for node, v := range result.Nodes {
 					t.row(node, v)
 				}
 				t.flush()
 			})
-			if err == nil && !answer.InForce {
-				cmd.PrintErrf("version %d is not in force everywhere\n", answer.Version)
+			if err == nil && !result.InForce {
+				cmd.PrintErrf("version %d is not in force everywhere\n", result.Version)
 				return errFailed
 			}
 			return err
@@ -174,23 +174,23 @@
 			if err != nil {
 				return fmt.Errorf("VERSION: give a number")
 			}
-			var answer admin.PatchResponse
+			var result admin.PatchResponse
 			s := c.newRequest().Post("/v1/config/revert").Set("Idempotency-Key", uuid.NewString()).BodyJSON(map[string]int64{"version": version})
-			if err := c.do(cmd.Context(), s, &answer); err != nil {
+			if err := c.do(cmd.Context(), s, &result); err != nil {
 				return err
 			}
-			return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+			return c.print(cmd, result, func() { cmd.Printf("version %d\n", result.Version) })
 		},
 	}
 }
 
-// newResourceCommand makes the verbs create, get, list and delete of a kind of thing that is
-// part of the configuration.
-func newResourceCommand[V any](kind, path, example string, head []string, row func(name string, v V) []any) *cobra.Command {
+// newResourceCommand returns the command with subcommands to create, get, list and
+// delete one kind of resource in the configuration.
+func newResourceCommand[V any](kind, path, example string, columns []string, row func(name string, v V) []any) *cobra.Command {
 	c := &client{}
 	cmd := &cobra.Command{Use: kind, Short: "Create, show and delete " + path}
 	c.addFlags(cmd)
-	all := func(cmd *cobra.Command) (map[string]V, error) {
+	listAll := func(cmd *cobra.Command) (map[string]V, error) {
 		var found map[string]V
 		err := c.do(cmd.Context(), c.newRequest().Get("/v1/"+path), &found)
 		return found, err
@@ -200,12 +200,12 @@
 		&cobra.Command{
 			Use: "list", Short: "List all " + path, Args: cobra.NoArgs, Example: "  rattanwall " + kind + " list",
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				found, err := all(cmd)
+				found, err := listAll(cmd)
 				if err != nil {
 					return err
 				}
 				return c.print(cmd, found, func() {
-					t := newTable(cmd.OutOrStdout(), head...)
+					t := newTable(cmd.OutOrStdout(), columns...)
 					for name, v := range found {
 						t.row(row(name, v)...)
 					}
@@ -216,7 +216,7 @@
 		&cobra.Command{
 			Use: "get NAME", Short: "Print one " + kind, Args: cobra.ExactArgs(1), Example: "  rattanwall " + kind + " get orders",
 			RunE: func(cmd *cobra.Command, args []string) error {
-				found, err := all(cmd)
+				found, err := listAll(cmd)
 				if err != nil {
 					return err
 				}
@@ -258,13 +258,14 @@
 	}
 }
 
-// sendChange makes a call that makes a version, and prints that.
+// sendChange sends a request that creates a configuration version, and prints the
+// version.
 func (c *client) sendChange(cmd *cobra.Command, s *sling.Sling) error {
-	var answer admin.PatchResponse
-	if err := c.do(cmd.Context(), s.Set("Idempotency-Key", uuid.NewString()), &answer); err != nil {
+	var result admin.PatchResponse
+	if err := c.do(cmd.Context(), s.Set("Idempotency-Key", uuid.NewString()), &result); err != nil {
 		return err
 	}
-	return c.print(cmd, answer, func() { cmd.Printf("version %d\n", answer.Version) })
+	return c.print(cmd, result, func() { cmd.Printf("version %d\n", result.Version) })
 }
 
 func newService() *cobra.Command {
--- a/internal/command/devplatform.go
+++ b/internal/command/devplatform.go
@@ -12,7 +12,8 @@
 	"github.com/rattanwall/rattanwall/platform/platformtest"
 )
 
-// newDevPlatform runs the processes of the users' platform on its stand-in.
+// newDevPlatform returns the command that runs the processes of the users' platform
+// against a stand-in of it.
 func newDevPlatform() *cobra.Command {
 	var o platformtest.DemoOptions
 	cmd := &cobra.Command{
@@ -27,9 +28,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			began := time.Now()
+			start := time.Now()
 			o.Logf = func(format string, args ...any) {
-				_, _ = fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
+				_, _ = fmt.Fprintf(os.Stderr, "%6.1f s  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 			}
 			r, err := platformtest.Demo(ctx, o)
 			if err != nil {
--- a/internal/command/edge.go
+++ b/internal/command/edge.go
@@ -46,7 +46,8 @@
 	return cmd
 }
 
-// withPort is another port at the host of address; "" for port 0.
+// withPort returns address with another port, or "" if port is 0 or address is
+// invalid.
 func withPort(address string, port int) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || port <= 0 {
@@ -55,22 +56,23 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// notifySIGHUP receives SIGHUP for the life of the process. Its default would end
-// the process, also in the middle of a planned stop, and cut off what it answers.
+// notifySIGHUP subscribes to SIGHUP for the lifetime of the process. By default the
+// signal would end the process, even during a planned stop, and cut off requests in
+// flight.
 func notifySIGHUP() <-chan os.Signal {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	return hup
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	return hangups
 }
 
-// recheckSettings checks the settings again at each SIGHUP. Addresses and bounds stay for
-// the life of a process; faults are told.
-func recheckSettings(ctx context.Context, hup <-chan os.Signal, path string, log *eventlog.Log) {
+// recheckSettings validates the settings file again at each SIGHUP and logs errors.
+// Changed addresses and limits do not take effect until the process restarts.
+func recheckSettings(ctx context.Context, hangups <-chan os.Signal, path string, log *eventlog.Log) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-hangups:
 		}
 		if _, err := platform.LoadSettings(path); err != nil {
 			log.Warn("settings_refused", err, eventlog.Fields{"file": path})
--- a/internal/command/edge_test.go
+++ b/internal/command/edge_test.go
@@ -13,17 +13,17 @@
 	"github.com/rattanwall/rattanwall/internal/eventlog"
 )
 
-// Symptom: a process under a planned stop dies at once and cuts its callers off.
-// Sequence: SIGTERM, then SIGHUP since the settings file has changed.
-// Cause: the planned stop ended the handling of SIGHUP, whose default is to kill.
-// The test's own process is the one that would die.
+// A SIGHUP, sent because the settings file changed, must not kill a process that is in
+// a planned stop and cut off its callers. It did when the planned stop ended the
+// handling of SIGHUP, because the signal kills by default. A failure kills the test
+// process itself.
 func TestHangUpDuringAPlannedStopKillsNobody(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	hup := notifySIGHUP()
+	hangups := notifySIGHUP()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		recheckSettings(ctx, hup, "no-such-file", eventlog.New(io.Discard, logrus.ErrorLevel))
+		recheckSettings(ctx, hangups, "no-such-file", eventlog.New(io.Discard, logrus.ErrorLevel))
 	}()
 	cancel()
 	<-ended
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -16,10 +16,10 @@
 	"github.com/rattanwall/rattanwall/internal/experiment"
 )
 
-// maxSeeds bounds an experiment: more tell hardly more, and take hours.
+// maxSeeds limits an experiment: more seeds take hours and hardly improve the result.
 const maxSeeds = 10_000
 
-// experimentFlags are what the experiment command is told.
+// experimentFlags holds the flags of the experiment command.
 type experimentFlags struct {
 	seeds    int
 	first    uint64
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// variants are the ones to compare, the default one first.
+// variants returns the variants to compare, the default one first.
 func (f *experimentFlags) variants() ([]experiment.Variant, error) {
 	names := f.compare
 	if f.ablate {
@@ -138,9 +138,9 @@
 func (f *experimentFlags) play(ctx context.Context, s *experiment.Scenario, variants []experiment.Variant) (experiment.Report, error) {
 	o := experiment.Options{Variants: variants, Seeds: f.seeds, First: f.first, Workers: f.workers}
 	if !f.asJSON && isTerminal(os.Stderr) {
-		o.Progress = func(done, all int) {
-			_, _ = fmt.Fprintf(os.Stderr, "\r%d of %d plays", done, all)
-			if done == all {
+		o.Progress = func(done, total int) {
+			_, _ = fmt.Fprintf(os.Stderr, "\r%d of %d plays", done, total)
+			if done == total {
 				_, _ = fmt.Fprintln(os.Stderr)
 			}
 		}
@@ -154,11 +154,11 @@
 	for i := range r.Variants {
 		v := &r.Variants[i]
 		m := &v.Means
-		mark := ""
+		significance := ""
 		if v.Clear() {
-			mark = "*"
+			significance = "*"
 		}
-		t.row(v.Name, formatShare(v.Median), formatShare(v.Low)+"-"+formatShare(v.High), fmt.Sprintf("%+.4f%s", v.Difference, mark), fmt.Sprintf("%.4f", v.Margin),
+		t.row(v.Name, formatShare(v.Median), formatShare(v.Low)+"-"+formatShare(v.High), fmt.Sprintf("%+.4f%s", v.Difference, significance), fmt.Sprintf("%.4f", v.Margin),
 			formatShare(m.Kinds["serving"]), formatShare(m.Kinds["short"]), formatShare(m.Kinds["fillers"]), formatShare(m.Largest),
 			fmt.Sprintf("%.0f", m.HarmS), fmt.Sprintf("%.1f", m.LongestHarmS), fmt.Sprintf("%.1f", m.LongestWaitS), formatShare(m.Used),
 			fmt.Sprintf("%.0f", m.NsPerDecision))
--- a/internal/command/experiment_test.go
+++ b/internal/command/experiment_test.go
@@ -12,7 +12,7 @@
 	"github.com/rattanwall/rattanwall/internal/experiment"
 )
 
-// runExperiment calls the verb and returns what it prints.
+// runExperiment runs the experiment command and returns its output.
 func runExperiment(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	root := newRoot()
@@ -23,7 +23,8 @@
 	return out.String(), err
 }
 
-// Bad input ends with an error that names the fix, exit code 2, and writes nothing.
+// Invalid input ends with exit code 2 and an error that names the fix, and writes no
+// output.
 func TestExperimentRefusesBadInput(t *testing.T) {
 	dir := t.TempDir()
 	broken := filepath.Join(dir, "broken.jsonc")
@@ -49,7 +50,9 @@
 	}
 }
 
-func TestExperimentPrintsWhatItFound(t *testing.T) {
+// A small experiment prints its variants, writes the plot and encodes the report as
+// JSON; --list names the scenarios.
+func TestExperimentOutput(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "small.jsonc")
 	raw, err := os.ReadFile("../experiment/scenarios/colocated-48.jsonc")
 	require.NoError(t, err)
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -45,11 +45,11 @@
 			if err != nil {
 				return err
 			}
-			var answer json.RawMessage
-			if err := c.do(cmd.Context(), c.newRequest().Post(p).BodyJSON(raw), &answer); err != nil {
+			var result json.RawMessage
+			if err := c.do(cmd.Context(), c.newRequest().Post(p).BodyJSON(raw), &result); err != nil {
 				return err
 			}
-			return c.print(cmd, answer, func() { cmd.Println("accepted") })
+			return c.print(cmd, result, func() { cmd.Println("accepted") })
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file; - for standard input")
@@ -116,8 +116,8 @@
 	}
 }
 
-// jobCancel makes the verb cancel, and delete, which is the same: an ended
-// job's record is dropped by itself.
+// jobCancel returns the cancel command, or its alias delete: the record of an ended
+// job is removed automatically.
 func jobCancel(c *client, path func(string) (string, error), verb string) *cobra.Command {
 	return &cobra.Command{
 		Use: verb + " ID", Short: "Cancel a job: what waits is dropped, what runs is stopped", Args: cobra.ExactArgs(1),
@@ -127,11 +127,11 @@
 			if err != nil {
 				return err
 			}
-			var answer json.RawMessage
-			if err := c.do(cmd.Context(), c.newRequest().Post(p), &answer); err != nil {
+			var result json.RawMessage
+			if err := c.do(cmd.Context(), c.newRequest().Post(p), &result); err != nil {
 				return err
 			}
-			return c.print(cmd, answer, func() { cmd.Println("cancelled") })
+			return c.print(cmd, result, func() { cmd.Println("cancelled") })
 		},
 	}
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,6 +1,6 @@
-// Package command is the command line: one file per verb. Exit codes: 0 done,
-// 1 a check or an invariant failed, 2 wrong use or refused, 3 the outcome is
-// unknown, 4 not reached or try again later.
+// Package command implements the command line, with one file per command. Exit codes:
+// 0 success, 1 a check or an invariant failed, 2 usage error or request refused, 3
+// outcome unknown, 4 not reachable or retry later.
 package command
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rattanwall/rattanwall/internal/errkind"
 )
 
-// The exit codes.
+// Exit codes of the process.
 const (
 	exitOK        = 0
 	exitFailed    = 1
@@ -23,7 +23,7 @@
 	exitRetryable = 4
 )
 
-// errFailed ends the process with exitFailed; what failed was already told.
+// errFailed ends the process with exitFailed after the failure was printed.
 var errFailed = errors.New("failed")
 
 // Main runs the command line and returns the exit code.
@@ -36,19 +36,19 @@
 	return exitCode(err)
 }
 
-// exitCode tells a program what became of its call.
+// exitCode returns the exit code for the result of a command.
 func exitCode(err error) int {
-	var kind *errkind.Error
+	var apiErr *errkind.Error
 	switch {
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errFailed):
 		return exitFailed
-	case !errors.As(err, &kind):
+	case !errors.As(err, &apiErr):
 		return exitUsage
-	case kind.Answer().Outcome == errkind.Unknown:
+	case apiErr.Answer().Outcome == errkind.Unknown:
 		return exitUnknown
-	case kind.Answer().Retryable:
+	case apiErr.Answer().Retryable:
 		return exitRetryable
 	}
 	return exitUsage
@@ -61,7 +61,8 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	// What a verb prints is its result; cobra would send it to standard error.
+	// Commands write their results to standard output; cobra's default is standard
+	// error.
 	root.SetOut(os.Stdout)
 	root.SetErr(os.Stderr)
 	root.AddCommand(newNode(), newEdge(), newDev(), newStandin(), newSettings(), newCapacity())
@@ -70,8 +71,9 @@
 	return root
 }
 
-// rejectUnknownVerbs makes commands that only have verbs of their own refuse words
-// that are none: cobra prints their help and succeeds, and a script goes on.
+// rejectUnknownVerbs makes commands that only have subcommands reject unknown
+// arguments. By default cobra prints their help and succeeds, so that a script would
+// continue.
 func rejectUnknownVerbs(cmd *cobra.Command) {
 	for _, sub := range cmd.Commands() {
 		rejectUnknownVerbs(sub)
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -54,12 +54,12 @@
 			}
 			p := hosting.New(recorder)
 			for _, address := range listen {
-				l, err := p.Listen(netio.TCP{}, address)
+				listener, err := p.Listen(netio.TCP{}, address)
 				if err != nil {
 					return err
 				}
-				defer l.Close()
-				cmd.Printf("platform at %s\n", l.Address())
+				defer listener.Close()
+				cmd.Printf("platform at %s\n", listener.Address())
 			}
 			waitForSignal(cmd.Context())
 			return nil
@@ -112,7 +112,7 @@
 	return cmd
 }
 
-// openRecorder returns a recorder that also appends to a file, if named.
+// openRecorder returns a recorder that also appends to a file, if one is named.
 func openRecorder(file string) (*record.Recorder, error) {
 	if file == "" {
 		return &record.Recorder{}, nil
@@ -124,7 +124,7 @@
 	return &record.Recorder{Sink: f}, nil
 }
 
-// registerVM puts a VM on the stand-in platform's list.
+// registerVM adds a VM to the stand-in platform's list.
 func registerVM(ctx context.Context, address string, vm model.VM) error {
 	s := sling.New().Base("http://" + address).Put("/vm").BodyJSON(vm)
 	req, err := s.Request()
--- a/internal/command/table.go
+++ b/internal/command/table.go
@@ -7,12 +7,12 @@
 	"text/tabwriter"
 )
 
-// table prints rows in columns.
+// table writes rows in aligned columns.
 type table struct{ w *tabwriter.Writer }
 
-func newTable(out io.Writer, head ...string) *table {
+func newTable(out io.Writer, columns ...string) *table {
 	t := &table{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)}
-	_, _ = fmt.Fprintln(t.w, strings.Join(head, "\t"))
+	_, _ = fmt.Fprintln(t.w, strings.Join(columns, "\t"))
 	return t
 }
 
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -47,7 +47,7 @@
 	return cmd
 }
 
-// readLogs reads the named files, or standard input if there are none.
+// readLogs reads the named log files, or standard input if none are named.
 func readLogs(in io.Reader, paths []string) ([]trace.Line, error) {
 	if len(paths) == 0 {
 		return trace.Read(in, "-")
@@ -68,45 +68,45 @@
 	return all, nil
 }
 
-func printTimeline(out io.Writer, story []trace.Line) {
+func printTimeline(out io.Writer, lines []trace.Line) {
 	t := newTable(out, "AT", "NODE", "EVENT", "")
-	for i := range story {
-		l := &story[i]
+	for i := range lines {
+		line := &lines[i]
 		var fields []string
-		for _, key := range l.Keys() {
-			fields = append(fields, fmt.Sprintf("%s=%v", key, l.Fields[key]))
+		for _, key := range line.Keys() {
+			fields = append(fields, fmt.Sprintf("%s=%v", key, line.Fields[key]))
 		}
-		if l.Fence != 0 {
-			fields = append(fields, "run_fence="+strconv.FormatInt(l.Fence, 10))
+		if line.Fence != 0 {
+			fields = append(fields, "run_fence="+strconv.FormatInt(line.Fence, 10))
 		}
-		if l.Leader != "" {
-			fields = append(fields, "run_leader="+l.Leader)
+		if line.Leader != "" {
+			fields = append(fields, "run_leader="+line.Leader)
 		}
-		t.row(fmt.Sprintf("+%.3f s", l.Time.Sub(story[0].Time).Seconds()), l.Node, l.Event, strings.Join(fields, " "))
+		t.row(fmt.Sprintf("+%.3f s", line.Time.Sub(lines[0].Time).Seconds()), line.Node, line.Event, strings.Join(fields, " "))
 	}
 	t.flush()
 }
 
-// printRepeatedRuns prints the runs of the tasks that ran more than once.
-func printRepeatedRuns(out io.Writer, story []trace.Line) {
-	runs := trace.TwiceRuns(story)
+// printRepeatedRuns prints all runs of tasks that ran more than once.
+func printRepeatedRuns(out io.Writer, lines []trace.Line) {
+	runs := trace.TwiceRuns(lines)
 	if len(runs) == 0 {
 		return
 	}
-	since := func(at time.Time) string { return fmt.Sprintf("+%.3f s", at.Sub(story[0].Time).Seconds()) }
+	sinceStart := func(at time.Time) string { return fmt.Sprintf("+%.3f s", at.Sub(lines[0].Time).Seconds()) }
 	_, _ = fmt.Fprintln(out, "\nRan more than once:")
 	t := newTable(out, "TASK", "RUN", "FENCE", "LEADER", "VM", "STARTED", "WHAT WAS TOLD")
 	for i := range runs {
 		r := &runs[i]
 		started := "?"
 		if !r.Started.IsZero() {
-			started = since(r.Started)
+			started = sinceStart(r.Started)
 		}
-		var told []string
+		var outcomes []string
 		for _, o := range r.Outcomes {
-			told = append(told, strings.TrimSpace(fmt.Sprintf("%s %s %s %s", since(o.Time), o.Node, o.Event, o.Reason)))
+			outcomes = append(outcomes, strings.TrimSpace(fmt.Sprintf("%s %s %s %s", sinceStart(o.Time), o.Node, o.Event, o.Reason)))
 		}
-		t.row(r.Task, strconv.FormatInt(r.Number, 10), strconv.FormatInt(r.Fence, 10), r.Leader, r.VM, started, strings.Join(told, "; "))
+		t.row(r.Task, strconv.FormatInt(r.Number, 10), strconv.FormatInt(r.Fence, 10), r.Leader, r.VM, started, strings.Join(outcomes, "; "))
 	}
 	t.flush()
 }
