--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -90,8 +90,9 @@
 	return result, result.checkSize()
 }
 
-// checkSize rejects a head that is larger than half of the store's limit. The other
-// half leaves room for a patch that reduces the size.
+// checkSize rejects a head that is larger than half of the store's limit, so that a
+// head that has reached this limit can still be stored with another patch that reduces
+// its size.
 func (h Head) checkSize() error {
 	raw, err := json.Marshal(h)
 	if err != nil {
