--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,13 +1,13 @@
 // Package hop sends one HTTP request to the next process, a peer or a target,
-// and always knows afterwards whether that process can have run it.
+// and determines after a failure whether that process can have run it.
 //
-// What goes wrong without it: a connection that has gone silent, or is reset,
-// swallows a request; the sender cannot tell a request that was never seen from
-// one whose answer was lost, and either repeats a booking or refuses one that
-// ran. A guarded request therefore holds its body back until the other side
-// says "100 Continue" on that very connection. Until then the other side has
-// only headers, and a body that never arrives is never executed; so giving up
-// before the body is released proves that the request did not run.
+// When a connection stops responding or is reset, the sender cannot distinguish
+// a request that was never received from one whose answer was lost. It would
+// then repeat a booking that ran, or report one that ran as failed. A guarded
+// request therefore withholds its body until the other side responds with
+// "100 Continue" on the same connection. Until then the other side has only the
+// headers, and a request without its body is never executed, so a request that
+// is abandoned before its body is released did not run.
 package hop
 
 import (
@@ -25,13 +25,13 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// Error is a failed exchange.
+// Error describes a failed exchange.
 type Error struct {
-	// NotRun is set when the other side certainly did not run the request.
+	// NotRun is set when the other side cannot have run the request.
 	NotRun bool
-	// Connected is set when a connection was had.
+	// Connected is set when a connection was established.
 	Connected bool
-	// Unresponsive is set when the other side gave no sign of life on an open connection.
+	// Unresponsive is set when the other side did not respond on an open connection.
 	Unresponsive bool
 	cause        error
 }
@@ -43,53 +43,56 @@
 func (e *Error) Unwrap() error { return e.cause }
 
 var (
-	// errAbandoned ends a body that was given up before it was released.
-	errAbandoned = errors.New("request given up before its body was sent")
-	// errUnresponsive is the cause when no "100 Continue" came in time.
-	errUnresponsive = errors.New("no sign of life on the connection")
+	// errAbandoned is the read error of a body whose request was abandoned before
+	// the body was released.
+	errAbandoned = errors.New("request abandoned before its body was sent")
+	// errUnresponsive cancels a request whose connection did not respond in time.
+	errUnresponsive = errors.New("no response on the connection")
 )
 
-// Options of a Client. Zero fields take the defaults below.
+// Options configures a Client. Zero fields take the defaults below.
 type Options struct {
-	// MaxConnections bounds the connections open to one address, idle ones and
-	// those being dialled included. Zero sets no bound.
+	// MaxConnections bounds the connections open to one address, including idle
+	// ones and those being dialled. Zero sets no bound.
 	MaxConnections int
-	// Network connects; TCP if not set.
+	// Network dials the connections; TCP if nil.
 	Network netio.Network
-	// IdleTimeout closes a connection unused for so long; default 5 s. Short,
-	// because a connection may go silent while nobody uses it.
+	// IdleTimeout closes a connection that was unused for this long; default 5 s.
+	// It is short because an idle connection may break without notice.
 	IdleTimeout time.Duration
 }
 
-// SendPolicy says how a request deals with a connection that shows no sign of life.
+// SendPolicy controls when a request on an unresponsive connection is abandoned.
 type SendPolicy struct {
-	// Guarded holds the body back until the other side says "100 Continue".
+	// Guarded withholds the body until the other side responds with "100 Continue".
 	Guarded bool
-	// Timeout is how long to wait for that, or, on a reused connection, for the
-	// answer to a request that is not guarded. Zero waits as long as the request.
+	// Timeout bounds the wait for "100 Continue" or, for an unguarded request on a
+	// reused connection, for the answer. Zero means no bound but the request's context.
 	Timeout time.Duration
-	// MayAbandon, if set, is asked before an unguarded request is given up.
+	// MayAbandon, if set, decides whether an unguarded request that timed out is
+	// abandoned.
 	MayAbandon func() bool
 }
 
 const (
 	defaultIdleTimeout = 5 * time.Second
-	// dialTimeout is short: all hops are within a few milliseconds, and what could
-	// not be connected to is tried elsewhere.
+	// dialTimeout is short: all hops are within a few milliseconds, and a request
+	// that could not connect is tried elsewhere.
 	dialTimeout = 300 * time.Millisecond
-	// effectivelyNever keeps the HTTP library from sending a guarded body by itself.
+	// effectivelyNever keeps the HTTP library from sending a guarded body without
+	// "100 Continue".
 	effectivelyNever = 365 * 24 * time.Hour
-	// connBufferSize is the size of the library's buffers for a connection.
+	// connBufferSize is the size of the HTTP library's buffers of a connection.
 	connBufferSize = 8 << 10
 )
 
-// Client sends requests to one or more addresses. Its connections are its own.
+// Client sends requests to one or more addresses over its own connection pool.
 type Client struct {
 	transport *http.Transport
 	open      atomic.Int64
 }
 
-// NewClient returns a client with options o.
+// NewClient returns a client without open connections.
 func NewClient(o Options) *Client {
 	c := &Client{}
 	if o.Network == nil {
@@ -120,13 +123,13 @@
 	return c
 }
 
-// Open returns the number of connections open now.
+// Open returns the number of open connections.
 func (c *Client) Open() int64 { return c.open.Load() }
 
 // CloseIdle closes the connections that carry no request.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// countedConn counts itself out when closed.
+// countedConn decrements the count of open connections when it is closed.
 type countedConn struct {
 	net.Conn
 	open   *atomic.Int64
@@ -141,20 +144,20 @@
 	return c.Conn.Close()
 }
 
-// The states of a gate. It leaves gateHeld once, to one of the other two.
+// The states of a gatedBody. It leaves gateHeld once, for one of the other two.
 const (
 	gateHeld int32 = iota
 	gateReleased
 	gateAbandoned
 )
 
-// gatedBody is a body that can be given up as long as no byte was asked of it.
+// gatedBody is a request body that can be abandoned until its first read.
 type gatedBody struct {
 	io.Reader
 	state atomic.Int32
 }
 
-// Read releases the body, unless it was abandoned first.
+// Read releases the body, unless it was abandoned before.
 func (g *gatedBody) Read(b []byte) (int, error) {
 	if g.state.Load() != gateReleased && !g.state.CompareAndSwap(gateHeld, gateReleased) {
 		return 0, errAbandoned
@@ -162,28 +165,29 @@
 	return g.Reader.Read(b)
 }
 
-// Close implements io.Closer; the body belongs to whoever made the request.
+// Close implements io.Closer. It does nothing: the body belongs to the caller of Do.
 func (g *gatedBody) Close() error { return nil }
 
-// abandon reports whether the body was never asked for, and never will be.
+// abandon prevents the body from being read. It reports false when a read has
+// already released it.
 func (g *gatedBody) abandon() bool {
 	return g.state.CompareAndSwap(gateHeld, gateAbandoned) || g.state.Load() == gateAbandoned
 }
 
-// emptyBody is a body of no bytes that is not http.NoBody. The HTTP library
-// repeats a request without a body by itself when a reused connection breaks;
-// with this body it does not, and the repeat stays our decision, counted and
-// under the retry budget.
+// emptyBody is an empty body that differs from http.NoBody. The HTTP library
+// repeats a request without a body on its own when a reused connection breaks;
+// with this body it does not, so that every repeat is counted and subject to the
+// retry budget.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// Do sends r and returns the answer's head. An error is an *Error. The answer's
-// body must be read to its end or closed.
+// Do sends r and returns the response with an unread body, which must be read to
+// its end or closed. Errors are of type *Error.
 //
-// The body of a guarded request is read only once the other side has shown that
-// it is there, so after an error with NotRun it may be sent elsewhere.
+// The body of a guarded request is read only after the other side has responded,
+// so after an error with NotRun it can be sent elsewhere.
 func (c *Client) Do(r *http.Request, p SendPolicy) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	watch := &responseWatch{policy: p, cancel: cancel}
@@ -193,20 +197,20 @@
 	resp, err := c.transport.RoundTrip(out)
 	watch.stop()
 	if err != nil {
-		silent := errors.Is(context.Cause(ctx), errUnresponsive)
+		unresponsive := errors.Is(context.Cause(ctx), errUnresponsive)
 		notRun := watch.notRun()
 		cancel(nil)
-		if silent {
-			// What swallowed this connection's bytes may have lost the others too.
+		if unresponsive {
+			// The fault may affect the idle connections too.
 			c.CloseIdle()
 		}
-		return nil, &Error{NotRun: notRun, Connected: watch.connected.Load(), Unresponsive: silent, cause: err}
+		return nil, &Error{NotRun: notRun, Connected: watch.connected.Load(), Unresponsive: unresponsive, cause: err}
 	}
 	resp.Body = &cancelBody{ReadCloser: resp.Body, cancel: func() { cancel(nil) }}
 	return resp, nil
 }
 
-// responseWatch gives a request up when its connection shows no sign of life.
+// responseWatch cancels a request whose connection does not respond in time.
 type responseWatch struct {
 	policy    SendPolicy
 	cancel    context.CancelCauseFunc
@@ -218,7 +222,7 @@
 	timer   *time.Timer
 }
 
-// prepareBody gives out the body that the watch needs.
+// prepareBody replaces the body of out by the one that the policy needs.
 func (w *responseWatch) prepareBody(out *http.Request) {
 	if !w.policy.Guarded {
 		if out.Body == nil || out.Body == http.NoBody {
@@ -232,15 +236,15 @@
 	}
 	out.Body = w.gate
 	if out.ContentLength <= 0 {
-		// Named here so that the library does not read ahead to find the length.
+		// Set here so that the library does not read ahead to determine the length.
 		out.ContentLength, out.TransferEncoding = -1, []string{"chunked"}
 	}
 	out.Header.Set("Expect", "100-continue")
 }
 
-// gotConn starts the clock: waiting for a free connection is not silence, and
-// an unguarded request is timed only on a connection that was used before,
-// since it is open ones that go silent.
+// gotConn starts the timeout, which excludes the wait for a free connection. An
+// unguarded request is timed only on a reused connection: a new one has just
+// proved to work.
 func (w *responseWatch) gotConn(info httptrace.GotConnInfo) {
 	w.connected.Store(true)
 	if w.policy.Timeout <= 0 || w.gate == nil && !info.Reused {
@@ -276,8 +280,8 @@
 	}
 }
 
-// notRun reports, after a failure, whether the other side cannot have run the
-// request, and makes sure of it.
+// notRun reports after a failure whether the other side cannot have run the
+// request. It prevents a guarded body that was not read yet from being sent.
 func (w *responseWatch) notRun() bool {
 	if w.gate != nil {
 		return w.gate.abandon()
@@ -285,7 +289,7 @@
 	return !w.connected.Load()
 }
 
-// cancelBody frees the request's context when its answer is closed.
+// cancelBody releases the request's context when the response body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel func()
@@ -298,9 +302,9 @@
 	return err
 }
 
-// Bounded reports whether the end of the answer's body can be told from a
-// cut-off: it has a length, is chunked, or has no body at all. An answer that
-// is ended by closing the connection is not bounded.
+// Bounded reports whether the end of the response body can be distinguished from
+// a truncation: the body has a length, is chunked, or is absent. A body that ends
+// with the connection is not bounded.
 func Bounded(resp *http.Response) bool {
 	if resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 {
 		return true
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,11 +1,10 @@
-// Package ledger keeps, for one VM, what it holds and decides what more it may
-// be given: requests by slots and connections, tasks by processors, memory and
-// accelerators. It is pure: time comes in as a parameter and nothing is sent.
+// Package ledger records the resources in use on one VM and decides what else
+// the VM may be given: requests by slots and connections, tasks by processors,
+// memory and accelerators. It has no side effects; the time is a parameter.
 //
-// What goes wrong without it: a request or start whose answer was lost is
-// counted as over while the VM still runs it, and the VM is given more than it
-// holds. A ledger therefore frees what is uncertain only on the word of the
-// VM's own list, taken after the uncertainty arose.
+// A request or start whose answer was lost may still run on the VM. Counting it
+// as ended would overload the VM. A ledger therefore frees an uncertain
+// allocation only by the VM's own list, requested after it became uncertain.
 package ledger
 
 import (
@@ -14,8 +13,8 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Shares of a VM that a class may take at most, so that the classes shed first
-// cannot crowd out quick requests.
+// Maximum shares of a VM that a class or service may take, so that the classes
+// that are shed first leave capacity for quick requests.
 const (
 	heavyShareNumerator      = 3
 	heavyShareDenominator    = 4
@@ -23,15 +22,15 @@
 	standingShareDenominator = 4
 	serviceShareNumerator    = 3
 	serviceShareDenominator  = 4
-	// connectionHeadroom stays unused, since a connection that we closed may
-	// count at the target for a moment longer.
+	// connectionHeadroom connections stay unused, because the target may still
+	// count a connection for a short time after this node closed it.
 	connectionHeadroom = 4
 )
 
-// Decision says whether something was admitted, and if not, why.
+// Decision is the result of an admission check: Admitted or the reason of the refusal.
 type Decision string
 
-// The verdicts.
+// The decisions.
 const (
 	Admitted              Decision = "admitted"
 	NotReady              Decision = "not ready: the VM's own list was not read yet"
@@ -44,39 +43,39 @@
 	AlreadyHeld           Decision = "already held"
 )
 
-// allocation is one thing that the VM holds.
+// allocation is what one request, task or reservation takes of the VM.
 type allocation struct {
 	class     model.Class // empty for a task
-	service   string      // of a request
+	service   string      // empty for a task
 	resources model.Resources
-	// uncertainSince is when we lost track of a request; zero while we have it.
+	// uncertainSince is when the outcome of a request became unknown; zero if it did not.
 	uncertainSince time.Time
-	// expires ends a reservation that was not used; zero for none.
+	// expires is when an unconfirmed reservation ends; zero for other allocations.
 	expires time.Time
 }
 
-// Ledger of one VM. The zero value is not usable; call New.
+// Ledger holds the allocations of one VM. The zero value is not usable; call New.
 type Ledger struct {
 	capacity model.Resources
 	reserve  model.Resources
 	used     model.Resources
 	byClass  map[model.Class]int64
-	// byService counts the slots that each service's requests hold.
+	// byService counts the slots that the requests of each service take.
 	byService   map[string]int64
 	allocations map[string]allocation
 	ready       bool
 	leaving     bool
-	// foreignConnections are open at the target but not ours.
+	// foreignConnections counts the connections at the target that this node did not open.
 	foreignConnections int64
 }
 
-// New returns a ledger that admits nothing until Rebuild was called.
-// reserve is kept free of tasks for the VM's services.
+// New returns a ledger that admits nothing until Observe is called.
+// Tasks do not get the resources in reserve, which are for the VM's services.
 func New(capacity, reserve model.Resources) *Ledger {
 	return &Ledger{capacity: capacity, reserve: reserve, byClass: map[model.Class]int64{}, byService: map[string]int64{}, allocations: map[string]allocation{}}
 }
 
-// RequestResources is what a request of a class takes.
+// RequestResources returns what a request of a class takes.
 func RequestResources(class model.Class) model.Resources {
 	if class == model.Standing {
 		return model.Resources{Connections: 1}
@@ -84,38 +83,38 @@
 	return model.Resources{Slots: 1, Connections: 1}
 }
 
-// Ready reports whether the VM's own list was read.
+// Ready reports whether Observe was called.
 func (l *Ledger) Ready() bool { return l.ready }
 
-// SetLeaving sets whether the VM may be given new work.
+// SetLeaving sets whether the VM is leaving and is given no new work.
 func (l *Ledger) SetLeaving(leaving bool) { l.leaving = leaving }
 
-// SetReserve changes what is kept free of tasks.
+// SetReserve changes the resources that tasks do not get.
 func (l *Ledger) SetReserve(reserve model.Resources) { l.reserve = reserve }
 
-// RequestSpec is a request that wants a place.
+// RequestSpec describes a request for admission.
 type RequestSpec struct {
 	Service string
 	Class   model.Class
-	// Shared is set when other services use the VM too: the service then gets
-	// only its share of the slots, so that one that is slow leaves some to others.
+	// Shared is set when other services use the VM too. The service then gets
+	// only its share of the slots, so that a slow service leaves some to others.
 	Shared bool
 }
 
-// AdmitRequest takes a slot and a connection, as the class needs, under id.
-func (l *Ledger) AdmitRequest(id string, a RequestSpec) Decision {
-	if v := l.MayRequest(a); v != Admitted {
-		return v
+// AdmitRequest allocates what the request's class needs under id.
+func (l *Ledger) AdmitRequest(id string, spec RequestSpec) Decision {
+	if d := l.MayRequest(spec); d != Admitted {
+		return d
 	}
-	return l.add(id, allocation{class: a.Class, service: a.Service, resources: RequestResources(a.Class)})
+	return l.add(id, allocation{class: spec.Class, service: spec.Service, resources: RequestResources(spec.Class)})
 }
 
-// MayRequest decides without taking anything.
-func (l *Ledger) MayRequest(a RequestSpec) Decision {
-	if a.Shared && a.Class != model.Standing && l.byService[a.Service] >= l.capacity.Slots*serviceShareNumerator/serviceShareDenominator {
+// MayRequest decides whether a request would be admitted, without allocating.
+func (l *Ledger) MayRequest(spec RequestSpec) Decision {
+	if spec.Shared && spec.Class != model.Standing && l.byService[spec.Service] >= l.capacity.Slots*serviceShareNumerator/serviceShareDenominator {
 		return ServiceLimit
 	}
-	return l.checkClass(a.Class)
+	return l.checkClass(spec.Class)
 }
 
 func (l *Ledger) checkClass(class model.Class) Decision {
@@ -139,7 +138,7 @@
 	return Admitted
 }
 
-// FreeRequests returns how many requests of a class could be admitted now.
+// FreeRequests returns how many more requests of a class could be admitted.
 func (l *Ledger) FreeRequests(class model.Class) int64 {
 	if l.checkClass(class) != Admitted {
 		return 0
@@ -155,16 +154,16 @@
 	return min(n, free.Slots)
 }
 
-// Reserve takes resources for a task under id until expires, when the
-// reservation ends by itself unless Keep was called.
+// Reserve allocates resources for a task under id. The reservation ends at
+// expires unless Confirm is called before.
 func (l *Ledger) Reserve(id string, r model.Resources, expires time.Time) Decision {
-	if v := l.MayPlace(r); v != Admitted {
-		return v
+	if d := l.MayPlace(r); d != Admitted {
+		return d
 	}
 	return l.add(id, allocation{resources: r, expires: expires})
 }
 
-// MayPlace decides whether a task would fit, without taking anything.
+// MayPlace decides whether a task would fit, without allocating.
 func (l *Ledger) MayPlace(r model.Resources) Decision {
 	switch {
 	case !l.ready:
@@ -177,79 +176,79 @@
 	return Admitted
 }
 
-// FreeForTasks returns what tasks may still take.
+// FreeForTasks returns the resources that tasks may still take.
 func (l *Ledger) FreeForTasks() model.Resources {
 	free := l.free().Sub(l.reserve)
 	free.Slots, free.Connections = 0, 0
 	return free
 }
 
-// Confirm turns a reservation into a hold; it reports false when the reservation
-// is not there, and the task must then not be started.
+// Confirm makes a reservation permanent. It reports false when the reservation
+// does not exist; the task must not be started then.
 func (l *Ledger) Confirm(id string) bool {
-	h, ok := l.allocations[id]
+	a, ok := l.allocations[id]
 	if !ok {
 		return false
 	}
-	h.expires = time.Time{}
-	l.allocations[id] = h
+	a.expires = time.Time{}
+	l.allocations[id] = a
 	return true
 }
 
-// Release frees id; it does nothing when id is not held.
+// Release frees the allocation id, if it exists.
 func (l *Ledger) Release(id string) {
-	h, ok := l.allocations[id]
+	a, ok := l.allocations[id]
 	if !ok {
 		return
 	}
 	delete(l.allocations, id)
-	l.used = l.used.Sub(h.resources)
-	l.countRequest(h, -1)
+	l.used = l.used.Sub(a.resources)
+	l.countRequest(a, -1)
 }
 
-// MarkUncertain keeps a request's slot taken although we gave it up at now: the
+// MarkUncertain keeps a request that was abandoned at now allocated, because the
 // target may still be executing it.
 func (l *Ledger) MarkUncertain(id string, now time.Time) {
-	if h, ok := l.allocations[id]; ok {
-		h.uncertainSince = now
-		l.allocations[id] = h
+	if a, ok := l.allocations[id]; ok {
+		a.uncertainSince = now
+		l.allocations[id] = a
 	}
 }
 
-// Uncertain reports whether any request's slot waits for the VM's word.
+// Uncertain reports whether any allocation waits for an observation of the VM.
 func (l *Ledger) Uncertain() bool {
-	for _, h := range l.allocations {
-		if !h.uncertainSince.IsZero() {
+	for _, a := range l.allocations {
+		if !a.uncertainSince.IsZero() {
 			return true
 		}
 	}
 	return l.foreignConnections > 0
 }
 
-// ExpireReservations ends the reservations that were not used by now.
+// ExpireReservations releases the reservations that expired before now.
 func (l *Ledger) ExpireReservations(now time.Time) {
-	for id, h := range l.allocations {
-		if !h.expires.IsZero() && now.After(h.expires) {
+	for id, a := range l.allocations {
+		if !a.expires.IsZero() && now.After(a.expires) {
 			l.Release(id)
 		}
 	}
 }
 
-// Observation is the VM's own word.
+// Observation is the VM's own list of what it runs.
 type Observation struct {
-	// AskedAt is when the list was asked for, by the asker's clock. What became
-	// uncertain later is not settled by it.
+	// AskedAt is when this node requested the list, by its own clock. Allocations
+	// that became uncertain later are not resolved by it.
 	AskedAt time.Time
-	// Tasks maps the running attempts to what they take.
+	// Tasks maps the running attempts to the resources that they take.
 	Tasks map[string]model.Resources
-	// InFlight are the hop ids executing at the target.
+	// InFlight lists the hop IDs of the requests executing at the target.
 	InFlight []string
-	// ForeignConnections are open at the target and not this node's.
+	// ForeignConnections counts the connections at the target that this node did not open.
 	ForeignConnections int64
 }
 
-// Observe settles what is uncertain by the VM's own list, takes up what the VM
-// holds and we did not know, and makes the ledger ready.
+// Observe resolves uncertain allocations by the VM's own list, adds the tasks and
+// requests that the ledger lacks, and makes the ledger ready.
 func (l *Ledger) Observe(o Observation) {
 	for id, r := range o.Tasks {
 		if _, ok := l.allocations[id]; !ok {
@@ -260,13 +259,13 @@
 	for _, id := range o.InFlight {
 		executing[id] = true
 		if _, ok := l.allocations[id]; !ok {
-			// A request of an earlier owner.
-			h := allocation{class: model.Quick, resources: RequestResources(model.Quick), uncertainSince: o.AskedAt}
-			l.add(id, h)
+			// A request that an earlier owner of the VM sent.
+			a := allocation{class: model.Quick, resources: RequestResources(model.Quick), uncertainSince: o.AskedAt}
+			l.add(id, a)
 		}
 	}
-	for id, h := range l.allocations {
-		if !h.uncertainSince.IsZero() && h.uncertainSince.Before(o.AskedAt) && !executing[id] {
+	for id, a := range l.allocations {
+		if !a.uncertainSince.IsZero() && a.uncertainSince.Before(o.AskedAt) && !executing[id] {
 			l.Release(id)
 		}
 	}
@@ -274,13 +273,13 @@
 	l.ready = true
 }
 
-// Used returns what is held now, reservations included.
+// Used returns the sum of all allocations, including reservations.
 func (l *Ledger) Used() model.Resources { return l.used }
 
-// Capacity returns what the VM can hold.
+// Capacity returns the total resources of the VM.
 func (l *Ledger) Capacity() model.Resources { return l.capacity }
 
-// HeldCount returns the number of things held.
+// HeldCount returns the number of allocations, including reservations.
 func (l *Ledger) HeldCount() int { return len(l.allocations) }
 
 func (l *Ledger) free() model.Resources {
@@ -289,31 +288,32 @@
 	return free
 }
 
-func (l *Ledger) add(id string, h allocation) Decision {
+func (l *Ledger) add(id string, a allocation) Decision {
 	if _, ok := l.allocations[id]; ok {
 		return AlreadyHeld
 	}
-	l.allocations[id] = h
-	l.used = l.used.Add(h.resources)
-	l.countRequest(h, 1)
+	l.allocations[id] = a
+	l.used = l.used.Add(a.resources)
+	l.countRequest(a, 1)
 	return Admitted
 }
 
-// countRequest keeps the counts by class and service; tasks have neither.
-func (l *Ledger) countRequest(h allocation, n int64) {
-	if h.class == "" {
+// countRequest adds n requests like a to the counts by class and service. Tasks
+// are not counted.
+func (l *Ledger) countRequest(a allocation, n int64) {
+	if a.class == "" {
 		return
 	}
-	l.byClass[h.class] += n
-	if l.byService[h.service] += n * h.resources.Slots; l.byService[h.service] == 0 {
-		delete(l.byService, h.service)
+	l.byClass[a.class] += n
+	if l.byService[a.service] += n * a.resources.Slots; l.byService[a.service] == 0 {
+		delete(l.byService, a.service)
 	}
 }
 
-// HeldBy returns what id holds, nothing if it is not held.
+// HeldBy returns the resources allocated under id, zero if there are none.
 func (l *Ledger) HeldBy(id string) model.Resources { return l.allocations[id].resources }
 
-// IsHeld reports whether id is held, as a reservation or for good.
+// IsHeld reports whether there is an allocation or a reservation under id.
 func (l *Ledger) IsHeld(id string) bool {
 	_, ok := l.allocations[id]
 	return ok
