--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -9,13 +9,13 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// NodeAddress is where one node serves.
+// NodeAddress holds the addresses that a node serves callers and administrators at.
 type NodeAddress struct {
 	Name, Callers, Admin string
 }
 
-// Balancer is a small stand-in for the platform's: it probes each node's
-// readiness and hands out the ready ones in turn.
+// Balancer is a simple substitute for the platform's load balancer. It probes the
+// readiness of each node and returns the ready ones round robin.
 type Balancer struct {
 	client *http.Client
 
@@ -51,7 +51,7 @@
 	b.nodes = append(b.nodes, n)
 }
 
-// All returns all nodes.
+// All returns all nodes, ready or not.
 func (b *Balancer) All() []NodeAddress {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	return NodeAddress{}, false
 }
 
-// Ready returns how many nodes are ready.
+// Ready returns the number of ready nodes.
 func (b *Balancer) Ready() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +84,7 @@
 	return n
 }
 
-// Run probes until ctx ends.
+// Run probes the nodes until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
 	defer b.client.CloseIdleConnections()
 	ticker := time.NewTicker(probeInterval)
@@ -119,8 +119,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, cur := range b.nodes {
-		if cur == n {
+	for _, current := range b.nodes {
+		if current == n {
 			b.ready[n.Name] = ok
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load is the load and experiment tool: callers that send quick and
-// heavy requests and hold watches, teams that submit jobs, and operators that
-// patch the configuration, all through a small stand-in for the platform's
-// balancer. What each caller sent and was told goes into the record.
+// Package load generates load for tests and experiments: callers that send quick
+// and heavy requests and keep watches open, teams that submit jobs, and operators
+// that patch the configuration, all through a simple substitute for the platform's
+// load balancer. It records what each caller sent and received.
 package load
 
 import (
@@ -30,32 +30,35 @@
 	"github.com/rattanwall/rattanwall/internal/standin/worker"
 )
 
-// Options of a Generator.
+// Options configures a Generator.
 type Options struct {
 	Recorder *record.Recorder
 	Balancer *Balancer
 	Network  netio.Network
 	Service  string
-	// Team and Token are who sends requests, BatchTeam and BatchToken who submits jobs.
+	// Team and Token are the credentials for requests, BatchTeam and BatchToken those
+	// for jobs.
 	Team, Token           string
 	BatchTeam, BatchToken string
-	// OperatorToken patches the configuration.
+	// OperatorToken authorizes configuration patches.
 	OperatorToken string
-	// QuickRate and HeavyRate are requests a second; Watches are held at once.
+	// QuickRate and HeavyRate are in requests per second; Watches is the number of
+	// concurrent watches.
 	QuickRate, HeavyRate float64
 	Watches              int
-	// JobEvery is the time between jobs of JobTasks tasks.
+	// JobEvery is the interval between jobs of JobTasks tasks.
 	JobEvery time.Duration
 	JobTasks int
-	// PatchEvery is the time between patches.
+	// PatchEvery is the interval between configuration patches.
 	PatchEvery time.Duration
-	// OversizeEvery is the time between requests whose body turns out too large
-	// only on the way: they must be told not run, and not run.
+	// OversizeEvery is the interval between requests whose body is detected as too
+	// large only while it is transferred. They must get the outcome not-run and must
+	// not run.
 	OversizeEvery time.Duration
 	Seed          uint64
 }
 
-// Generator makes load until its context ends.
+// Generator generates load and collects statistics.
 type Generator struct {
 	Options
 	client *http.Client
@@ -75,28 +78,28 @@
 	unknown int64
 }
 
-// WatchStats tells of the standing watches.
+// WatchStats holds statistics of the standing watches.
 type WatchStats struct {
 	Events  int64 `json:"events"`
 	Resumed int64 `json:"resumed"`
-	// Gaps counts events that were missed or repeated.
+	// Gaps counts the breaks in the sequence of events, by missed or repeated ones.
 	Gaps int64 `json:"gaps"`
 }
 
 const (
-	// maxLatencyUS is the largest latency kept, in microseconds.
+	// maxLatencyUS is the largest recorded latency, in microseconds.
 	maxLatencyUS = 60_000_000
 	quickWorkMS  = 3
 	heavyWorkMS  = 200
 	answerBytes  = 600
-	// idleConnections of the callers to each node.
+	// idleConnections is the number of idle connections kept to each node.
 	idleConnections = 256
-	// writeShare of the quick requests are not idempotent.
+	// writeShare is the share of quick requests that are not idempotent.
 	writeShare      = 0.3
 	watchIntervalMS = 200
 )
 
-// New returns a generator.
+// New returns a generator that starts with Run.
 func New(o Options) *Generator {
 	return &Generator{
 		Options: o, stats: map[model.Class]*classStats{},
@@ -105,10 +108,10 @@
 	}
 }
 
-// Close drops the callers' idle connections.
+// Close closes the callers' idle connections.
 func (g *Generator) Close() { g.client.CloseIdleConnections() }
 
-// Run makes load until ctx ends, then waits for what is under way.
+// Run generates load until ctx ends, then waits for the requests in flight.
 func (g *Generator) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	spawn := func(f func(context.Context)) {
@@ -129,7 +132,7 @@
 	wg.Wait()
 }
 
-// stream sends requests at a rate, whether or not earlier ones were answered.
+// stream sends requests at a fixed rate without waiting for the answers.
 func (g *Generator) stream(ctx context.Context, wg *sync.WaitGroup, rate float64, class model.Class) {
 	if rate <= 0 {
 		return
@@ -150,7 +153,7 @@
 	}
 }
 
-// Burst sends n requests of a class at once and waits for their answers.
+// Burst sends n concurrent requests of a class and waits for their answers.
 func (g *Generator) Burst(ctx context.Context, class model.Class, n int) {
 	var wg sync.WaitGroup
 	for range n {
@@ -163,14 +166,15 @@
 	wg.Wait()
 }
 
-func (g *Generator) nextRequestID() (id string, float float64) {
+// nextRequestID returns a new request ID and a random number in [0, 1).
+func (g *Generator) nextRequestID() (id string, random float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.next++
 	return fmt.Sprintf("r%d-%x", g.next, g.Seed), g.rng.Float64()
 }
 
-// Send sends one request and records what the caller was told.
+// Send sends one request and records the answer.
 func (g *Generator) Send(ctx context.Context, class model.Class) {
 	node, ok := g.Balancer.Pick()
 	if !ok {
@@ -189,7 +193,7 @@
 	g.send(ctx, request{node: node, id: id, class: class, work: work, method: method, body: body, idempotent: idempotent})
 }
 
-// request is one request about to be sent.
+// request is a request to send.
 type request struct {
 	node       NodeAddress
 	id         string
@@ -200,8 +204,8 @@
 	idempotent bool
 }
 
-// sendOversize sends bodies without a length that are larger than the service
-// takes.
+// sendOversize sends bodies without a declared length that exceed the service's
+// limit.
 func (g *Generator) sendOversize(ctx context.Context) {
 	if g.OversizeEvery <= 0 {
 		return
@@ -224,7 +228,7 @@
 	}
 }
 
-// send sends a request and records what the caller was told.
+// send sends a request and records it and its answer.
 func (g *Generator) send(ctx context.Context, r request) {
 	url := fmt.Sprintf("http://%s/svc/%s/work?ms=%d&size=%d", r.node.Callers, g.Service, r.work, answerBytes)
 	req, err := http.NewRequestWithContext(ctx, r.method, url, r.body)
@@ -247,7 +251,7 @@
 	req.Header.Set(route.HeaderClass, string(class))
 }
 
-// exchange sends a request and judges the answer as a caller can.
+// exchange sends a request and returns the outcome as the caller can determine it.
 func (g *Generator) exchange(req *http.Request, id string) record.Event {
 	resp, err := g.client.Do(req)
 	if err != nil {
@@ -260,7 +264,7 @@
 		return e
 	}
 	if err != nil {
-		// The cut is there for the caller to see.
+		// The truncation is visible to the caller.
 		e.Outcome, e.Reason = string(errkind.Unknown), checker.ReasonCut
 		return e
 	}
@@ -269,7 +273,7 @@
 	return e
 }
 
-// failureReason tells a connection that was never made from one that broke.
+// failureReason distinguishes a connection that failed to open from one that broke.
 func failureReason(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -297,7 +301,7 @@
 	}
 }
 
-// holdWatch keeps one standing watch, resuming where it was ended.
+// holdWatch keeps one standing watch open and resumes it where it ended.
 func (g *Generator) holdWatch(ctx context.Context) {
 	seen := int64(0)
 	for ctx.Err() == nil {
@@ -333,13 +337,13 @@
 	e := record.Event{Kind: record.CallerAnswer, Node: node.Name, ID: id, Class: model.Standing}
 	e.Outcome, e.Reason = g.readEvents(req, seen)
 	if ctx.Err() != nil {
-		// The caller itself left.
+		// The caller itself ended the watch.
 		e.Reason = ""
 	}
 	g.Recorder.Add(e)
 }
 
-// readEvents reads a watch to its end and returns how it ended.
+// readEvents reads a watch to its end and returns the outcome and the reason.
 func (g *Generator) readEvents(req *http.Request, seen *int64) (outcome, reason string) {
 	resp, err := g.client.Do(req)
 	if err != nil {
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -6,14 +6,15 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Summary tells what the callers and teams saw.
+// Summary holds the results that callers and teams observed.
 type Summary struct {
 	Classes map[model.Class]ClassSummary `json:"classes"`
 	Watches WatchStats                   `json:"watches"`
 	Jobs    JobSummary                   `json:"jobs"`
 }
 
-// ClassSummary tells of one class of requests; latencies are in milliseconds.
+// ClassSummary holds the results of one class of requests; latencies are in
+// milliseconds.
 type ClassSummary struct {
 	Ran     int64   `json:"ran"`
 	NotRun  int64   `json:"not_run"`
@@ -24,7 +25,7 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// JobSummary tells of the batch jobs.
+// JobSummary holds the results of the batch jobs.
 type JobSummary struct {
 	Submitted int64 `json:"submitted"`
 	Refused   int64 `json:"refused"`
@@ -32,13 +33,13 @@
 	Done      int64 `json:"done"`
 	Open      int   `json:"open"`
 	TasksDone int64 `json:"tasks_done"`
-	// TasksPerSecond is over the time given to Summary.
+	// TasksPerSecond is the average over the elapsed time given to Summary.
 	TasksPerSecond float64 `json:"tasks_per_second"`
 	Evictions      int     `json:"evictions"`
 	TurnaroundP50  float64 `json:"turnaround_p50_ms"`
 }
 
-// Summary returns what was seen in a run that took elapsed.
+// Summary returns the results of a run that took elapsed.
 func (g *Generator) Summary(elapsed time.Duration) Summary {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/load/teams.go
+++ b/internal/load/teams.go
@@ -18,14 +18,14 @@
 	"github.com/rattanwall/rattanwall/internal/standin/record"
 )
 
-// jobStats tells of the jobs.
+// jobStats holds statistics of the jobs.
 type jobStats struct {
 	submitted, refused, unknown int64
 	open                        map[string]int
 	done                        int64
 	tasksDone                   int64
 	evictions                   int
-	// urgentStart is from submission to the first sight of a placed task.
+	// turnaround is from submission until a poll finds the job ended, in microseconds.
 	turnaround  *hdrhistogram.Histogram
 	submittedAt map[string]time.Time
 }
@@ -35,13 +35,14 @@
 	taskMilliCPU = 2_000
 	taskMemoryMB = 4_000
 	taskMS       = 1_500
-	// jobsPerUrgentJob jobs one is urgent.
+	// jobsPerUrgentJob means that one job of this many is urgent.
 	jobsPerUrgentJob = 5
-	// httpTimeout bounds an administration call.
+	// httpTimeout bounds a call of the administration API.
 	httpTimeout = 10 * time.Second
 )
 
-// callAdmin calls the administration API of some ready node.
+// callAdmin calls the administration API of a ready node. The status is 0 when there
+// was no response.
 func (g *Generator) callAdmin(ctx context.Context, token string, build func(*sling.Sling) *sling.Sling, answer any) (int, error) {
 	node, ok := g.Balancer.Pick()
 	if !ok {
@@ -61,7 +62,7 @@
 	return resp.StatusCode, err
 }
 
-// submitJobs submits jobs and follows them to their end.
+// submitJobs submits jobs and polls them until ctx ends.
 func (g *Generator) submitJobs(ctx context.Context) {
 	if g.JobEvery <= 0 {
 		return
@@ -107,7 +108,7 @@
 	}
 }
 
-// pollJobs looks which of the open jobs have ended.
+// pollJobs lists the jobs and records the open ones that have ended.
 func (g *Generator) pollJobs(ctx context.Context) {
 	var listing jobs.Listing
 	status, err := g.callAdmin(ctx, g.BatchToken, func(s *sling.Sling) *sling.Sling {
@@ -134,8 +135,8 @@
 	}
 }
 
-// AwaitJobs follows the open jobs until all have ended or ctx ends, and returns
-// how many are left.
+// AwaitJobs polls the open jobs until all have ended or ctx ends, and returns the
+// number of those left.
 func (g *Generator) AwaitJobs(ctx context.Context) int {
 	for {
 		g.pollJobs(ctx)
@@ -152,15 +153,16 @@
 	}
 }
 
-// patchConfig patches the configuration and looks at what each node uses. Each
-// patch sets two fields to the same number, so that a half-applied one shows.
+// patchConfig patches the configuration and records which version each node uses.
+// Each patch sets two fields to the same number, so that a partially applied patch
+// is detectable.
 func (g *Generator) patchConfig(ctx context.Context) {
 	if g.PatchEvery <= 0 {
 		return
 	}
-	patch, look := time.NewTicker(g.PatchEvery), time.NewTicker(pollInterval)
+	patch, poll := time.NewTicker(g.PatchEvery), time.NewTicker(pollInterval)
 	defer patch.Stop()
-	defer look.Stop()
+	defer poll.Stop()
 	for n := 1; ; {
 		select {
 		case <-ctx.Done():
@@ -168,24 +170,24 @@
 		case <-patch.C:
 			n++
 			g.patchOnce(ctx, n)
-		case <-look.C:
+		case <-poll.C:
 			g.recordConfigVersions(ctx)
 		}
 	}
 }
 
 func (g *Generator) patchOnce(ctx context.Context, n int) {
-	var cur admin.ConfigAnswer
-	if status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling { return s.Get("/v1/config") }, &cur); err != nil || status != http.StatusOK {
+	var current admin.ConfigAnswer
+	if status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling { return s.Get("/v1/config") }, &current); err != nil || status != http.StatusOK {
 		return
 	}
 	body := map[string]any{"weights": map[string]any{"tail": n, "throughput": n}}
-	var made admin.PatchAnswer
+	var patched admin.PatchAnswer
 	status, err := g.callAdmin(ctx, g.OperatorToken, func(s *sling.Sling) *sling.Sling {
-		return s.Patch("/v1/config").Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(cur.Version))).BodyJSON(body)
-	}, &made)
+		return s.Patch("/v1/config").Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(current.Version))).BodyJSON(body)
+	}, &patched)
 	if err == nil && status == http.StatusOK {
-		g.Recorder.Add(record.Event{Kind: record.ConfigAccepted, Version: made.Version})
+		g.Recorder.Add(record.Event{Kind: record.ConfigAccepted, Version: patched.Version})
 	}
 }
 
@@ -220,7 +222,7 @@
 	}
 }
 
-// lineReader reads whole lines; a part of a line at the end is an error.
+// lineReader reads complete lines; an incomplete last line is an error.
 type lineReader struct{ r *bufio.Reader }
 
 func newLineReader(r io.Reader) lineReader { return lineReader{bufio.NewReader(r)} }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -22,15 +22,15 @@
 	"github.com/rattanwall/rattanwall/internal/target/httptarget"
 )
 
-// path is one way from a caller to a target.
+// path is one route from a caller to a target.
 type path struct {
 	name string
 	url  string
 }
 
 // benchPaths starts two availability zones of one node each on loopback and
-// returns the ways to a target in the west: straight to it, through its owner,
-// and through the other node.
+// returns the routes to a target in the west zone: direct, through the node that
+// owns its VM, and through the other node.
 func benchPaths(b *testing.B) (paths []path, token string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -80,9 +80,9 @@
 	return err
 }
 
-// BenchmarkRequest measures one caller after another: the latency that the way
-// adds is the difference to "direct" in the same run. cpu-us/op is of the whole
-// process, caller and target included.
+// BenchmarkRequest measures sequential requests. The latency that a route adds is
+// the difference to "direct" in the same run. cpu-us/op is the processor time of
+// the whole process, including caller and target.
 func BenchmarkRequest(b *testing.B) {
 	paths, token := benchPaths(b)
 	client := netio.Client(netio.TCP{}, 64)
@@ -94,11 +94,11 @@
 				b.ReportAllocs()
 				before := cpuTime()
 				for i := 0; b.Loop(); i++ {
-					started := time.Now()
+					start := time.Now()
 					if err := call(client, method, p.url, token, i); err != nil {
 						b.Fatal(err)
 					}
-					_ = h.RecordValue(time.Since(started).Microseconds())
+					_ = h.RecordValue(time.Since(start).Microseconds())
 				}
 				b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-us")
 				b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-us")
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkThroughput measures eight callers at once: requests for each second
-// of processor time, caller and target included.
+// BenchmarkThroughput measures eight concurrent callers: requests per second of
+// processor time, including caller and target.
 func BenchmarkThroughput(b *testing.B) {
 	paths, token := benchPaths(b)
 	client := netio.Client(netio.TCP{}, 64)
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -20,10 +20,11 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// replayLimit is how much of an idempotent request's body is kept for a repeat.
+// replayLimit is the largest body, in bytes, that is buffered for a retry.
 const replayLimit = 64 << 10
 
-// requestBody is a request's body on its way to one place or, if that fails, another.
+// requestBody is the body of a request, which is sent to one place or, after a
+// failure, to another.
 type requestBody struct {
 	source   io.Reader
 	length   int64
@@ -33,8 +34,8 @@
 	tooLarge atomic.Bool
 }
 
-// body returns the request's body, limited to what the service takes. Small
-// bodies of idempotent requests are kept, so that they can be repeated.
+// body returns the request's body, limited to the size that the service accepts.
+// Small bodies of idempotent requests are buffered for retries.
 func (req *request) body(w http.ResponseWriter) *requestBody {
 	r := req.http
 	b := &requestBody{length: r.ContentLength}
@@ -62,10 +63,10 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// repeatable reports whether the body can be sent once more.
+// repeatable reports whether the body can be sent again.
 func (b *requestBody) repeatable() bool { return b.keep || !b.read.Load() }
 
-// reader returns the body for one try.
+// reader returns the body for one attempt.
 func (b *requestBody) reader() (io.ReadCloser, error) {
 	if b.source == nil {
 		return http.NoBody, nil
@@ -83,8 +84,8 @@
 	return io.NopCloser(bytes.NewReader(b.buffered)), nil
 }
 
-// forwardedHeader returns the caller's headers without those of one hop and those
-// between nodes.
+// forwardedHeader returns the caller's headers without hop-by-hop headers and
+// those used between nodes.
 func (req *request) forwardedHeader() http.Header {
 	h := req.http.Header.Clone()
 	strip(h, hopByHop)
@@ -96,16 +97,17 @@
 	return max((time.Until(req.deadline) - answerMargin).Milliseconds(), 1)
 }
 
-// answer is the head of an answer, of a target or of a peer.
+// answer is the head of an answer from a target or a peer.
 type answer struct {
 	*target.Answer
-	// trailer is what a peer said after a watch's last event; nil for a target.
+	// trailer returns the trailer of a peer's answer once its body is read; nil for
+	// a target.
 	trailer func() http.Header
-	// finish is told how the passing on ended.
+	// finish is called with the result of relaying the answer.
 	finish func(vms.EndKind)
 }
 
-// toTarget sends the request to an own VM.
+// toTarget sends the request to a VM that this node owns.
 func (rt *Router) toTarget(ctx context.Context, req *request, b *requestBody, grant *vms.Grant) (*answer, error) {
 	reader, err := b.reader()
 	if err == nil && !grant.MayAct() {
@@ -128,28 +130,28 @@
 }
 
 const (
-	// targetTimeout is how long a target may take to say "100 Continue".
+	// targetTimeout bounds the wait for "100 Continue" from a target.
 	targetTimeout = 500 * time.Millisecond
-	// peerTimeout covers that and the peer's own hop.
+	// peerTimeout covers targetTimeout and the peer's own hop.
 	peerTimeout = targetTimeout + 250*time.Millisecond
-	// maxErrorBytes of a peer's message are passed on.
+	// maxErrorBytes bounds how much of a peer's error message is passed on.
 	maxErrorBytes = 1 << 10
 )
 
-// sendPolicy says how long a connection may show no sign of life. A quick request
-// that may run twice is given up after usual, its usual time many times over,
-// if the retry budget allows; others wait for their deadline.
-func (rt *Router) sendPolicy(req *request, usual time.Duration) hop.SendPolicy {
+// sendPolicy returns how long a connection may be unresponsive. An idempotent quick
+// request is abandoned after timeout, a multiple of its usual latency, if the retry
+// budget allows; other idempotent requests wait until their deadline.
+func (rt *Router) sendPolicy(req *request, timeout time.Duration) hop.SendPolicy {
 	switch {
 	case !req.idempotent:
-		return hop.SendPolicy{Guarded: true, Timeout: max(usual, targetTimeout)}
+		return hop.SendPolicy{Guarded: true, Timeout: max(timeout, targetTimeout)}
 	case req.class == model.Quick:
-		return hop.SendPolicy{Timeout: usual, MayAbandon: rt.budget.spend}
+		return hop.SendPolicy{Timeout: timeout, MayAbandon: rt.budget.spend}
 	}
 	return hop.SendPolicy{}
 }
 
-// endFailed gives the place back after a failed exchange and names the failure.
+// endFailed ends the grant after a failed exchange and classifies the error.
 func endFailed(err error, grant *vms.Grant) error {
 	var failed *hop.Error
 	errors.As(err, &failed)
@@ -171,7 +173,7 @@
 	return errkind.New(errkind.TargetUnreached, "", err)
 }
 
-// toPeer sends the request to the node that owns a VM with room.
+// toPeer sends the request to a peer, where it may wait for a slot for up to wait.
 func (rt *Router) toPeer(ctx context.Context, req *request, b *requestBody, p Peer, wait time.Duration) (*answer, error) {
 	reader, err := b.reader()
 	if err != nil {
@@ -195,7 +197,7 @@
 	return rt.fromPeer(req, p, resp)
 }
 
-// setPeerHeaders sets the headers between nodes.
+// setPeerHeaders sets the headers that are used between nodes.
 func (req *request) setPeerHeaders(h http.Header, wait time.Duration) {
 	h.Set(headerTeam, req.team)
 	h.Set(HeaderRequestID, req.origin)
@@ -210,7 +212,8 @@
 	}
 }
 
-// fromPeer judges a peer's answer.
+// fromPeer converts a peer's response to an answer or an error and records the
+// peer's free capacity.
 func (rt *Router) fromPeer(req *request, p Peer, resp *http.Response) (*answer, error) {
 	if free, err := strconv.ParseInt(resp.Header.Get(headerFree), 10, 64); err == nil {
 		rt.Peers.SetFree(p.Node, req.service, req.class, free)
@@ -235,8 +238,8 @@
 	}, nil
 }
 
-// relay passes an answer on. When it breaks off, the caller's connection is cut
-// too: a part must never look like the whole.
+// relay passes an answer on. If the answer is truncated, it closes the caller's
+// connection, so that the caller does not take a partial answer for a complete one.
 func (rt *Router) relay(w http.ResponseWriter, got *answer) errkind.Kind {
 	copyHeader(w.Header(), got.Header)
 	if got.Length >= 0 {
@@ -263,11 +266,11 @@
 	}
 }
 
-// onlyWriter hides the writer's other methods, so that the copy uses our buffer.
+// onlyWriter hides the writer's other methods, so that io.CopyBuffer uses its buffer.
 type onlyWriter struct{ io.Writer }
 
-// ServePeer serves other nodes at /forward/<service>/<path>: only own VMs are
-// used, so that a request takes at most two hops.
+// ServePeer serves other nodes at /forward/<service>/<path>. It uses only VMs that
+// this node owns, so that a request takes at most two hops.
 func (rt *Router) ServePeer(w http.ResponseWriter, r *http.Request) {
 	rt.inFlight.Add(1)
 	defer rt.inFlight.Add(-1)
--- a/internal/route/failures_test.go
+++ b/internal/route/failures_test.go
@@ -28,7 +28,8 @@
 	"github.com/rattanwall/rattanwall/internal/standin/worker"
 )
 
-// TestMain: see package harness. Benchmarks use all processors.
+// TestMain limits tests to one processor; see package harness. Benchmarks use all
+// processors.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("test.bench").Value.String() == "" {
@@ -52,8 +53,8 @@
 	secondNode = "east-n2"
 )
 
-// withTestCluster runs f on a deployment in a bubble of virtual time and ends with the
-// checker's verdict on all that ran.
+// withTestCluster runs f on a deployment in a synctest bubble and then requires that
+// the checker finds no violation in the recorded events.
 func withTestCluster(t *testing.T, f func(t *testing.T, b *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -64,7 +65,7 @@
 		hosts := harness.NewFake()
 		d, err := harness.Start(t.Context(), harness.Options{Shape: shape, Hosts: hosts, Log: log})
 		require.NoError(t, err)
-		// Every node has heard of every other's room.
+		// Each node then has the free capacity of every other.
 		time.Sleep(3 * time.Second)
 		b := &testCluster{Deployment: d, t: t, hosts: hosts, caller: d.Caller(firstNode)}
 		func() {
@@ -80,7 +81,7 @@
 	})
 }
 
-// send sends one request with a new id and returns the answer and the id.
+// send sends one request with a new ID and returns the answer and the ID.
 func (b *testCluster) send(method, query string, header http.Header) (harness.Answer, string) {
 	b.requestCount++
 	id := fmt.Sprintf("%s-%d", method, b.requestCount)
@@ -113,10 +114,9 @@
 	wg.Wait()
 }
 
-// Symptom: a caller is told the wrong thing of its request, or the request runs
-// twice. Sequence: the target misbehaves in the way named, each time it is sent
-// this request, wherever that is. Cause, in each row: the connection's failure
-// is taken for the request's.
+// Guards against a wrong outcome for the caller, or a second run of a request that
+// is not idempotent. Every target handles this request with the fault of the row.
+// The router must not take the failure of the connection for that of the request.
 func TestTargetMisbehaves(t *testing.T) {
 	rows := []struct {
 		fault, method, query string
@@ -125,10 +125,10 @@
 		kind                 errkind.Kind
 		minRuns, maxRuns     int
 	}{
-		// A guarded request whose body was not asked for has not run, so it is
-		// offered elsewhere, and in the end the caller may do the same.
+		// A guarded request whose body was not requested has not run, so the router
+		// tries other places, and finally the caller may retry too.
 		{fault: worker.FaultResetEarly, method: http.MethodPost, outcome: errkind.NotRun, kind: errkind.TargetUnreached},
-		// A GET carries no proof, but may be repeated: up to four places.
+		// A GET may have run, but it is idempotent: up to four places are tried.
 		{fault: worker.FaultResetEarly, method: http.MethodGet, outcome: errkind.Unknown, kind: errkind.ConnectionLost},
 		{fault: worker.FaultResetAfter, method: http.MethodPost, outcome: errkind.Unknown, kind: errkind.ConnectionLost, minRuns: 1, maxRuns: 1},
 		{fault: worker.FaultResetAfter, method: http.MethodGet, outcome: errkind.Unknown, kind: errkind.ConnectionLost, minRuns: 2, maxRuns: 4},
@@ -149,8 +149,8 @@
 				require.Equal(t, errkind.Table[row.kind].Status, a.Status)
 				require.GreaterOrEqual(t, b.Runs(id), row.minRuns)
 				require.LessOrEqual(t, b.Runs(id), row.maxRuns)
-				require.Less(t, a.Took, 2*time.Second, "what was given up is told at once")
-				// The next request is not touched by what the last left behind.
+				require.Less(t, a.Took, 2*time.Second, "a failed request is answered without delay")
+				// The fault does not affect the next request.
 				time.Sleep(3 * time.Second)
 				next, _ := b.send(http.MethodPost, "", nil)
 				require.Equal(t, string(errkind.Ran), next.Outcome)
@@ -159,17 +159,17 @@
 	}
 }
 
-// Symptom: a caller is told that its request did not run, and it ran.
-// Sequence: the target runs an idempotent request and resets the connection; when
-// it is offered to another place, all slots have been taken.
-// Cause: the outcome of the last place was told for that of all of them.
+// Guards against the outcome not-run for a request that ran. The target runs an
+// idempotent request and resets the connection; when the router tries another
+// place, all slots are taken. The outcome of the last try must not replace that of
+// the earlier one.
 func TestNoRoomForTheSecondTryIsNotNotRun(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
-		var crowd sync.WaitGroup
-		defer crowd.Wait()
+		var others sync.WaitGroup
+		defer others.Wait()
 		time.AfterFunc(50*time.Millisecond, func() {
 			for i := range 90 {
-				crowd.Go(func() {
+				others.Go(func() {
 					_ = b.caller.Send(context.Background(), http.MethodGet, service+"/work?size=100&ms=8000", fmt.Sprintf("crowd-%d", i), nil, nil)
 				})
 			}
@@ -181,9 +181,9 @@
 	})
 }
 
-// Symptom: a caller takes half an answer for the whole. Sequence: the target
-// resets the connection in the middle of its answer. Cause: the node ends its
-// own answer cleanly.
+// Guards against a caller taking a partial answer for a complete one. The target
+// resets the connection in the middle of its answer; the node must not end its own
+// answer cleanly.
 func TestAnswerCutOffIsPassedOnAsCutOff(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
@@ -194,9 +194,9 @@
 	})
 }
 
-// Symptom: a caller gets the answer to somebody else's request. Sequence: the
-// target answers twice on one connection; the connection is used again. Cause:
-// answers are matched to requests by their order alone.
+// Guards against a caller receiving the answer to another request. The target
+// answers twice on one connection, which is then reused. Answers must not be
+// matched to requests by their order alone.
 func TestDuplicateAnswerIsNotGivenToAnotherRequest(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		for range 20 {
@@ -211,9 +211,9 @@
 	})
 }
 
-// Symptom: requests hang until their deadline, or are lost, or run twice.
-// Sequence: every open connection to the targets goes silent; requests follow.
-// Cause: a pooled connection is taken to be good because nothing says it is not.
+// Guards against requests that wait until their deadline, are lost, or run twice.
+// Every open connection to the targets, or between the nodes, stops responding, and
+// requests follow. The router must not assume that pooled connections work.
 func TestSilentConnections(t *testing.T) {
 	for _, between := range []string{"targets", "nodes"} {
 		t.Run(between, func(t *testing.T) {
@@ -238,8 +238,8 @@
 	}
 }
 
-// Symptom: half a booking is executed. Sequence: the caller's connection breaks
-// while it sends the body. Cause: the part that arrived is passed on as whole.
+// Guards against the execution of a partial booking. The caller's connection breaks
+// while it sends the body; the part that arrived must not be passed on as complete.
 func TestBodyCutOffByCallerIsNotRun(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -257,8 +257,8 @@
 	})
 }
 
-// Symptom: a target works on for callers who have gone. Sequence: the caller
-// leaves while its request runs. Cause: the cancellation is not passed on.
+// Guards against a target working for a caller that has disconnected. The caller
+// leaves while its request runs; the cancellation must be passed on.
 func TestCallerLeaving(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -282,9 +282,9 @@
 	return n
 }
 
-// Symptom: work reaches a target that has left. Sequence: all slots are taken,
-// requests wait; a VM begins to leave; slots come free. Cause: what waits was
-// bound to the VM when it came.
+// Guards against requests reaching a target that has left. All slots are taken and
+// requests wait; a VM begins to leave, and slots become free. A waiting request
+// must not be bound to a VM when it arrives.
 func TestTargetLeavesWithQueuedWork(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		var wg sync.WaitGroup
@@ -305,7 +305,8 @@
 			require.Contains(t, []string{string(errkind.Ran), string(errkind.NotRun)}, a.Outcome)
 			require.Equal(t, a.Outcome == string(errkind.Ran), b.Runs(id) == 1)
 		}
-		// Three seconds later the VM gets nothing: the checker looks (I7).
+		// From three seconds later the VM receives no requests; the checker verifies
+		// this (I7).
 		time.Sleep(3 * time.Second)
 		for range 20 {
 			a, _ := b.send(http.MethodPost, "", nil)
@@ -314,9 +315,9 @@
 	})
 }
 
-// Symptom: a planned stop cuts requests off. Sequence: requests and watches are
-// under way at a node when it is told to stop, and more come until the balancer
-// has noticed. Cause: the listener closes first, or watches hold the stop up.
+// Guards against a planned stop that aborts requests. Requests and a watch are in
+// flight at a node when it is stopped, and more arrive until the balancer detects
+// this. The listener must not close first, and watches must not delay the stop.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		var wg sync.WaitGroup
@@ -347,9 +348,9 @@
 	})
 }
 
-// Symptom: quick requests of one service wait behind another's. Sequence: a
-// service that takes seconds gets more requests than there are slots. Cause: it
-// may take them all.
+// Guards against quick requests of one service waiting for those of another. A
+// service whose requests take seconds gets more of them than there are slots; it
+// must not take all slots.
 func TestSlowServiceBesideQuickOne(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		b.patch(`{"services":{"slow":{"team":"rostering"}}}`)
@@ -377,14 +378,14 @@
 	require.NoError(b.t, b.Patch(b.t.Context(), patch))
 }
 
-// Symptom: batch work is started while quick requests queue. Sequence: more
-// quick requests than slots keep coming; an ordinary and an urgent job are
-// submitted. Cause: placement looks at processors only.
+// Guards against batch work starting while quick requests wait. More quick requests
+// than slots keep arriving while an ordinary and an urgent job are submitted.
+// Placement must consider more than the free processors.
 func TestBatchIsShedWhileQuickRequestsWait(t *testing.T) {
 	withTestCluster(t, func(t *testing.T, b *testCluster) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		// 120 callers in turn for 24 slots: always some wait at either node.
+		// 120 callers for 24 slots: some always wait at each node.
 		for i := range 120 {
 			caller := b.caller
 			wg.Add(1)
@@ -392,7 +393,7 @@
 				defer wg.Done()
 				for n := 0; ctx.Err() == nil; n++ {
 					caller.Send(ctx, http.MethodGet, service+"/work?ms=100", fmt.Sprintf("busy-%d-%d", i, n), nil, nil)
-					// What is shed is answered at once, and no time would pass.
+					// A shed request is answered immediately, and no virtual time would pass.
 					time.Sleep(10 * time.Millisecond)
 				}
 			}()
--- a/internal/route/headers.go
+++ b/internal/route/headers.go
@@ -1,6 +1,7 @@
-// Package route serves callers' requests: any node takes any request, finds a
-// place for it at one of its own VMs or at the owner of another, and passes the
-// answer back, whole or visibly cut off, never another request's.
+// Package route serves callers' requests. Any node accepts any request, sends it
+// to one of its own VMs or to the node that owns another, and passes the answer
+// back. A truncated answer is visible as such to the caller, and an answer to
+// another request is never passed on.
 package route
 
 import (
@@ -14,31 +15,31 @@
 
 // Headers that callers send.
 const (
-	// HeaderRequestID is the caller's id of the request; generated if absent.
+	// HeaderRequestID is the caller's ID of the request; generated if absent.
 	HeaderRequestID = "Rattanwall-Request-Id"
 	// HeaderClass is quick (default), heavy or standing.
 	HeaderClass = "Rattanwall-Class"
 	// HeaderTimeoutMS is how long the caller waits, in milliseconds.
 	HeaderTimeoutMS = "Rattanwall-Timeout-Ms"
 	// HeaderIdempotent is "true" when the request may be run more than once. GET,
-	// HEAD and OPTIONS are idempotent without it.
+	// HEAD and OPTIONS requests are idempotent without it.
 	HeaderIdempotent = "Rattanwall-Idempotent"
-	// HeaderResume is the last event that the caller of a standing watch has
-	// seen. In the trailer of an answer it is where to resume.
+	// HeaderResume is the number of the last event that the caller of a standing
+	// watch received. In the trailer of an answer it is the value to resume with.
 	HeaderResume = "Rattanwall-Resume"
 )
 
-// Headers that callers get.
+// Headers of answers to callers.
 const (
 	// HeaderOutcome is ran, not-run or unknown.
 	HeaderOutcome = "Rattanwall-Outcome"
 	// HeaderError is the kind of error.
 	HeaderError = "Rattanwall-Error"
-	// HeaderEnd, in the trailer of a standing watch, says why it ended.
+	// HeaderEnd is the reason why a standing watch ended, in the trailer.
 	HeaderEnd = "Rattanwall-End"
 )
 
-// Headers between nodes.
+// Headers and the path prefix of requests between nodes.
 const (
 	headerTeam    = "Rattanwall-Team"
 	headerMayWait = "Rattanwall-May-Wait-Ms"
@@ -46,7 +47,7 @@
 	forwardPrefix = "/forward/"
 )
 
-// hopByHop headers are of one connection and are not passed on.
+// hopByHop headers apply to one connection and are not passed on.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
@@ -64,7 +65,8 @@
 	}
 }
 
-// WriteError answers with an error of the closed list.
+// WriteError answers with the errkind error that err holds. It discards the headers
+// set so far.
 func WriteError(w http.ResponseWriter, err error) {
 	e := errkind.From(err)
 	a := e.Answer()
@@ -75,7 +77,7 @@
 	h.Set(HeaderError, string(e.Kind))
 	h.Set(HeaderOutcome, string(a.Outcome))
 	if a.RetryAfter > 0 {
-		// The header counts whole seconds; a shorter advice is rounded up.
+		// The header is in whole seconds, rounded up.
 		h.Set("Retry-After", strconv.Itoa(int((a.RetryAfter+time.Second-1)/time.Second)))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -12,8 +12,8 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// inFlightLimits counts the requests under way by team and by service, so that neither
-// one team nor one slow service can take what others need.
+// inFlightLimits counts the requests in flight by team and by service and enforces
+// their limits, so that one team or one slow service leaves capacity for others.
 type inFlightLimits struct {
 	mu        sync.Mutex
 	byTeam    map[string]int64
@@ -50,9 +50,9 @@
 	}
 }
 
-// retryBudget lets retries be a fixed part of the requests, with a small stock
-// for quiet times. Without it a failing target makes each caller's request
-// several, just when there is least room for them.
+// retryBudget is a token bucket that limits retries to a fixed share of the
+// requests, with a small burst for times of low load. Without it a failing target
+// multiplies the requests when there is least capacity for them.
 type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -81,7 +81,7 @@
 	return true
 }
 
-// Metrics of the request path.
+// Metrics holds the metrics of the request path.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -89,7 +89,7 @@
 	cutOff   prometheus.Counter
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -25,28 +25,29 @@
 type Peer struct {
 	Node    string
 	Address string
-	// Free is how many requests of the class it said it could take.
+	// Free is how many more requests of the class the peer last reported it can take.
 	Free int64
-	// SameZone is set for a peer in the same availability zone.
+	// SameZone is set for a peer in this node's availability zone.
 	SameZone bool
-	// Waiting is how many requests it said wait there.
+	// Waiting is how many waiting requests the peer last reported.
 	Waiting int64
 }
 
-// Peers tells where else a request could go, best first.
+// Peers lists the peers that a request can be sent to.
 type Peers interface {
+	// For returns the peers with VMs of a service, best first.
 	For(service string, class model.Class) []Peer
-	// SetFree takes a peer's word, from an answer, on the room it has left.
+	// SetFree records the free capacity that a peer reported in an answer.
 	SetFree(node, service string, class model.Class, free int64)
 }
 
-// Options of a Router. All fields are needed.
+// Options configures a Router. All fields are required.
 type Options struct {
 	Node   string
 	Config func() *config.Installed
 	VMs    *vms.Manager
 	Peers  Peers
-	// Network reaches the other nodes.
+	// Network dials the other nodes.
 	Network netio.Network
 	Metrics *Metrics
 	Log     *logrus.Entry
@@ -58,24 +59,25 @@
 	client *hop.Client
 	budget *retryBudget
 	limits inFlightLimits
-	// stopCh closes when the node stops: standing watches then end cleanly.
+	// stopCh is closed when the node stops; standing watches then end cleanly.
 	stopCh   chan struct{}
 	stopOnce sync.Once
 	inFlight atomic.Int64
 }
 
 const (
-	// maxTries bounds how many places one request is offered to.
+	// maxTries bounds how many places are tried for one request.
 	maxTries = 4
-	// quickWait and heavyWait bound the wait for a slot. A request that cannot
-	// get one in that time is told at once rather than near its deadline.
+	// quickWait and heavyWait bound the wait for a slot, so that a request without
+	// one fails early rather than near its deadline.
 	quickWait = 500 * time.Millisecond
 	heavyWait = 3 * time.Second
-	// answerMargin is taken off the deadline for the way back.
+	// answerMargin is subtracted from the time left that a peer is given, for the
+	// transfer of the answer.
 	answerMargin = 2 * time.Millisecond
 )
 
-// New returns a router.
+// New returns a router without open connections.
 func New(o Options) *Router {
 	return &Router{
 		Options: o,
@@ -84,16 +86,16 @@
 	}
 }
 
-// Close drops the idle connections to other nodes.
+// Close closes the idle connections to other nodes.
 func (rt *Router) Close() { rt.client.CloseIdle() }
 
 // EndWatches ends the standing watches cleanly.
 func (rt *Router) EndWatches() { rt.stopOnce.Do(func() { close(rt.stopCh) }) }
 
-// InFlight returns the requests under way, of callers and of peers.
+// InFlight returns the number of requests in flight from callers and peers.
 func (rt *Router) InFlight() int64 { return rt.inFlight.Load() }
 
-// request is one request as this node sees it.
+// request is a parsed request of a caller or a peer.
 type request struct {
 	service    string
 	path       string
@@ -137,7 +139,8 @@
 	return context.WithDeadline(ctx, req.deadline)
 }
 
-// admit checks who asks for what, and the limits of team and service.
+// admit authenticates and authorizes a caller's request, and counts it against the
+// limits of its team and service.
 func (rt *Router) admit(r *http.Request) (*request, error) {
 	cfg := rt.Config()
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -162,7 +165,7 @@
 	return req, nil
 }
 
-// parse reads what a request says of itself, at the first node or a later one.
+// parse parses the path and headers of a request of a caller or a peer.
 func parse(r *http.Request, prefix string, cfg *config.Installed) (*request, error) {
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, prefix), "/")
 	svc, ok := cfg.Document.Services[service]
@@ -195,7 +198,7 @@
 	return req, nil
 }
 
-// parseTimes reads the deadline and the resume point.
+// parseTimes sets the deadline and the event to resume after.
 func (req *request) parseTimes(r *http.Request) error {
 	if v := r.Header.Get(HeaderResume); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
@@ -219,32 +222,33 @@
 	return nil
 }
 
-// serve finds a place for the request and passes the answer on. Only what
-// certainly did not run, or may run twice, is offered to another place.
+// serve finds a place for the request and passes the answer on. It tries another
+// place only if the request cannot have run or is idempotent.
 func (rt *Router) serve(ctx context.Context, w http.ResponseWriter, req *request) errkind.Kind {
 	rt.budget.earn()
 	body := req.body(w)
-	// failed is what is told when no place serves the request.
-	var failed error
+	// lastErr is returned to the caller when no place serves the request.
+	var lastErr error
 	tried := map[string]bool{}
 	for try := 0; try < maxTries; try++ {
-		if try > 0 && !rt.mayRetry(failed, req, body) {
+		if try > 0 && !rt.mayRetry(lastErr, req, body) {
 			break
 		}
 		got, err := rt.tryPlace(ctx, req, body, tried, try == maxTries-1)
 		if err == nil {
 			return rt.relay(w, got)
 		}
-		failed = combineErrors(failed, err)
+		lastErr = combineErrors(lastErr, err)
 		if ctx.Err() != nil || !isRetryable(err) {
 			break
 		}
 	}
-	return rt.fail(ctx, w, req, failed, body)
+	return rt.fail(ctx, w, req, lastErr, body)
 }
 
-// combineErrors is what is known of a request after one more try: where an earlier try may
-// have run it, a later one that certainly did not says nothing of the request.
+// combineErrors returns the error that describes the request after one more try.
+// If an earlier try may have run the request, a later try that did not run it does
+// not change the outcome.
 func combineErrors(before, err error) error {
 	if before != nil && errkind.From(err).Answer().Outcome == errkind.NotRun && errkind.From(before).Answer().Outcome != errkind.NotRun {
 		return before
@@ -252,9 +256,9 @@
 	return err
 }
 
-// mayRetry decides whether another place may be tried after err. A place that
-// said it had no room costs nothing; what may have reached a target is under
-// the retry budget, so that retries cannot multiply a failure.
+// mayRetry decides whether another place may be tried after err. A refusal for
+// lack of capacity costs nothing; a request that may have reached a target needs
+// the retry budget, so that retries do not amplify a failure.
 func (rt *Router) mayRetry(err error, req *request, body *requestBody) bool {
 	e := errkind.From(err)
 	switch e.Kind {
@@ -271,7 +275,7 @@
 	return true
 }
 
-// isRetryable reports whether another place could do better.
+// isRetryable reports whether the request could succeed at another place.
 func isRetryable(err error) bool {
 	switch errkind.From(err).Kind {
 	case errkind.NoCapacity, errkind.NotOwner, errkind.NoOwner, errkind.Draining, errkind.TargetUnreached,
@@ -281,7 +285,7 @@
 	return false
 }
 
-// fail answers with what is known of the request.
+// fail answers with an error and returns its kind.
 func (rt *Router) fail(ctx context.Context, w http.ResponseWriter, req *request, err error, body *requestBody) errkind.Kind {
 	e := errkind.From(err)
 	notRun := e.Answer().Outcome == errkind.NotRun
@@ -301,8 +305,8 @@
 	return e.Kind
 }
 
-// tryPlace gives the request to one place: an own VM, else the peer with the most
-// room, else the shortest wait.
+// tryPlace sends the request to one place: a VM of this node, else the best peer
+// with free capacity, else the node with the shortest queue.
 func (rt *Router) tryPlace(ctx context.Context, req *request, body *requestBody, tried map[string]bool, lastTry bool) (*answer, error) {
 	grant, err := rt.VMs.Acquire(ctx, req.service, req.class, 0)
 	if err == nil {
@@ -341,7 +345,8 @@
 	return 0
 }
 
-// shortestQueue returns the peer with the fewest requests waiting; near ones first.
+// shortestQueue returns the peer with the fewest waiting requests; the first of
+// several.
 func shortestQueue(peers []Peer) Peer {
 	best := peers[0]
 	for _, p := range peers[1:] {
--- a/internal/route/watch.go
+++ b/internal/route/watch.go
@@ -13,37 +13,37 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// A standing watch is an answer of one event a line, held open for hours. It is
-// counted by lines, so that when a node or a VM goes away it can go on
-// elsewhere after the last event that the caller has seen.
+// A standing watch is an answer of one event per line that stays open for hours.
+// The node counts its lines, so that the watch can be resumed at another place
+// after the last event that the caller received, when a node or a VM goes away.
 
 const bufferSize = 32 << 10
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
-// Why a watch ended, told in the trailer.
+// The reasons why a watch ended, as sent in the trailer.
 const (
 	endDrain  = "drain"
 	endTarget = "target"
 	endLost   = "lost"
-	// endIdle is not told: the watch is taken up anew.
+	// endIdle is not sent: the watch is resumed on a new connection.
 	endIdle = "idle"
 )
 
 const (
-	// watchRetries bounds the tries in a row that bring no event.
+	// watchRetries bounds the consecutive tries without an event.
 	watchRetries = 5
 	watchBackoff = 100 * time.Millisecond
-	// initialIdle is how long a watch may bring no event before it is taken up
-	// anew: its connection may have gone silent, and only a new one tells. While
-	// that shows that nothing was missed, the next wait is twice as long, up to
-	// maxIdle, so that watches with few events cost little.
+	// initialIdle is how long a watch may be without an event before it is resumed
+	// on a new connection, because its own may be broken without notice. While this
+	// brings no event, the time doubles up to maxIdle, so that watches with few
+	// events cost little.
 	initialIdle = 10 * time.Second
 	maxIdle     = 5 * time.Minute
 )
 
-// serveWatch holds a caller's watch and takes it up elsewhere when its place
-// goes away, without the caller noticing.
+// serveWatch serves a caller's watch and transparently resumes it at another place
+// when its place goes away.
 func (rt *Router) serveWatch(ctx context.Context, w http.ResponseWriter, req *request) {
 	if rt.stopping() {
 		WriteError(w, errkind.New(errkind.Draining, "come back at once: the balancer knows other nodes", nil))
@@ -51,17 +51,17 @@
 	}
 	w.Header().Set("Trailer", HeaderResume+", "+HeaderEnd)
 	w.Header().Set(HeaderRequestID, req.origin)
-	begun := false
+	started := false
 	failures := 0
 	idle := initialIdle
 	for {
 		got, err := rt.tryPlace(ctx, req, req.body(w), map[string]bool{}, failures == watchRetries)
 		if err == nil {
-			if !begun {
+			if !started {
 				copyHeader(w.Header(), got.Header)
 				w.WriteHeader(got.Status)
 				_ = http.NewResponseController(w).Flush()
-				begun = true
+				started = true
 			}
 			before := req.resume
 			end := rt.copyEvents(ctx, w, got, &req.resume, idle)
@@ -81,23 +81,23 @@
 			}
 		}
 		failures++
-		if failures > watchRetries || !begun && err != nil && !isRetryable(err) {
-			rt.failWatch(w, begun, err, req.resume)
+		if failures > watchRetries || !started && err != nil && !isRetryable(err) {
+			rt.failWatch(w, started, err, req.resume)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-rt.stopCh:
-			rt.failWatch(w, begun, errkind.New(errkind.Draining, "", nil), req.resume)
+			rt.failWatch(w, started, errkind.New(errkind.Draining, "", nil), req.resume)
 			return
 		case <-time.After(watchBackoff * time.Duration(failures)):
 		}
 	}
 }
 
-func (rt *Router) failWatch(w http.ResponseWriter, begun bool, err error, resume int64) {
-	if !begun {
+func (rt *Router) failWatch(w http.ResponseWriter, started bool, err error, resume int64) {
+	if !started {
 		w.Header().Del("Trailer")
 		WriteError(w, err)
 		return
@@ -123,7 +123,7 @@
 	}
 }
 
-// relayWatch passes a watch on to the node that the caller is at.
+// relayWatch passes a watch on to the peer that serves its caller.
 func (rt *Router) relayWatch(ctx context.Context, w http.ResponseWriter, got *answer, resume int64) {
 	w.Header().Set("Trailer", HeaderResume+", "+HeaderEnd)
 	copyHeader(w.Header(), got.Header)
@@ -136,8 +136,8 @@
 	endWatch(w, end, resume)
 }
 
-// copyEvents passes whole events on and counts them in seen, until the watch
-// ends. A line that was cut off is not passed on.
+// copyEvents passes complete events on and counts them in seen, until the watch
+// ends. An incomplete line is not passed on.
 func (rt *Router) copyEvents(ctx context.Context, w http.ResponseWriter, got *answer, seen *int64, idle time.Duration) string {
 	defer func() { _ = got.Body.Close() }()
 	rc := http.NewResponseController(w)
@@ -173,7 +173,7 @@
 	}
 }
 
-// endReason says why a watch ended whose last line was read.
+// endReason returns why a watch ended, after its last line was read.
 func (a *answer) endReason() string {
 	if a.trailer != nil {
 		if end := a.trailer().Get(HeaderEnd); end != "" {
@@ -183,7 +183,8 @@
 	return endLost
 }
 
-// readLines sends each whole line of the answer until it ends or stop closes.
+// readLines sends each complete line of body to lines until body ends or stop is
+// closed.
 func readLines(body io.Reader, lines chan<- []byte, stop <-chan struct{}) {
 	defer close(lines)
 	reader := bufio.NewReader(body)
