--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,6 @@
-// Package model holds the domain types that every part of rattanwall shares:
-// VMs and what they can hold, services, teams, jobs and tasks. It has no
-// behaviour beyond arithmetic and validation, and imports no other package of
-// the project.
+// Package model holds the domain types that all parts of rattanwall share: VMs and
+// their capacity, request classes, jobs and tasks. It has no behaviour beyond
+// arithmetic and validation, and imports no other package of the project.
 package model
 
 import (
@@ -9,24 +8,23 @@
 	"slices"
 )
 
-// Class says how urgent a piece of work is. Admission sheds the least urgent
-// class first.
+// Class is the urgency of a request. Admission sheds the least urgent class first.
 type Class string
 
 // The classes, most urgent first.
 const (
-	// Quick is a latency-critical request: one slot and one connection, briefly.
+	// Quick is a latency-critical request. It takes a slot and a connection briefly.
 	Quick Class = "quick"
-	// Heavy is a request that takes a slot for long.
+	// Heavy is a request that takes a slot for a long time.
 	Heavy Class = "heavy"
-	// Standing is a watch: it holds a connection, but no slot.
+	// Standing is a watch. It takes a connection, but no slot.
 	Standing Class = "standing"
 )
 
 // Valid reports whether c is one of the classes above.
 func (c Class) Valid() bool { return c == Quick || c == Heavy || c == Standing }
 
-// Resources is an amount of each thing a VM has only so much of.
+// Resources holds an amount of each limited resource of a VM.
 type Resources struct {
 	// MilliCPU is in thousandths of a processor.
 	MilliCPU int64 `json:"milli_cpu,omitempty" cbor:"1,keyasint,omitempty"`
@@ -34,9 +32,9 @@
 	MemoryMB int64 `json:"memory_mb,omitempty" cbor:"2,keyasint,omitempty"`
 	// Accelerators counts whole devices.
 	Accelerators int64 `json:"accelerators,omitempty" cbor:"3,keyasint,omitempty"`
-	// Slots counts requests that may execute at once.
+	// Slots counts requests that may execute concurrently.
 	Slots int64 `json:"slots,omitempty" cbor:"4,keyasint,omitempty"`
-	// Connections counts connections open at once.
+	// Connections counts concurrently open connections.
 	Connections int64 `json:"connections,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
@@ -78,18 +76,18 @@
 		r.MilliCPU, r.MemoryMB, r.Accelerators, r.Slots, r.Connections)
 }
 
-// VMState is what the platform's list says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
 // The states of a VM.
 const (
 	// VMLive may be given work.
 	VMLive VMState = "live"
-	// VMLeaving must be given no new work; what it holds may finish.
+	// VMLeaving must not be given new work; running work may finish.
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one worker machine as the platform lists it.
+// VM is a worker machine in the platform's list.
 type VM struct {
 	Name string `json:"name"`
 	// Zone is the availability zone.
@@ -98,42 +96,42 @@
 	// ownership among nodes.
 	Rack  string  `json:"rack"`
 	State VMState `json:"state"`
-	// AgentAddress is the ip:port of the platform's agent that runs tasks.
+	// AgentAddress is the ip:port of the platform's agent, which runs tasks.
 	AgentAddress string `json:"agent_address"`
-	// TargetAddress is the ip:port that serves requests.
+	// TargetAddress is the ip:port of the target, which serves requests.
 	TargetAddress string    `json:"target_address"`
 	Capacity      Resources `json:"capacity"`
 }
 
-// RackKey names the ownership shard that the VM belongs to.
+// RackKey returns the key of the ownership shard that the VM belongs to.
 func (v VM) RackKey() string { return v.Zone + "/" + v.Rack }
 
-// InZones reports whether zone is one of zones; none means any.
+// InZones reports whether zone is in zones. Empty zones contain every zone.
 func InZones(zones []string, zone string) bool {
 	return len(zones) == 0 || slices.Contains(zones, zone)
 }
 
-// TaskID names a task: one of the equal parts of a job.
+// TaskID identifies a task, one of the equal parts of a job.
 type TaskID struct {
 	Job   string `json:"job" cbor:"1,keyasint"`
 	Index int    `json:"index" cbor:"2,keyasint"`
 }
 
-// String is the form used at workers and in logs: job:index.
+// String returns the form that workers and logs use: job:index.
 func (t TaskID) String() string { return fmt.Sprintf("%s:%d", t.Job, t.Index) }
 
-// JobSpec is what a team asks for when it submits a batch job.
+// JobSpec is a team's declaration of a batch job.
 type JobSpec struct {
-	// ID is chosen by the submitter, so that a repeated submission is
+	// ID is chosen by the submitter, so that repeated submissions are
 	// recognised; letters, digits, '-', '_' and '.', at most 80 bytes.
 	ID   string `json:"id" cbor:"1,keyasint"`
 	Team string `json:"team" cbor:"2,keyasint"`
-	// Tasks is how many equal tasks the job has; 1 to 10,000.
+	// Tasks is the number of equal tasks of the job; 1 to 10,000.
 	Tasks int `json:"tasks" cbor:"3,keyasint"`
 	// PerTask is what each task takes on its VM.
 	PerTask Resources `json:"per_task" cbor:"4,keyasint"`
-	// DurationMS is the declared run time of a task in milliseconds; it may be
-	// far from the truth and decides nothing about safety.
+	// DurationMS is the declared run time of a task in milliseconds. It may be
+	// inaccurate, and no safety property depends on it.
 	DurationMS int64 `json:"duration_ms" cbor:"5,keyasint"`
 	// Urgent jobs start before all others.
 	Urgent bool `json:"urgent,omitempty" cbor:"6,keyasint,omitempty"`
@@ -147,8 +145,8 @@
 	maxIDBytes     = 80
 )
 
-// Validate returns a message for the submitter that names the field and the
-// fix, or "" when the declaration is sound.
+// Validate returns a message for the submitter that names the invalid field and
+// the fix, or "" if the declaration is valid.
 func (s JobSpec) Validate() string {
 	switch {
 	case !ValidName(s.ID):
@@ -167,7 +165,7 @@
 	return ""
 }
 
-// ValidName reports whether s can name a job, team, service or watch.
+// ValidName reports whether s is a valid name of a job, team, service or watch.
 func ValidName(s string) bool {
 	if s == "" || len(s) > maxIDBytes {
 		return false
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,5 +1,5 @@
-// Package netio is how a process listens and connects. Production uses TCP;
-// tests use package fakenet, which loses, delays and cuts what they ask for.
+// Package netio abstracts how a process listens and connects. Production uses TCP;
+// tests use package fakenet, which can lose and delay data and break connections.
 package netio
 
 import (
@@ -12,14 +12,15 @@
 // Network listens and connects by ip:port.
 type Network interface {
 	Listen(address string) (net.Listener, error)
-	// DialContext has the signature that http.Transport wants; network is "tcp".
+	// DialContext has the signature that http.Transport needs; network is "tcp".
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// dialTimeout bounds connecting; past it the other side was not reached.
+// dialTimeout bounds the time to connect. A dial that exceeds it did not reach the
+// other side.
 const dialTimeout = time.Second
 
-// TCP is the real network.
+// TCP implements Network with the operating system's TCP.
 type TCP struct{}
 
 // Listen implements Network.
@@ -31,7 +32,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// idleTimeout closes connections of Client that nobody uses.
+// idleTimeout is how long a client keeps an unused connection open.
 const idleTimeout = 30 * time.Second
 
 // Client returns an HTTP client over n that keeps up to idle connections open
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits, once or again and again.
+// Package pause provides waits that end with a context.
 package pause
 
 import (
@@ -16,7 +16,8 @@
 	}
 }
 
-// Every calls do at each interval until ctx ends; the first time after one interval.
+// Every calls do once per interval until ctx ends, for the first time after one
+// interval.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,19 +1,19 @@
-// Package placement chooses the VM for a task or a request. It is pure: a
-// snapshot of candidates goes in, a choice comes out.
+// Package placement chooses the VM for a task from a snapshot of candidates. Its
+// functions are pure.
 package placement
 
 import (
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Candidate is one VM as the chooser sees it.
+// Candidate describes a VM that a task could be placed on.
 type Candidate struct {
 	Name string
-	// Free is what tasks may still take on it.
+	// Free is the amount of resources that tasks may still take.
 	Free     model.Resources
 	Capacity model.Resources
-	// Slowdown is the newest measured factor by which its tasks slow its
-	// requests; 1 is none.
+	// Slowdown is the latest measured factor by which the VM's tasks slow its
+	// requests; 1 means no slowdown.
 	Slowdown float64
 }
 
@@ -24,7 +24,7 @@
 	weightSlowdown     = 1.0
 )
 
-// Choose returns the index of the best candidate that holds need, or -1.
+// Choose returns the index of the best candidate with the resources need free, or -1.
 func Choose(candidates []Candidate, need model.Resources) int {
 	best, bestScore := -1, 0.0
 	for i, c := range candidates {
@@ -38,9 +38,9 @@
 	return best
 }
 
-// Score rates a candidate that holds need; higher is better. It spreads load
-// over processors, keeps tasks without accelerators off the VMs that have them
-// free, and avoids VMs whose requests are already slowed.
+// Score rates a candidate that has need free; higher is better. It spreads load by
+// processors, keeps tasks that need no accelerators off VMs with free ones, and
+// avoids VMs whose requests are already slowed down.
 func Score(c Candidate, need model.Resources) float64 {
 	score := 0.0
 	if c.Capacity.MilliCPU > 0 {
--- a/internal/ports/ports.go
+++ b/internal/ports/ports.go
@@ -1,12 +1,11 @@
-// Package ports hands out loopback ports to processes of tests and demonstrations
-// that must know their addresses before they listen, and that may listen there anew
-// after they were ended.
+// Package ports assigns loopback ports to processes of tests and demonstrations
+// that must know their addresses before they listen, and that may listen there
+// again after a restart.
 //
-// A port that was found free by listening and closing is anybody's until its owner
-// listens: the next one who asks the system for any port may get it. So blocks come
-// from below the ports that the system gives out by itself, and the first port of a
-// block stays bound as long as the block is in use, which keeps other tests and
-// processes that use this package away.
+// A port that was found free by listening and closing may be taken by any process
+// that requests an ephemeral port before its owner listens. Blocks are therefore
+// below the ephemeral port range, and the first port of a block stays bound while
+// the block is in use, which excludes other users of this package.
 package ports
 
 import (
@@ -17,24 +16,24 @@
 )
 
 const (
-	// minPort and highest bound the ports handed out: above those of well-known
-	// services, below 32768, from where Linux gives ports to those who ask for any.
+	// minPort and maxPort bound the assigned ports: above those of well-known
+	// services and below 32768, where the ephemeral ports of Linux start.
 	minPort, maxPort = 12_000, 32_000
-	// blockPorts is the size of a block, the claiming port among them.
+	// blockPorts is the size of a block, including the bound first port.
 	blockPorts = 16
 	blocks     = (maxPort - minPort) / blockPorts
-	// MaxPorts is how many ports one block has for its owner.
+	// MaxPorts is the number of ports of a block that its owner can use.
 	MaxPorts = blockPorts - 1
 	host     = "127.0.0.1"
 )
 
-// Block is a block of ports that nobody else is given until it is released.
+// Block is a block of ports that is exclusive to its owner until it is released.
 type Block struct {
 	claim net.Listener
 	first int
 }
 
-// Claim returns a block in which no port is in use.
+// Claim returns a block without a port in use.
 func Claim() (*Block, error) {
 	start := rand.IntN(blocks)
 	for i := range blocks {
@@ -45,7 +44,7 @@
 	return nil, fmt.Errorf("none of %d blocks of ports from %d on is free", blocks, minPort)
 }
 
-// claim takes the block that begins at a port, or returns nil.
+// claim returns the block whose first port is given, or nil if a port of it is in use.
 func claim(first int) *Block {
 	ln, err := net.Listen("tcp", address(first))
 	if err != nil {
@@ -53,7 +52,7 @@
 	}
 	b := &Block{claim: ln, first: first}
 	for i := range MaxPorts {
-		// Another program, or a process that outlived its test, may listen there.
+		// Another program, or a process left over from a test, may use the port.
 		used, err := net.Listen("tcp", b.Address(i))
 		if err != nil {
 			b.Release()
@@ -66,11 +65,11 @@
 
 func address(port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// Port is the block's port i, from 0 to below Most.
+// Port returns the block's port i, from 0 to MaxPorts-1.
 func (b *Block) Port(i int) int { return b.first + 1 + i }
 
-// Address is ip:port of the block's port i.
+// Address returns the ip:port of the block's port i.
 func (b *Block) Address(i int) string { return address(b.Port(i)) }
 
-// Release gives the block back; call it once its ports are in use no more.
+// Release makes the block available again. Its ports must not be in use.
 func (b *Block) Release() { _ = b.claim.Close() }
--- a/internal/ports/ports_test.go
+++ b/internal/ports/ports_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Processes of a deployment found "address already in use" at ports that had been
-// found free for them: between the look and their listening, another process had
-// asked the system for any port and was given one of these. Here others ask for
-// ports all the time, from the system and from this package.
+// Guards against "address already in use" at a port that was found free before: the
+// system assigned it to another process that requested an ephemeral port. Here
+// other goroutines request ports from the system and from this package all the time.
 func TestClaimedPortsStayFreeForTheirOwner(t *testing.T) {
 	stop := make(chan struct{})
 	var others sync.WaitGroup
@@ -25,7 +24,7 @@
 		b, err := Claim()
 		require.NoError(t, err)
 		for range 5 {
-			// The owner ends and starts anew.
+			// The owner stops and restarts.
 			for i := range MaxPorts {
 				ln, err := net.Listen("tcp", b.Address(i))
 				require.NoError(t, err)
@@ -36,7 +35,8 @@
 	}
 }
 
-// bindRandomPorts holds some hundred ports that the system chose, others all the time.
+// bindRandomPorts keeps up to 200 ports bound that the system chooses, and
+// continually replaces them.
 func bindRandomPorts(stop chan struct{}) {
 	var held [200]net.Listener
 	for i := 0; ; i = (i + 1) % len(held) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A block of which any port is in use is passed over, and is free again once it is
-// released.
+// Guards against assigning a block that another owner has claimed, or of which another
+// process uses a port.
 func TestClaimSkipsBlocksInUse(t *testing.T) {
 	b, err := Claim()
 	require.NoError(t, err)
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,6 +1,7 @@
-// Package steady is the clock that leases are kept by: it never jumps, and it
-// counts the time in which the machine was suspended. Go's own steady clock does
-// not count that time: a process that wakes would take an old lease for valid.
+// Package steady provides the monotonic clock that leases are measured by. It
+// includes the time in which the machine was suspended. Go's own monotonic clock
+// excludes that time, so that a process would take an expired lease for valid
+// after a suspension.
 package steady
 
 import (
@@ -14,8 +15,9 @@
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Only a kernel without this clock refuses; time since the start then
-		// leaves suspensions out, and the fencing tokens at the VMs remain.
+		// Only a kernel without this clock fails. The time since the start then
+		// excludes suspensions, and only the fencing tokens at the VMs protect
+		// against an expired lease.
 		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
@@ -23,5 +25,5 @@
 
 var processStart = time.Now()
 
-// Now is the time since the process started.
+// Now returns the time since the process started.
 func Now() time.Duration { return sinceBoot() - startedAt }
--- a/internal/target/httptarget/client.go
+++ b/internal/target/httptarget/client.go
@@ -1,5 +1,5 @@
-// Package httptarget is the adapter to targets over HTTP. It is the only package
-// that knows the names of their headers; the stand-in worker imports them.
+// Package httptarget implements target.Target over HTTP. Only it defines the names of
+// the protocol's headers; the stand-in worker imports them.
 package httptarget
 
 import (
@@ -18,13 +18,13 @@
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderOriginID  = "X-Origin-Id"
-	// HeaderDeadlineMS is the time left for the request, in milliseconds.
+	// HeaderDeadlineMS is the remaining time for the request, in milliseconds.
 	HeaderDeadlineMS = "X-Deadline-Ms"
 	HeaderClass      = "X-Class"
 	HeaderResume     = "X-Resume-From"
 )
 
-// answerMargin is taken off the deadline for the way back.
+// answerMargin is subtracted from the remaining time for the transfer of the answer.
 const answerMargin = 2 * time.Millisecond
 
 // Client implements target.Target.
@@ -71,9 +71,9 @@
 	return &target.Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body}, nil
 }
 
-// check refuses an answer to another request, which a target sends that answers
-// twice or out of order on one connection, and an answer whose end could not be
-// told from a cut-off.
+// check rejects an answer to another request, which a faulty target sends when it
+// answers twice or out of order on one connection, and an answer whose end cannot
+// be distinguished from a truncation.
 func check(resp *http.Response, hopID string) error {
 	if resp.Header.Get(HeaderRequestID) != hopID {
 		return target.ErrMismatch
--- a/internal/target/targettest/contract.go
+++ b/internal/target/targettest/contract.go
@@ -1,5 +1,5 @@
-// Package targettest holds the contract of package target as a test. Every
-// implementation of its interface runs it.
+// Package targettest tests the contract of target.Target. Every implementation
+// runs it.
 package targettest
 
 import (
@@ -27,8 +27,8 @@
 	}
 }
 
-// Target checks a target that takes "ms" to answer path with the body that want
-// gives for the caller's id. At most four connections may be open to it.
+// Target tests a target that answers path after "ms" milliseconds with the body
+// that want returns for the caller's ID. At most four connections may be open to it.
 func Target(t *testing.T, c target.Target, path string, want func(origin string) []byte) {
 	t.Helper()
 	testWholeAnswers(t, c, path, want)
@@ -38,7 +38,8 @@
 	require.Zero(t, c.Connections())
 }
 
-// testWholeAnswers sends many at once: each gets its own answer, on few connections.
+// testWholeAnswers checks that concurrent requests on few connections each receive
+// their own complete answer.
 func testWholeAnswers(t *testing.T, c target.Target, path string, want func(string) []byte) {
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -64,7 +65,8 @@
 	wg.Wait()
 }
 
-// testDeadline: a caller that stops waiting is told that the target may have run it.
+// testDeadline checks that a request whose caller stops waiting is reported as
+// possibly run.
 func testDeadline(t *testing.T, c target.Target, path string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -75,7 +77,7 @@
 	time.Sleep(time.Second)
 }
 
-// testCutOffBody: a body that breaks off is never answered as if it were whole.
+// testCutOffBody checks that a truncated request body results in an error.
 func testCutOffBody(t *testing.T, c target.Target, path string) {
 	r := request("cut", path, "")
 	r.Length = 1000
--- a/internal/worker/httpworker/client.go
+++ b/internal/worker/httpworker/client.go
@@ -1,6 +1,5 @@
-// Package httpworker is the adapter to the platform's agent on a VM over HTTP.
-// It is the only package that knows the agent's wire format; the stand-in
-// worker imports the same message types.
+// Package httpworker implements worker.Agent over HTTP. Only it defines the wire
+// format of the agent; the stand-in worker imports its message types.
 package httpworker
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// StatusQuery asks for a list newer than After, waiting at most WaitMS.
+// StatusQuery requests the changes after sequence After, waiting at most WaitMS.
 type StatusQuery struct {
 	After  int64 `url:"after"`
 	WaitMS int64 `url:"wait_ms"`
@@ -39,7 +38,7 @@
 	Share float64 `json:"share"`
 }
 
-// WireForget drops ended attempts.
+// WireForget removes ended attempts from the agent's list.
 type WireForget struct {
 	Refs []worker.Ref `json:"refs"`
 }
@@ -48,10 +47,10 @@
 type WireOK struct{}
 
 const (
-	// idleConnections is how many connections to an agent are kept: one waits for
-	// changes, the other carries calls.
+	// idleConnections is the number of connections kept to an agent: one that waits
+	// for changes, and one for other calls.
 	idleConnections = 2
-	// callTimeout bounds a call that does not wait.
+	// callTimeout bounds a call, not counting the wait of a status query.
 	callTimeout = 3 * time.Second
 )
 
@@ -65,11 +64,11 @@
 
 // New returns a client of the agent at address (ip:port).
 func New(network netio.Network, address string) *Client {
-	hc := netio.Client(network, idleConnections)
-	return &Client{base: sling.New().Client(hc).Base("http://" + address + "/agent/"), http: hc}
+	httpClient := netio.Client(network, idleConnections)
+	return &Client{base: sling.New().Client(httpClient).Base("http://" + address + "/agent/"), http: httpClient}
 }
 
-// Close drops the client's idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) do(ctx context.Context, s *sling.Sling, timeout time.Duration, answer any) error {
@@ -79,7 +78,7 @@
 	if err != nil {
 		return errors.Wrap(err, "build agent request")
 	}
-	// See httpplatform: no silent repeat by the HTTP client.
+	// Prevents the HTTP client from repeating the request by itself; see httpplatform.
 	req.GetBody = nil
 	resp, err := s.Do(req.WithContext(ctx), answer, nil)
 	if resp == nil {
@@ -98,7 +97,8 @@
 	return nil
 }
 
-// transportKind tells a call that never connected from one whose answer was lost.
+// transportKind distinguishes a call that did not connect from one whose answer was
+// lost.
 func transportKind(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -107,7 +107,7 @@
 	return worker.ErrUnknown
 }
 
-// errNoStatus: the agent answered with success and without its status.
+// errNoStatus is the error for a successful answer without a status.
 var errNoStatus = errors.Mark(errors.New("the agent's answer holds no status"), worker.ErrUnknown)
 
 // Status implements worker.Agent.
@@ -116,8 +116,8 @@
 	q := StatusQuery{After: after, WaitMS: wait.Milliseconds()}
 	err := c.do(ctx, c.base.New().Get("status").QueryStruct(q), callTimeout+wait, &status)
 	if err == nil && status.Boot == "" {
-		// Taken for a status it would be that of a VM that has restarted and holds
-		// nothing: all that runs there would be started again elsewhere.
+		// Accepted as a status, it would look like that of a restarted VM without
+		// tasks, and all tasks running there would be started again elsewhere.
 		err = errNoStatus
 	}
 	return status, err
--- a/internal/worker/httpworker/client_test.go
+++ b/internal/worker/httpworker/client_test.go
@@ -12,11 +12,9 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// What happened: all tasks of a VM were counted as lost and started again elsewhere
-// while they ran.
-// Sequence: the agent answers a status call with success and nothing else.
-// Cause: an answer without its content was taken for the list of a VM that has
-// restarted and holds nothing.
+// Guards against counting all tasks of a VM as lost and starting them again
+// elsewhere while they run. The agent answers a status call with success and
+// without a status, which must not be taken for that of a restarted VM.
 func TestAnswerWithoutContentIsNoStatus(t *testing.T) {
 	for _, body := range []string{"", "{}", `{"tasks":[]}`} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }))
--- a/internal/worker/workertest/contract.go
+++ b/internal/worker/workertest/contract.go
@@ -1,5 +1,5 @@
-// Package workertest holds the contract of package worker as a test. Every
-// implementation of its interface runs it.
+// Package workertest tests the contract of worker.Agent. Every implementation runs
+// it.
 package workertest
 
 import (
@@ -37,8 +37,8 @@
 	return worker.Task{}, false
 }
 
-// Agent checks an agent without tasks against the contract, in a bubble of
-// package testing/synctest.
+// Agent tests the contract on an agent without tasks. It must run in a synctest
+// bubble.
 func Agent(t *testing.T, a worker.Agent) {
 	t.Helper()
 	testFinish(t, a)
@@ -57,7 +57,7 @@
 	require.Equal(t, need, task.Resources)
 	time.Sleep(2 * time.Second)
 	task, _ = find(t, a, ref)
-	require.Equal(t, worker.Finished, task.State, "the end stays listed until it is forgotten")
+	require.Equal(t, worker.Finished, task.State, "an ended task is listed until Forget is called")
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref}))
 	_, ok = find(t, a, ref)
 	require.False(t, ok)
@@ -71,11 +71,11 @@
 	require.Len(t, s.Tasks, 1, "a repeat has no effect")
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref}))
 	_, ok := find(t, a, ref)
-	require.True(t, ok, "what runs is not forgotten")
+	require.True(t, ok, "a running task is not removed by Forget")
 	_, err = a.Stop(t.Context(), ref, false)
 	require.NoError(t, err)
 	again, err := a.Stop(t.Context(), ref, false)
-	require.NoError(t, err, "stopping twice is the same")
+	require.NoError(t, err, "stopping an ended attempt again succeeds")
 	require.Equal(t, worker.Stopped, again.State)
 	require.NoError(t, a.Forget(t.Context(), []worker.Ref{ref}))
 }
@@ -86,7 +86,7 @@
 	require.NoError(t, a.Renew(t.Context(), leaseDuration))
 	time.Sleep(3 * time.Second)
 	task, _ := find(t, a, ref)
-	require.Equal(t, worker.Running, task.State, "renewed, it runs on")
+	require.Equal(t, worker.Running, task.State, "a renewed lease keeps the task running")
 	time.Sleep(2 * time.Second)
 	task, _ = find(t, a, ref)
 	require.Equal(t, worker.Lapsed, task.State)
@@ -98,14 +98,14 @@
 	time.Sleep(time.Second)
 	saved, err := a.CheckpointAll(t.Context())
 	require.NoError(t, err)
-	require.Len(t, saved, 1, "of what runs")
+	require.Len(t, saved, 1, "one checkpoint for the running task")
 	require.Equal(t, ref, saved[0].Ref)
 	require.NotEmpty(t, saved[0].Checkpoint)
 	time.Sleep(time.Second)
 	stopped, err := a.Stop(t.Context(), ref, true)
 	require.NoError(t, err)
 	require.Equal(t, worker.Stopped, stopped.State)
-	require.NotEqual(t, saved[0].Checkpoint, stopped.Checkpoint, "stopping saves what was done since")
+	require.NotEqual(t, saved[0].Checkpoint, stopped.Checkpoint, "stopping saves the progress since the last checkpoint")
 	next := start(t, a, "resumes", 2, 60_000, stopped.Checkpoint)
 	task, _ := find(t, a, next)
 	require.Equal(t, stopped.Checkpoint, task.Checkpoint)
@@ -120,7 +120,7 @@
 	require.ErrorIs(t, err, worker.ErrNoTask)
 	require.ErrorIs(t, a.Throttle(t.Context(), unknown, 0.5), worker.ErrNoTask)
 	late := worker.StartRequest{Ref: unknown, LeaseMS: 1000, NotAfterUnixMS: time.Now().Add(-time.Second).UnixMilli()}
-	require.ErrorIs(t, a.Start(t.Context(), late), worker.ErrRefused, "a start that comes too late")
+	require.ErrorIs(t, a.Start(t.Context(), late), worker.ErrRefused, "a start after its NotAfterUnixMS")
 	_, ok := find(t, a, unknown)
 	require.False(t, ok)
 }
@@ -132,7 +132,7 @@
 	same, err := a.Status(t.Context(), s.Sequence, 2*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, s.Sequence, same.Sequence)
-	require.Empty(t, same.Tasks, "what has not changed is not sent again")
+	require.Empty(t, same.Tasks, "unchanged tasks are not sent again")
 	require.InDelta(t, 2.0, time.Since(began).Seconds(), 0.5, "nothing changed")
 	time.AfterFunc(time.Second, func() {
 		_ = a.Start(t.Context(), worker.StartRequest{Ref: worker.Ref{Task: "w", Attempt: 1}, DurationMS: 100, LeaseMS: 1000})
@@ -141,8 +141,8 @@
 	changed, err := a.Status(t.Context(), s.Sequence, 10*time.Second)
 	require.NoError(t, err)
 	require.Greater(t, changed.Sequence, s.Sequence)
-	require.InDelta(t, 1.0, time.Since(began).Seconds(), 0.5, "told at once")
-	require.Len(t, changed.Tasks, 1, "only what changed")
+	require.InDelta(t, 1.0, time.Since(began).Seconds(), 0.5, "a change is returned without delay")
+	require.Len(t, changed.Tasks, 1, "only the changed task")
 	time.Sleep(200 * time.Millisecond)
 	ended, err := a.Status(t.Context(), changed.Sequence, 0)
 	require.NoError(t, err)
