--- a/internal/jobs/absence_test.go
+++ b/internal/jobs/absence_test.go
@@ -19,12 +19,10 @@
 	return Op{Kind: OpSubmit, Spec: &sp}
 }
 
-// What happened: jobs were gone after a change of leader.
-// Sequence: a leader whose ring is full is paused as it writes its snapshot; another
-// takes over and writes a newer one; the first wakes, is told of the conflict and
-// tries again.
-// Cause: it took the other's revision over without a look at what the other had
-// written, and replaced the newer snapshot by its own.
+// Guards against losing jobs after a change of leader. A leader whose ring is full is
+// paused while it writes its snapshot, and a successor writes a newer one. On the
+// conflict the old leader must not adopt the successor's revision and overwrite the
+// newer snapshot.
 func TestSnapshotOfASuccessorIsNotReplaced(t *testing.T) {
 	store := newStore()
 	old, next := newLog(store), newLog(store)
@@ -47,10 +45,9 @@
 	require.Equal(t, next.snapRev, snap.Revision)
 }
 
-// What happened: a shard was read as if it were nearly empty, and written on.
-// Sequence: its snapshot is missing, or is older than the oldest entry of the ring.
-// Cause: an entry that is not there was taken for the end of the log, though later
-// ones are.
+// Guards against reading a shard as nearly empty, and writing on from there, when its
+// snapshot is missing or older than the oldest entry of the ring. A missing entry
+// followed by later ones is an error, not the end of the log.
 func TestGapInTheLogIsNotItsEnd(t *testing.T) {
 	store := newStore()
 	l := newLog(store)
@@ -69,17 +66,15 @@
 	require.Error(t, err)
 }
 
-// What happened: a task that had finished was executed again.
-// Sequence: a leader is paused; another takes over and starts the next attempt of a
-// task; its end is reported to the first leader as it wakes, to which the attempt
-// does not fit; it says that the end is recorded, and the VM forgets it.
-// Cause: an answer for which nothing had to be written was given without a look at
-// whether the node still leads.
+// Guards against executing a finished task again. A leader is paused, and its
+// successor starts the task's next attempt. That attempt's end is reported to the old
+// leader, whose state does not know the attempt. If it confirmed the end without
+// checking that it still leads, the VM would forget an end that is not recorded.
 func TestDeposedLeaderRecordsNoEnds(t *testing.T) {
-	leads := true
+	isLeader := true
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	l := newLeader("00", "n", newStore(), nil, nil, func() bool { return leads }, logrus.NewEntry(logger))
+	l := newLeader("00", "n", newStore(), nil, nil, func() bool { return isLeader }, logrus.NewEntry(logger))
 	state, err := l.log.load(t.Context())
 	require.NoError(t, err)
 	l.state = state
@@ -95,8 +90,8 @@
 	callCtx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
 	_, err = l.Report(callCtx, report)
-	require.NoError(t, err, "the job is known not to be there")
-	leads = false
+	require.NoError(t, err, "a report about a job that does not exist must succeed while the node leads")
+	isLeader = false
 	_, err = l.Report(callCtx, report)
 	require.True(t, errkind.Is(err, errkind.NotOwner), "%v", err)
 }
--- a/internal/jobs/info.go
+++ b/internal/jobs/info.go
@@ -6,7 +6,7 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Info describes a job to people and programs.
+// Info describes a job in API responses.
 type Info struct {
 	Spec        model.JobSpec  `json:"spec"`
 	SubmittedMS int64          `json:"submitted_unix_ms"`
@@ -14,11 +14,11 @@
 	Cancelled   bool           `json:"cancelled,omitempty"`
 	Counts      map[string]int `json:"counts"`
 	Evictions   int            `json:"evictions"`
-	// Tasks is set only when one job was asked for.
+	// Tasks is set only when a single job is requested.
 	Tasks []TaskInfo `json:"tasks,omitempty"`
 }
 
-// TaskInfo describes one task.
+// TaskInfo describes one task of a job in API responses.
 type TaskInfo struct {
 	Index      int    `json:"index"`
 	State      string `json:"state"`
@@ -29,21 +29,21 @@
 	Evictions  int    `json:"evictions,omitempty"`
 }
 
-// Listing describes a team's jobs. Totals are those of the team's whole shard.
+// Listing describes a team's jobs. Totals covers all teams of the shard.
 type Listing struct {
 	Jobs   []Info `json:"jobs"`
 	Totals Totals `json:"shard_totals"`
 }
 
-// InfoOf describes j, with its tasks if asked.
-func InfoOf(j *Job, tasks bool) Info {
+// InfoOf describes j, with its tasks if tasks is set.
+func InfoOf(j *Job, withTasks bool) Info {
 	info := Info{
 		Spec: j.Spec, SubmittedMS: j.SubmittedMS, EndedMS: j.EndedMS, Cancelled: j.Cancelled, Counts: map[string]int{},
 	}
 	for i, t := range j.Tasks {
 		info.Counts[t.State.String()]++
 		info.Evictions += t.Evictions
-		if tasks {
+		if withTasks {
 			info.Tasks = append(info.Tasks, TaskInfo{
 				Index: i, State: t.State.String(), Attempt: t.Attempt, VM: t.VM,
 				Checkpoint: t.Checkpoint, Failures: t.Failures, Evictions: t.Evictions,
@@ -53,7 +53,7 @@
 	return info
 }
 
-// SortInfos sorts by submission, oldest first.
+// SortInfos sorts by submission time, oldest first, and then by job ID.
 func SortInfos(infos []Info) {
 	sort.Slice(infos, func(i, j int) bool {
 		if infos[i].SubmittedMS != infos[j].SubmittedMS {
@@ -63,7 +63,7 @@
 	})
 }
 
-// Usage tells what a team's jobs take now.
+// Usage holds what a team's jobs currently use.
 type Usage struct {
 	OpenJobs  int             `json:"open_jobs"`
 	Placed    int             `json:"placed"`
@@ -71,7 +71,7 @@
 	Resources model.Resources `json:"resources"`
 }
 
-// UsageOf sums a listing.
+// UsageOf sums the usage of the jobs in a listing.
 func UsageOf(l Listing) Usage {
 	var u Usage
 	for _, j := range l.Jobs {
--- a/internal/jobs/leader.go
+++ b/internal/jobs/leader.go
@@ -17,21 +17,21 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// Offer is a node's room for tasks, as last heard.
+// Offer is the free capacity for tasks that a node last reported.
 type Offer struct {
 	Node string
 	Zone string
 	Free model.Resources
 }
 
-// Cluster is what a leader needs of the nodes that own VMs.
+// Cluster gives a shard leader access to the nodes that own VMs.
 type Cluster interface {
-	// Offers returns the room of each node, as last heard.
+	// Offers returns the last reported free capacity of each node.
 	Offers() []Offer
-	// Owner returns the node that owns a VM. listed is false when the platform's
-	// list does not have the VM; known is false when no live node owns it.
+	// Owner returns the node that owns a VM. listed is false when the platform's list
+	// lacks the VM; known is false when no live node owns it.
 	Owner(vm string) (node string, listed, known bool)
-	// FitsNowhere explains why a task can never run, or returns "".
+	// FitsNowhere returns why no VM can ever run a task of the job, or "" if one can.
 	FitsNowhere(spec model.JobSpec) string
 	Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.TaskRequirements) ([]vms.Attempt, error)
 	Start(ctx context.Context, node string, attempts []vms.Attempt, durationMS int64) ([]vms.Attempt, error)
@@ -40,26 +40,26 @@
 }
 
 const (
-	// maxBatch bounds the commands committed with one entry.
+	// maxBatch bounds the commands committed with one log entry.
 	maxBatch = 256
-	// planInterval is the longest time between two looks at the queue.
+	// planInterval is the longest time between two passes over the queue.
 	planInterval = 100 * time.Millisecond
-	// maxEndedJobs is how many ended jobs a shard remembers.
+	// maxEndedJobs is how many ended jobs a shard keeps.
 	maxEndedJobs = 200
 	// maxOpenTasks bounds the tasks of a shard's open jobs, so that its snapshot
-	// stays far below the store's largest value.
+	// stays far below the store's maximum value size.
 	maxOpenTasks = 20_000
 )
 
-// command is something to do in the leader's loop.
+// command is a request executed by the leader's loop.
 type command struct {
-	// ops returns the operations to commit; an error commits none.
+	// ops returns the operations to commit; on an error none is committed.
 	ops func(s *State) ([]Op, error)
-	// done is told when the operations are committed, or why they are not.
+	// done is called with nil once the operations are committed, or with the error.
 	done func(error)
 }
 
-// Leader writes one shard while this node owns it.
+// Leader is the only writer of one shard while this node owns it.
 type Leader struct {
 	shard   string
 	node    string
@@ -74,7 +74,7 @@
 	stopped  chan struct{}
 	planner  *planner
 
-	// state belongs to the loop's goroutine.
+	// state is accessed only by the loop's goroutine.
 	state *State
 }
 
@@ -88,7 +88,7 @@
 	return l
 }
 
-// run leads the shard until ctx ends or another node has taken over.
+// run leads the shard until ctx ends or another node takes over.
 func (l *Leader) run(ctx context.Context) {
 	defer close(l.stopped)
 	if !l.takeOver(ctx) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// takeOver reads the shard and writes the entry that shuts earlier leaders out.
+// takeOver loads the shard and writes the entry that fences off earlier leaders.
 func (l *Leader) takeOver(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		state, err := l.log.load(ctx)
@@ -134,13 +134,14 @@
 			l.planner.adopt(state, time.Now())
 			return true
 		}
-		l.logger.WithError(err).Warn("job shard could not be taken up; trying again")
+		l.logger.WithError(err).Warn("failed to take over job shard; retrying")
 		pause.For(ctx, commitRetryDelay)
 	}
 	return false
 }
 
-// collectBatch takes what else waits, so that it shares one entry.
+// collectBatch adds the commands that are already queued, so that they share one
+// entry.
 func (l *Leader) collectBatch(first command) []command {
 	batch := []command{first}
 	for len(batch) < maxBatch {
@@ -154,18 +155,18 @@
 	return batch
 }
 
-// process applies a batch, commits it with one entry and answers. On an error
-// the state in memory is ahead of the store and the leader must end.
+// process applies a batch, commits it with one entry and completes its commands.
+// After an error the state in memory is ahead of the store and the leader must stop.
 func (l *Leader) process(ctx context.Context, batch []command) error {
 	var ops []Op
 	var waiting []command
 	for _, c := range batch {
-		more, err := c.ops(l.state)
-		if err != nil || len(more) == 0 {
+		proposed, err := c.ops(l.state)
+		if err != nil || len(proposed) == 0 {
 			c.done(l.uncommittedResult(err))
 			continue
 		}
-		applied := l.applyAll(more)
+		applied := l.applyAll(proposed)
 		ops = append(ops, applied...)
 		waiting = append(waiting, c)
 	}
@@ -185,9 +186,10 @@
 	return err
 }
 
-// uncommittedResult is the answer to a command for which nothing is committed. Only a commit
-// shows that nobody else leads: without one a leader that was paused would say of an
-// end that it does not know that it is recorded, or of a job that there is none.
+// uncommittedResult returns the result of a command for which nothing is committed.
+// Only a commit proves that no other node leads. Without this check, a leader that
+// resumes after a pause could confirm the end of an attempt that it does not know as
+// recorded, or report an existing job as missing.
 func (l *Leader) uncommittedResult(err error) error {
 	if !l.isLeader() {
 		return ErrSuperseded
@@ -195,7 +197,7 @@
 	return err
 }
 
-// applyAll applies the operations that fit and returns them.
+// applyAll applies the operations that the state accepts and returns them.
 func (l *Leader) applyAll(ops []Op) []Op {
 	applied := ops[:0:0]
 	for _, op := range ops {
@@ -207,9 +209,9 @@
 	return applied
 }
 
-// commit writes an entry, and a snapshot when one is due. While the store is
-// away it waits: running tasks go on, and what waits here is told by its own
-// timeout that the outcome is unknown.
+// commit writes an entry, and a snapshot when one is due. It blocks while the store
+// is unavailable: running tasks continue, and waiting callers time out with an
+// unknown outcome.
 func (l *Leader) commit(ctx context.Context, ops []Op) error {
 	if err := l.log.append(ctx, ops); err != nil {
 		return err
@@ -222,14 +224,14 @@
 		if err == nil || !l.log.snapshotOverdue() {
 			break
 		}
-		l.logger.WithError(err).Warn("snapshot of job shard failed; the ring is full, trying again")
+		l.logger.WithError(err).Warn("failed to write snapshot of job shard; the log ring is full, retrying")
 		pause.For(ctx, commitRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// do runs ops in the loop and returns once they are committed. When ctx ends
-// first the outcome is unknown.
+// do runs ops in the loop and returns once they are committed. If ctx ends first, the
+// outcome is unknown.
 func (l *Leader) do(ctx context.Context, ops func(s *State) ([]Op, error)) error {
 	result := make(chan error, 1)
 	c := command{ops: ops, done: func(err error) { result <- err }}
@@ -238,8 +240,8 @@
 	case <-l.stopped:
 		return errkind.New(errkind.NotOwner, "", nil)
 	case <-ctx.Done():
-		// Not taken up, so certainly not done.
-		return errkind.New(errkind.StoreUnavailable, "the job shard waits for the store", ctx.Err())
+		// The command was not accepted, so it is certainly not executed.
+		return errkind.New(errkind.StoreUnavailable, "the job shard is waiting for the store", ctx.Err())
 	}
 	select {
 	case err := <-result:
@@ -249,14 +251,14 @@
 		case err := <-result:
 			return commandError(err)
 		default:
-			return errkind.New(errkind.StoreUnknown, "the job shard changed hands meanwhile", nil)
+			return errkind.New(errkind.StoreUnknown, "the leader of the job shard changed during the call", nil)
 		}
 	case <-ctx.Done():
-		return errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", ctx.Err())
+		return errkind.New(errkind.StoreUnknown, "the outcome is unknown; the call is idempotent, repeat it", ctx.Err())
 	}
 }
 
-// commandError gives an error of the state or the log its kind.
+// commandError maps an error of the state or the log to an errkind error.
 func commandError(err error) error {
 	var known *errkind.Error
 	switch {
@@ -269,20 +271,20 @@
 	case errors.Is(err, ErrSuperseded):
 		return errkind.New(errkind.NotOwner, "", err)
 	}
-	return errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", err)
+	return errkind.New(errkind.StoreUnknown, "the outcome is unknown; the call is idempotent, repeat it", err)
 }
 
-// Submit accepts a job. Submitting the same job again is recognised.
+// Submit accepts a job. It is idempotent: submitting an identical job again succeeds.
 func (l *Leader) Submit(ctx context.Context, spec model.JobSpec) error {
-	if why := l.cluster.FitsNowhere(spec); why != "" {
-		return errkind.New(errkind.InvalidRequest, "the job can never run: "+why, nil)
+	if reason := l.cluster.FitsNowhere(spec); reason != "" {
+		return errkind.New(errkind.InvalidRequest, "the job can never run: "+reason, nil)
 	}
 	return l.do(ctx, func(s *State) ([]Op, error) {
 		if j := s.Jobs[JobKey(spec.Team, spec.ID)]; j != nil {
 			if reflect.DeepEqual(j.Spec, spec) {
 				return nil, nil
 			}
-			return nil, errkind.New(errkind.AlreadyExists, "the team has another job of that id", nil)
+			return nil, errkind.New(errkind.AlreadyExists, "the team already has a different job with this id", nil)
 		}
 		open := spec.Tasks
 		for _, j := range s.Jobs {
@@ -297,7 +299,7 @@
 	})
 }
 
-// Cancel ends a job; its running tasks are stopped by the owners of their VMs.
+// Cancel cancels a job; its running tasks are stopped by the owners of their VMs.
 func (l *Leader) Cancel(ctx context.Context, key string) error {
 	var placed []vms.Attempt
 	err := l.do(ctx, func(s *State) ([]Op, error) {
@@ -321,8 +323,9 @@
 	return err
 }
 
-// Report takes what a VM's owner says of attempts. What is returned as recorded
-// needs no further report; what is obsolete must be stopped.
+// Report processes the attempts that a VM's owner reports. On success all reported
+// ends are recorded and need no further report; the attempts returned as obsolete
+// must be stopped.
 func (l *Leader) Report(ctx context.Context, attempts []vms.Attempt) (obsolete []worker.Ref, err error) {
 	now := time.Now()
 	err = l.do(ctx, func(s *State) ([]Op, error) {
@@ -347,7 +350,7 @@
 	return obsolete, err
 }
 
-// current reports whether an attempt is the one that should run.
+// current reports whether an attempt is the one that should be running.
 func current(s *State, key string, index int, attempt int64) bool {
 	j := s.Jobs[key]
 	if j == nil || index >= len(j.Tasks) || j.Cancelled {
@@ -364,7 +367,7 @@
 	}
 }
 
-// Read calls f with the committed state.
+// Read calls f in the loop with the committed state.
 func (l *Leader) Read(ctx context.Context, f func(s *State)) error {
 	return l.do(ctx, func(s *State) ([]Op, error) {
 		f(s)
--- a/internal/jobs/log.go
+++ b/internal/jobs/log.go
@@ -13,46 +13,47 @@
 	"github.com/rattanwall/rattanwall/internal/pause"
 )
 
-// A shard is kept in the store as a snapshot and a ring of log entries:
+// A shard is stored as a snapshot and a ring of log entries:
 //
 //	jobs/<shard>/snap      the state after entry Sequence
 //	jobs/<shard>/log/<nn>  entry Sequence, at nn = Sequence mod ringSize
 //
-// An entry is written on condition that its place in the ring is as the writer
-// last saw it. Of two nodes that both believe they lead, one therefore fails at
-// its next entry, whatever their clocks say: the ring is the fence. A new
-// leader first writes an entry that only says so, after which no write of the
-// old one can succeed.
+// An entry is written on condition that its ring slot still has the revision that the
+// writer last saw. If two nodes both consider themselves leader, one of them fails at
+// its next entry, regardless of their clocks: the ring acts as the fence. A new
+// leader first writes an OpLead entry, after which no write of the old leader can
+// succeed.
 //
-// Ways weighed: one value per shard rewritten whole costs the whole state per
-// commit; one key per job costs a write per job and has no order among them.
-// docs/design/003-jobs.md has the figures.
+// Alternatives considered: one value per shard rewritten whole costs the whole state
+// per commit; one key per job costs a write per job and gives no order among jobs.
+// docs/design/003-jobs.md has the measurements.
 const (
 	ringSize = 64
-	// minSnapshotBytes of entries are written before a snapshot is worth it.
+	// minSnapshotBytes is the size of log entries below which no snapshot is written.
 	minSnapshotBytes = 16 << 10
 	logCallTimeout   = 2 * time.Second
-	// commitRetryDelay is the least time between two tries of the same entry.
+	// commitRetryDelay is the delay between two attempts to write the same entry.
 	commitRetryDelay = 200 * time.Millisecond
 )
 
-// entry is one element of the log.
+// entry is one element of the log. The nonce identifies the writer's own entry.
 type entry struct {
 	Sequence int64  `cbor:"1,keyasint"`
 	Nonce    []byte `cbor:"2,keyasint"`
 	Ops      []Op   `cbor:"3,keyasint"`
 }
 
-// snapshot is the state after an entry.
+// snapshot is the state after the entry Sequence.
 type snapshot struct {
 	Sequence int64  `cbor:"1,keyasint"`
 	State    *State `cbor:"2,keyasint"`
 }
 
-// ErrSuperseded says that another node has written to the shard since this one read it.
+// ErrSuperseded is returned when another node has written to the shard since this one
+// read it.
 var ErrSuperseded = errors.New("another node leads the shard")
 
-// log reads and writes one shard's entries.
+// log reads and writes one shard's snapshot and entries.
 type log struct {
 	store    hosting.Store
 	prefix   string
@@ -60,7 +61,7 @@
 	snapSeq  int64
 	snapRev  hosting.Revision
 	snapSize int
-	// pending counts the bytes of entries since the snapshot.
+	// pending is the size in bytes of the entries since the snapshot.
 	pending   int
 	revisions [ringSize]hosting.Revision
 }
@@ -71,7 +72,7 @@
 	return fmt.Sprintf("%slog/%02d", l.prefix, sequence%ringSize)
 }
 
-// load reads the shard's state as far as it is committed.
+// load reads the shard's committed state.
 func (l *log) load(ctx context.Context) (*State, error) {
 	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
@@ -89,25 +90,25 @@
 			l.snapRev, l.snapSize = e.Revision, len(e.Value)
 			continue
 		}
-		one, place, err := l.decodeEntry(e)
+		decoded, slot, err := l.decodeEntry(e)
 		if err != nil {
 			return nil, err
 		}
-		l.revisions[place] = e.Revision
-		bySequence[one.Sequence] = one
+		l.revisions[slot] = e.Revision
+		bySequence[decoded.Sequence] = decoded
 	}
 	return l.replay(snap, bySequence)
 }
 
-func (l *log) decodeEntry(e hosting.Entry) (one entry, place int64, err error) {
-	if err := cbor.Unmarshal(e.Value, &one); err != nil {
-		return one, 0, errors.Wrapf(err, "decode %s", e.Key)
+func (l *log) decodeEntry(e hosting.Entry) (decoded entry, slot int64, err error) {
+	if err := cbor.Unmarshal(e.Value, &decoded); err != nil {
+		return decoded, 0, errors.Wrapf(err, "decode %s", e.Key)
 	}
-	place = one.Sequence % ringSize
-	if one.Sequence <= 0 || l.entryKey(one.Sequence) != e.Key {
-		return one, 0, errors.Newf("%s holds entry %d, which belongs elsewhere", e.Key, one.Sequence)
+	slot = decoded.Sequence % ringSize
+	if decoded.Sequence <= 0 || l.entryKey(decoded.Sequence) != e.Key {
+		return decoded, 0, errors.Newf("%s holds entry %d, which belongs in another slot", e.Key, decoded.Sequence)
 	}
-	return one, place, nil
+	return decoded, slot, nil
 }
 
 // replay applies the entries that follow the snapshot.
@@ -131,21 +132,21 @@
 	}
 }
 
-// checkEnd returns an error when there are entries after the one at which the log
-// seems to end: what is missing before them was committed, and a leader that went on
-// from here would lose it.
+// checkEnd returns an error when entries exist after the one at which the log seems
+// to end. The missing entries were committed, and a leader that continued from here
+// would lose them.
 func (l *log) checkEnd(bySequence map[int64]entry) error {
 	for sequence := range bySequence {
 		if sequence > l.sequence {
-			return errors.Newf("%s lacks entry %d and has %d", l.prefix, l.sequence+1, sequence)
+			return errors.Newf("log %s lacks entry %d but has later entry %d", l.prefix, l.sequence+1, sequence)
 		}
 	}
 	return nil
 }
 
-// append commits ops as the next entry. It keeps trying until the store has
-// answered for certain or ctx ends; ErrSuperseded means that they were not and
-// will not be committed.
+// append commits ops as the next entry. It retries until the store gives a definite
+// answer or ctx ends. ErrSuperseded means that ops were not and will not be
+// committed.
 func (l *log) append(ctx context.Context, ops []Op) error {
 	e := entry{Sequence: l.sequence + 1, Nonce: make([]byte, 8), Ops: ops}
 	_, _ = rand.Read(e.Nonce)
@@ -170,8 +171,8 @@
 	}
 }
 
-// tryAppend writes the entry once and, if the outcome is not certain, reads its
-// place back: the nonce tells our write from another's.
+// tryAppend writes the entry once. If the outcome is uncertain, it reads the slot
+// back: the nonce distinguishes this entry from another writer's.
 func (l *log) tryAppend(ctx context.Context, e entry, value []byte) (hosting.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
@@ -194,20 +195,20 @@
 	return 0, err
 }
 
-// snapshotDue reports whether the ring is nearly full of entries that the
-// snapshot lacks, or a snapshot costs no more than what it replaces.
+// snapshotDue reports whether the ring is nearly full of entries that the snapshot
+// lacks, or the entries since the snapshot are larger than a new snapshot.
 func (l *log) snapshotDue() bool {
 	return l.sequence-l.snapSeq >= ringSize-8 || l.pending > max(minSnapshotBytes, l.snapSize)
 }
 
-// snapshotOverdue reports that the ring is full: no entry may be written before
+// snapshotOverdue reports whether the ring is full: no entry may be written before
 // the next snapshot, since it would overwrite one that is still needed.
 func (l *log) snapshotOverdue() bool { return l.sequence-l.snapSeq >= ringSize-1 }
 
-// resolveSnapshotConflict looks at a snapshot that is there in place of the one that was
-// written with err. One that goes no further is replaced by the next try: it is this
-// leader's own, whose answer was lost, or tells the same. Where another leader has
-// committed since, to replace it would bring an old state back.
+// resolveSnapshotConflict examines the stored snapshot after a write failed with err.
+// A snapshot that is not ahead of this log is replaced by the next attempt: it is
+// this leader's own, whose response was lost, or holds the same state. If another
+// leader has committed since, replacing its snapshot would restore an old state.
 func (l *log) resolveSnapshotConflict(found hosting.Entry, err error) error {
 	var snap snapshot
 	if decodeErr := cbor.Unmarshal(found.Value, &snap); decodeErr != nil {
@@ -220,7 +221,7 @@
 	return err
 }
 
-// writeSnapshot stores the state, which must be that after the last entry.
+// writeSnapshot stores the state, which must be the one after the last entry.
 func (l *log) writeSnapshot(ctx context.Context, s *State) error {
 	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
@@ -230,7 +231,7 @@
 	}
 	rev, err := l.store.Put(ctx, l.snapKey(), value, l.snapRev, "")
 	if err != nil {
-		// Conflict or lost answer: go on from what is there.
+		// Conflict or lost response: continue from what is stored.
 		found, readErr := l.store.Get(ctx, l.snapKey())
 		if readErr != nil {
 			return err
--- a/internal/jobs/log_test.go
+++ b/internal/jobs/log_test.go
@@ -18,7 +18,7 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// lossyStore is a store that loses answers: of writes that took effect, and of
+// lossyStore is a store that loses responses: of writes that took effect, and of
 // writes that did not.
 type lossyStore struct {
 	hosting.Store
@@ -44,19 +44,18 @@
 	return model.JobSpec{ID: id, Team: "t", Tasks: tasks, PerTask: model.Resources{MilliCPU: 1}}
 }
 
-// referenceRecord is a scheduler's record kept in the plainest way: for each task its
-// attempts and their ends, in a map.
+// referenceRecord is a simple model of the state for comparison: the current attempt
+// of each task, whether it is placed, and how often it finished.
 type referenceRecord struct {
 	current  map[string]int64
 	placed   map[string]bool
 	finished map[string]int
 }
 
-// Symptom: after a new leader has read the log, tasks are lost, doubled or back
-// in an older state. Sequence: thousands of operations, some stale, committed
-// through a store that loses answers, over many turns of the ring; the log is
-// read anew now and then. Cause: an entry overwritten too early, applied twice,
-// or taken for another's.
+// Guards against tasks that are lost, duplicated or back in an older state after a
+// new leader has read the log. The log wraps around its ring many times on a store
+// that loses responses and is reloaded regularly. Such faults arise when an entry is
+// overwritten too early, applied twice, or taken for another's.
 func TestLogAgainstNaiveRecord(t *testing.T) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
@@ -87,8 +86,8 @@
 
 const differentialJobs, differentialTasks = 6, 5
 
-// commitRandom applies a random operation to the state and, by its own simpler
-// rules, to the naive record; both must agree on whether it fits.
+// commitRandom applies a random operation to the state and, by its own simpler rules,
+// to the reference record; both must agree on whether it fits.
 func commitRandom(t *testing.T, rng *rand.Rand, s *State, n referenceRecord, step int) []Op {
 	if step < differentialJobs {
 		sp := spec(fmt.Sprintf("j%d", step), differentialTasks)
@@ -140,9 +139,9 @@
 	require.NotZero(t, done)
 }
 
-// Symptom: two leaders both commit an attempt of one task. Sequence: a leader
-// is paused; another takes over; the first goes on where it was. Cause: the
-// first learns of the second only by its clock, or not at all.
+// Guards against two leaders that both commit an attempt of one task. A leader is
+// paused, another takes over, and the first one continues where it was. It must learn
+// of its successor from the store rather than from its clock.
 func TestSupersededLeaderCommitsNothing(t *testing.T) {
 	store := newStore()
 	old, next := newLog(store), newLog(store)
@@ -162,8 +161,8 @@
 	require.Equal(t, Queued, state.Jobs["t/j"].Tasks[0].State)
 }
 
-// A shard of the largest number of open tasks stays below the store's largest
-// value.
+// A shard with the maximum number of open tasks must stay below the store's maximum
+// value size.
 func TestLargestShardFitsTheStore(t *testing.T) {
 	s := NewState()
 	for i := range maxOpenTasks / model.MaxTasksPerJob {
@@ -179,7 +178,7 @@
 	require.Less(t, len(raw), hosting.MaxValueBytes)
 }
 
-// Whatever stands in the store, it is refused or read, never a crash.
+// Arbitrary bytes in the store must be rejected or read, without a panic.
 func FuzzRecords(f *testing.F) {
 	sp := spec("j", 2)
 	good, _ := cbor.Marshal(entry{Sequence: 1, Nonce: []byte("n"), Ops: []Op{{Kind: OpSubmit, Spec: &sp}}})
--- a/internal/jobs/planner.go
+++ b/internal/jobs/planner.go
@@ -15,32 +15,34 @@
 )
 
 const (
-	// maxReserveBatch bounds the tasks of one request for room.
+	// maxReserveBatch bounds the tasks of one reservation request.
 	maxReserveBatch = 32
-	// maxPendingReservations bounds the requests for room under way.
+	// maxPendingReservations bounds the concurrent reservation requests.
 	maxPendingReservations = 4
-	// noCapacityDelay keeps a node unasked after it had no room.
+	// noCapacityDelay is how long a node without capacity receives no further
+	// requests.
 	noCapacityDelay = 200 * time.Millisecond
 	// callTimeout bounds one call to a peer.
 	callTimeout = 5 * time.Second
-	// auditInterval is how often attempts not heard of are asked for.
+	// auditInterval is the interval between audits of unreported attempts.
 	auditInterval = 3 * time.Second
-	// reportTimeout is how long an attempt may go unreported before it is asked for:
+	// reportTimeout is how long an attempt may go unreported before it is audited:
 	// two reports may be missed.
 	reportTimeout = 75 * time.Second
-	// firstAuditDelay is how long after its commitment an attempt is asked for first:
+	// firstAuditDelay is the time from an attempt's commitment to its first audit:
 	// its start may have been lost.
 	firstAuditDelay = 6 * time.Second
 	// unlistedTimeout is how long an attempt on a VM that the platform no longer
-	// lists counts as running: longer than any lease and any owner's fence.
+	// lists counts as running. It is longer than any lease and any owner's fence.
 	unlistedTimeout = 60 * time.Second
-	// failureBackoff is doubled with each failure of a task, up to maxBackoff.
+	// failureBackoff is the delay before a failed task is retried; it doubles with
+	// each failure of the task, up to maxBackoff.
 	failureBackoff = 500 * time.Millisecond
 	maxBackoff     = 30 * time.Second
 )
 
-// planner finds room for a shard's queued tasks and watches over the placed
-// ones. plan, noted, adopt and heard run in the leader's loop.
+// planner finds capacity for a shard's queued tasks and monitors the placed ones.
+// plan, recordOp, adopt and recordReport run in the leader's loop.
 type planner struct {
 	leader *Leader
 
@@ -75,7 +77,7 @@
 	return vms.Attempt{Ref: worker.Ref{Task: taskName(key, index), Attempt: t.Attempt}, VM: t.VM, Checkpoint: t.Checkpoint}
 }
 
-// adopt starts the watch over attempts that an earlier leader placed.
+// adopt starts monitoring the attempts that an earlier leader placed.
 func (p *planner) adopt(s *State, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// recordOp takes up the effect of an applied operation.
+// recordOp updates the planner after an operation was applied.
 func (p *planner) recordOp(op Op) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +118,8 @@
 	p.lastReport[ref] = now
 }
 
-// plan asks for room for queued tasks, urgent jobs first, each team within its
-// quota. The answers come back as commands.
+// plan requests reservations for queued tasks, urgent jobs first, each team within
+// its quota. The results are committed as commands.
 func (p *planner) plan(ctx context.Context, s *State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,19 +155,20 @@
 	}
 }
 
-// withinQuota returns how many more tasks of the job its team's quota allows.
+// withinQuota returns how many more tasks of the job its team's quota allows, up to
+// maxReserveBatch.
 func (p *planner) withinQuota(j *Job, usage map[string]model.Resources) int {
 	quota := p.leader.config().Document.Teams[j.Spec.Team].Quota
 	used, need := usage[j.Spec.Team], j.Spec.PerTask
 	n := int64(maxReserveBatch)
-	bound := func(quota, used, need int64) {
+	limitBy := func(quota, used, need int64) {
 		if quota > 0 && need > 0 {
 			n = min(n, max(quota-used, 0)/need)
 		}
 	}
-	bound(quota.MilliCPU, used.MilliCPU, need.MilliCPU)
-	bound(quota.MemoryMB, used.MemoryMB, need.MemoryMB)
-	bound(quota.Accelerators, used.Accelerators, need.Accelerators)
+	limitBy(quota.MilliCPU, used.MilliCPU, need.MilliCPU)
+	limitBy(quota.MemoryMB, used.MemoryMB, need.MemoryMB)
+	limitBy(quota.Accelerators, used.Accelerators, need.Accelerators)
 	return int(n)
 }
 
@@ -195,8 +198,8 @@
 	return checkpoints
 }
 
-// pickNode picks a node with room, at random in proportion to it, so that the
-// leaders of different shards do not all ask the same one.
+// pickNode picks a node at random, weighted by its free CPU, so that the leaders of
+// different shards do not all choose the same one.
 func (p *planner) pickNode(spec model.JobSpec, now time.Time) string {
 	var total int64
 	var picked string
@@ -213,10 +216,9 @@
 	return picked
 }
 
-// place takes a batch of tasks from reserved to started: room first, then the
-// commitment in the store, then the start. Each step is safe to break off
-// after: room that is not used expires, and a commitment that is not started is
-// found by the audit.
+// place reserves capacity for a batch of tasks, commits the attempts in the store and
+// starts them. Failing after any step is safe: an unused reservation expires, and an
+// attempt that is committed but not started is found by the audit.
 func (p *planner) place(ctx context.Context, node string, spec model.JobSpec, refs []worker.Ref, checkpoints map[worker.Ref]string) {
 	defer func() {
 		p.mu.Lock()
@@ -246,13 +248,13 @@
 	}
 	refused, err := p.leader.cluster.Start(callCtx, node, placed, spec.DurationMS)
 	if err != nil {
-		// Lost answer: the audit finds out.
+		// The response was lost; the audit finds out whether the attempts run.
 		return
 	}
 	p.recordEnds(ctx, refused, vms.EndRefused)
 }
 
-// commitPlaces commits attempts and returns those that are committed.
+// commitPlaces commits reserved attempts and returns those that are committed.
 func (p *planner) commitPlaces(ctx context.Context, reserved []vms.Attempt) []vms.Attempt {
 	var placed []vms.Attempt
 	err := p.leader.do(ctx, func(s *State) ([]Op, error) {
@@ -293,8 +295,8 @@
 	})
 }
 
-// stop asks the owners of the attempts' VMs to stop them. What is missed here
-// is stopped when its VM's owner reports it.
+// stop asks the owners of the attempts' VMs to stop them. An attempt missed here is
+// stopped when its VM's owner reports it.
 func (p *planner) stop(attempts []vms.Attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	go func() {
@@ -306,8 +308,8 @@
 	}()
 }
 
-// auditLoop asks for the attempts that were not heard of. It finds those whose
-// start was lost, whose VM's owner died, or whose VM is gone.
+// auditLoop audits unreported attempts. It finds those whose start was lost, whose
+// VM's owner died, or whose VM is gone.
 func (p *planner) auditLoop(ctx context.Context) {
 	pause.Every(ctx, auditInterval, func() {
 		var unheard []vms.Attempt
@@ -331,13 +333,13 @@
 		return
 	}
 	p.recordEnds(ctx, ended, "")
-	unknown := map[string]bool{}
+	notOwnedVMs := map[string]bool{}
 	for _, vm := range notOwned {
-		unknown[vm] = true
+		notOwnedVMs[vm] = true
 	}
 	now := time.Now()
 	for _, a := range list {
-		if !unknown[a.VM] {
+		if !notOwnedVMs[a.VM] {
 			p.recordReport(a.Ref, now)
 		}
 	}
@@ -352,7 +354,7 @@
 	delete(p.lastReport, ref)
 }
 
-// unreported lists the placed attempts that were not reported lately.
+// unreported returns the placed attempts without a report within reportTimeout.
 func (p *planner) unreported(s *State, now time.Time) []vms.Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -374,9 +376,9 @@
 	return list
 }
 
-// byOwner groups attempts by the node that owns their VM, and returns those
-// whose VM has been off the platform's list for longer than a task can run
-// without an owner.
+// byOwner groups attempts by the node that owns their VM. gone holds the attempts
+// whose VM has been off the platform's list for longer than a task can run without an
+// owner.
 func (p *planner) byOwner(attempts []vms.Attempt, now time.Time) (byNode map[string][]vms.Attempt, gone []vms.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// shardCount is the same at all nodes of a deployment, for good.
+	// shardCount must be the same at all nodes of a deployment and must never change.
 	shardCount   = 24
 	shardPrefix  = "jobs/"
 	syncInterval = 500 * time.Millisecond
@@ -33,19 +33,19 @@
 	return shards
 }
 
-// ShardOfTeam returns the shard that holds a team's jobs: all of them, so that
-// one leader sees the team's whole usage against its quota.
+// ShardOfTeam returns the shard that holds all of a team's jobs, so that one leader
+// sees the team's whole usage against its quota.
 func ShardOfTeam(team string) string {
 	return fmt.Sprintf("%s%02d", shardPrefix, xxhash.Sum64String(team)%shardCount)
 }
 
-// ShardOfTask returns the shard of a task by its name, team/job:index.
+// ShardOfTask returns the shard of a task, given its name team/job:index.
 func ShardOfTask(task string) string {
 	team, _, _ := strings.Cut(task, "/")
 	return ShardOfTeam(team)
 }
 
-// Service leads the shards that this node owns.
+// Service runs the leaders of the shards that this node owns.
 type Service struct {
 	node      string
 	store     hosting.Store
@@ -65,7 +65,7 @@
 	cancel context.CancelFunc
 }
 
-// NewService returns the service of a node; Serve runs it.
+// NewService returns a node's service; Serve runs it.
 func NewService(node string, store hosting.Store, own vms.Ownership, cluster Cluster, cfg func() *config.Installed, logger *logrus.Entry) *Service {
 	return &Service{
 		node: node, store: store, ownership: own, cluster: cluster, config: cfg, logger: logger,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Sync asks for a look at who owns what; it does not wait for it.
+// Sync requests a check of shard ownership without waiting for it.
 func (s *Service) Sync() {
 	select {
 	case s.syncRequests <- struct{}{}:
@@ -115,12 +115,12 @@
 
 func (s *Service) start(ctx context.Context, shard string, epoch int64) *runningLeader {
 	ctx, cancel := context.WithCancel(ctx)
-	short := strings.TrimPrefix(shard, shardPrefix)
-	leads := func() bool {
-		now, own := s.ownership.Epoch(shard)
-		return own && now == epoch
+	suffix := strings.TrimPrefix(shard, shardPrefix)
+	isLeader := func() bool {
+		current, own := s.ownership.Epoch(shard)
+		return own && current == epoch
 	}
-	l := newLeader(short, s.node, s.store, s.cluster, s.config, leads, s.logger)
+	l := newLeader(suffix, s.node, s.store, s.cluster, s.config, isLeader, s.logger)
 	go l.run(ctx)
 	return &runningLeader{leader: l, epoch: epoch, cancel: cancel}
 }
@@ -145,7 +145,7 @@
 	return r.leader, nil
 }
 
-// Led returns the shards led here.
+// Led returns the shards that this node leads.
 func (s *Service) Led() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -1,10 +1,10 @@
-// Package jobs keeps the records of batch jobs: what was accepted, which
-// attempt of which task may run where, what has ended. Records are divided into
-// shards, by team; a shard has one leader at a time, the only one to write it.
+// Package jobs keeps the records of batch jobs: which jobs were accepted, which
+// attempt of which task may run on which VM, and what has ended. Records are divided
+// into shards by team; a shard has one leader at a time, its only writer.
 //
-// This file is the pure part: a State changes only by applying operations, and
-// an operation that does not fit the state is refused. The same operations are
-// what is stored, so whoever reads them back arrives at the same state.
+// This file has no I/O: a State changes only by applying operations, and an operation
+// that does not fit the state is rejected. The stored log holds the same operations,
+// so replaying it gives the same state.
 package jobs
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/rattanwall/rattanwall/internal/vms"
 )
 
-// TaskState is what is recorded of a task.
+// TaskState is the recorded state of a task.
 type TaskState uint8
 
 // The states of a task.
 const (
-	// Queued waits to be placed.
+	// Queued: the task waits to be placed.
 	Queued TaskState = iota
-	// Placed: an attempt is committed to a VM; it runs, or is about to, or was
-	// lost, which only the VM's owner can tell.
+	// Placed: an attempt is committed to a VM. It runs, is about to run, or was lost;
+	// only the VM's owner can determine which.
 	Placed
 	// Done, Failed and Cancelled are final.
 	Done
@@ -33,7 +33,7 @@
 	Cancelled
 )
 
-// String names the state for people.
+// String returns the state's name in API responses.
 func (s TaskState) String() string {
 	return [...]string{"queued", "placed", "done", "failed", "cancelled"}[s]
 }
@@ -44,10 +44,10 @@
 // Task is the record of one task.
 type Task struct {
 	State TaskState `cbor:"1,keyasint,omitempty"`
-	// Attempt is the number of the newest attempt: the fencing token that makes
-	// news of an earlier one be ignored.
+	// Attempt is the number of the newest attempt. It is the fencing token: reports
+	// about earlier attempts are ignored.
 	Attempt int64 `cbor:"2,keyasint,omitempty"`
-	// VM holds the attempt while the task is placed.
+	// VM is the VM of the attempt while the task is placed.
 	VM         string `cbor:"3,keyasint,omitempty"`
 	Checkpoint string `cbor:"4,keyasint,omitempty"`
 	Failures   int    `cbor:"5,keyasint,omitempty"`
@@ -57,30 +57,30 @@
 // Job is the record of one job.
 type Job struct {
 	Spec model.JobSpec `cbor:"1,keyasint"`
-	// SubmittedMS is the accepting node's wall clock in milliseconds.
+	// SubmittedMS is the accepting node's wall clock in Unix milliseconds.
 	SubmittedMS int64  `cbor:"2,keyasint"`
 	Cancelled   bool   `cbor:"3,keyasint,omitempty"`
 	Tasks       []Task `cbor:"4,keyasint"`
 	// EndedMS is when the last task ended; 0 while the job is open.
 	EndedMS int64 `cbor:"5,keyasint,omitempty"`
-	// Order is the job's place among the shard's submissions.
+	// Order is the job's position among the shard's submissions.
 	Order int64 `cbor:"6,keyasint"`
 
 	finalTasks int
 }
 
-// Key names the job across teams: team/id.
+// Key returns the job's name across teams: team/id.
 func (j *Job) Key() string { return JobKey(j.Spec.Team, j.Spec.ID) }
 
-// JobKey names a job across teams.
+// JobKey returns a job's name across teams.
 func JobKey(team, id string) string { return team + "/" + id }
 
-// OpKind says what an operation does.
+// OpKind is the kind of an operation.
 type OpKind uint8
 
 // The operations.
 const (
-	// OpLead: a node begins to lead the shard.
+	// OpLead: a node starts leading the shard.
 	OpLead OpKind = iota + 1
 	// OpSubmit: a job is accepted.
 	OpSubmit
@@ -94,7 +94,7 @@
 	OpForget
 )
 
-// Op is one operation. Only the fields that its kind needs are set.
+// Op is one operation. Only the fields that its kind uses are set.
 type Op struct {
 	Kind       OpKind         `cbor:"1,keyasint"`
 	Node       string         `cbor:"2,keyasint,omitempty"`
@@ -108,29 +108,29 @@
 	AtMS       int64          `cbor:"10,keyasint,omitempty"`
 }
 
-// maxFailures is how often a task may fail before it is given up.
+// maxFailures is how often a task may fail before it ends as failed.
 const maxFailures = 5
 
-// What Apply refuses with.
+// Errors with which Apply rejects an operation.
 var (
 	// ErrStale: the operation is about an attempt that is not the current one.
 	ErrStale = errors.New("not the current attempt")
 	// ErrNoJob: there is no such job or task.
 	ErrNoJob = errors.New("no such job")
-	// ErrExists: a job of that name was accepted before.
+	// ErrExists: a job with this key exists already.
 	ErrExists = errors.New("the job exists")
 )
 
-// State of a shard.
+// State is the state of a shard.
 type State struct {
 	Jobs map[string]*Job `cbor:"1,keyasint"`
-	// Totals count what has ended, for good, jobs forgotten included.
+	// Totals counts everything that has ended, including forgotten jobs.
 	Totals Totals `cbor:"2,keyasint"`
-	// Submissions counts the submissions.
+	// Submissions is the number of jobs submitted so far.
 	Submissions int64 `cbor:"3,keyasint"`
 }
 
-// Totals of a shard since its beginning.
+// Totals holds a shard's counts since its creation.
 type Totals struct {
 	Done      int64 `json:"done" cbor:"1,keyasint,omitempty"`
 	Failed    int64 `json:"failed" cbor:"2,keyasint,omitempty"`
@@ -150,7 +150,7 @@
 // NewState returns an empty state.
 func NewState() *State { return &State{Jobs: map[string]*Job{}} }
 
-// restore recounts what is not stored.
+// restore recomputes the fields that are not stored.
 func (s *State) restore() {
 	if s.Jobs == nil {
 		s.Jobs = map[string]*Job{}
@@ -165,8 +165,7 @@
 	}
 }
 
-// Apply changes the state by op, or returns why op does not fit; the state is
-// then unchanged.
+// Apply applies op to the state. On an error the state is unchanged.
 func (s *State) Apply(op Op) error {
 	switch op.Kind {
 	case OpLead:
@@ -211,8 +210,8 @@
 	return j, &j.Tasks[op.Index], nil
 }
 
-// place commits the next attempt of a queued task. The attempt number must be
-// the one after the last: two leaders cannot both commit the same one.
+// place commits the next attempt of a queued task. The attempt number must follow the
+// last one, so that two leaders cannot both commit the same attempt.
 func (s *State) place(op Op) error {
 	_, t, err := s.task(op)
 	if err != nil {
@@ -225,9 +224,8 @@
 	return nil
 }
 
-// end records how the current attempt ended. News of any other attempt is
-// refused: applied, it would put a task back into the queue that runs, or has
-// already been put back.
+// end records how the current attempt ended. Reports about any other attempt are
+// rejected: applying one would requeue a task that is running or already requeued.
 func (s *State) end(op Op) error {
 	j, t, err := s.task(op)
 	if err != nil {
@@ -280,7 +278,7 @@
 	}
 }
 
-// cancel ends what waits; what is placed ends when its VM's owner says so.
+// cancel ends the queued tasks; placed tasks end when their VM's owner reports it.
 func (s *State) cancel(op Op) error {
 	j := s.Jobs[op.Job]
 	if j == nil {
@@ -298,8 +296,8 @@
 	return nil
 }
 
-// Open returns the jobs that have not ended: urgent ones first, then in the
-// order of their submission.
+// Open returns the jobs that have not ended: urgent ones first, then by order of
+// submission.
 func (s *State) Open() []*Job {
 	var open []*Job
 	for _, j := range s.Jobs {
@@ -316,7 +314,7 @@
 	return open
 }
 
-// Usage returns what the placed tasks take, by team.
+// Usage returns the resources of the placed tasks, by team.
 func (s *State) Usage() map[string]model.Resources {
 	usage := map[string]model.Resources{}
 	for _, j := range s.Jobs {
@@ -332,8 +330,8 @@
 	return usage
 }
 
-// Forgettable returns the ended jobs beyond the newest keep, oldest first, so
-// that the state does not grow with history.
+// Forgettable returns the keys of the ended jobs beyond the newest keep, oldest
+// first, so that the state does not grow with history.
 func (s *State) Forgettable(keep int) []string {
 	var ended []*Job
 	for _, j := range s.Jobs {
