--- a/internal/jobs/absence_test.go
+++ b/internal/jobs/absence_test.go
@@ -23,7 +23,7 @@
 // paused while it writes its snapshot, and a successor writes a newer one. On the
 // conflict the old leader must not adopt the successor's revision and overwrite the
 // newer snapshot.
-func TestSnapshotOfASuccessorIsNotReplaced(t *testing.T) {
+func TestSuccessorSnapshotIsNotReplaced(t *testing.T) {
 	store := newStore()
 	old, next := newLog(store), newLog(store)
 	oldState, err := old.load(t.Context())
@@ -48,7 +48,7 @@
 // Guards against reading a shard as nearly empty, and writing on from there, when its
 // snapshot is missing or older than the oldest entry of the ring. A missing entry
 // followed by later ones is an error, not the end of the log.
-func TestGapInTheLogIsNotItsEnd(t *testing.T) {
+func TestLogGapIsAnError(t *testing.T) {
 	store := newStore()
 	l := newLog(store)
 	state, err := l.load(t.Context())
@@ -70,7 +70,7 @@
 // successor starts the task's next attempt. That attempt's end is reported to the old
 // leader, whose state does not know the attempt. If it confirmed the end without
 // checking that it still leads, the VM would forget an end that is not recorded.
-func TestDeposedLeaderRecordsNoEnds(t *testing.T) {
+func TestDeposedLeaderConfirmsNoEnds(t *testing.T) {
 	isLeader := true
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/jobs/log_test.go
+++ b/internal/jobs/log_test.go
@@ -56,7 +56,7 @@
 // new leader has read the log. The log wraps around its ring many times on a store
 // that loses responses and is reloaded regularly. Such faults arise when an entry is
 // overwritten too early, applied twice, or taken for another's.
-func TestLogAgainstNaiveRecord(t *testing.T) {
+func TestLogMatchesReferenceRecord(t *testing.T) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
@@ -163,7 +163,7 @@
 
 // A shard with the maximum number of open tasks must stay below the store's maximum
 // value size.
-func TestLargestShardFitsTheStore(t *testing.T) {
+func TestLargestShardFitsStoreValue(t *testing.T) {
 	s := NewState()
 	for i := range maxOpenTasks / model.MaxTasksPerJob {
 		sp := spec(fmt.Sprintf("j%d", i), model.MaxTasksPerJob)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership carries out the decisions of package ownership: it keeps
-// the node's session in the platform's store, watches the sessions and owners
-// of all nodes, and writes ownership records.
+// Package membership executes the decisions of package ownership: it maintains the
+// node's session in the platform's store, watches the sessions and owners of all
+// nodes, and writes ownership records.
 package membership
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rattanwall/rattanwall/internal/ownership"
 )
 
-// Keys in the store. One prefix holds both kinds, so that one watch sees both.
+// Keys in the store. Both kinds share one prefix, so that one watch covers both.
 const (
 	prefix      = "members/"
 	nodePrefix  = prefix + "node/"
@@ -22,28 +22,28 @@
 )
 
 const (
-	// planInterval is how often the machine is asked what to do.
+	// planInterval is the interval at which the machine plans actions.
 	planInterval = 200 * time.Millisecond
 	// callTimeout bounds one call to the store or a peer, so that a hanging call
 	// cannot outlast the fence that it is meant to renew.
 	callTimeout = 1200 * time.Millisecond
-	// watchRetryDelay is the least time between two failed watches.
+	// watchRetryDelay is the minimum delay after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
-	// watchTimeout is short, because a watch may go silent and only its timeout
-	// shows it.
+	// watchTimeout is short because a watch may stop delivering events without an
+	// error; only its timeout detects that.
 	watchTimeout = 3 * time.Second
 )
 
-// PeerClient asks other nodes what the decisions of package ownership need.
+// PeerClient sends the queries that package ownership needs to other nodes.
 type PeerClient interface {
 	// AskPromise asks a peer not to take over this node's VMs for a time.
 	AskPromise(ctx context.Context, peer, self ownership.Node, d time.Duration) ownership.PromiseState
-	// AskOwner asks for which of the shards an owner still acts; state is
-	// OwnerStopped when it answered, or certainly cannot.
+	// AskOwner asks an owner for which of the shards it still acts. state is
+	// OwnerStopped when the owner responded or certainly does not run.
 	AskOwner(ctx context.Context, owner ownership.Node, shards []string) (acting []string, state ownership.OwnerState)
 }
 
-// Membership is the service that runs one node's Machine.
+// Membership is the service that runs one node's ownership.Machine.
 type Membership struct {
 	store  hosting.Store
 	peers  PeerClient
@@ -62,7 +62,7 @@
 	hasLeft      bool
 }
 
-// New returns the membership of a node; Serve runs it.
+// New returns a node's membership; Serve runs it.
 func New(self ownership.Node, timing ownership.Timing, store hosting.Store, peers PeerClient, log *logrus.Entry) *Membership {
 	return &Membership{
 		store: store, peers: peers, timing: timing, log: log,
@@ -71,8 +71,8 @@
 	}
 }
 
-// OnChange calls f, without locks held, after each change of view. Call it
-// before Serve.
+// OnChange registers f to be called, without locks held, after each change of the
+// view. It must be called before Serve.
 func (m *Membership) OnChange(f func()) { m.onChange = append(m.onChange, f) }
 
 // Serve implements suture.Service.
@@ -89,7 +89,7 @@
 	return ctx.Err()
 }
 
-// SetShards tells which shards exist.
+// SetShards replaces the list of existing shards.
 func (m *Membership) SetShards(shards []ownership.Shard) {
 	m.mu.Lock()
 	m.machine.SetShards(shards)
@@ -97,15 +97,16 @@
 	m.requestPlan()
 }
 
-// Epoch returns the epoch under which this node may act for a shard right now.
+// Epoch returns the epoch under which this node may act for a shard now, and false if
+// it may not act.
 func (m *Membership) Epoch(shard string) (int64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.Epoch(shard, time.Now())
 }
 
-// OwnerOf returns the node that the store names for a shard, alive or not, and
-// false when there is none that can be asked.
+// OwnerOf returns the node that the store records as a shard's owner. It returns
+// false if the shard has no owner or the owner's node record is missing.
 func (m *Membership) OwnerOf(shard string) (ownership.Node, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +119,7 @@
 	return n, ok
 }
 
-// Nodes returns the nodes last seen alive, this one included.
+// Nodes returns the known live nodes, including this one.
 func (m *Membership) Nodes() map[string]ownership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,21 +137,22 @@
 	return m.machine.Self()
 }
 
-// Promise answers a peer's question.
+// Promise handles a peer's request not to take over its shards for d, at most
+// PromiseDuration, and reports whether the promise is given.
 func (m *Membership) Promise(node string, d time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.Promise(node, min(d, m.timing.PromiseDuration), time.Now())
 }
 
-// StoreReachable reports whether the store answered last.
+// StoreReachable reports whether the store responded to the last renewal.
 func (m *Membership) StoreReachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.StoreReachable()
 }
 
-// Drain starts handing over all shards and returns when none is left or ctx ends.
+// Drain hands over all shards and returns when none is left or ctx ends.
 func (m *Membership) Drain(ctx context.Context) {
 	m.mu.Lock()
 	m.machine.Drain()
@@ -175,7 +177,7 @@
 	}
 }
 
-// Leave ends the session, so that no one waits for it to lapse.
+// Leave ends the session, so that other nodes need not wait for it to expire.
 func (m *Membership) Leave(ctx context.Context) {
 	m.mu.Lock()
 	lease := m.lease
@@ -199,7 +201,7 @@
 	}
 }
 
-// Dump describes the state for the state dump.
+// Dump returns the membership's part of the state dump.
 func (m *Membership) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -12,7 +12,7 @@
 	"github.com/rattanwall/rattanwall/internal/ownership"
 )
 
-// planLoop asks the machine what to do and does it.
+// planLoop executes the machine's planned actions, periodically and on request.
 func (m *Membership) planLoop(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -34,31 +34,30 @@
 }
 
 func (m *Membership) perform(ctx context.Context, actions []ownership.Action) {
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, a := range actions {
 		switch a.Kind {
 		case ownership.Acquire, ownership.Release:
 			m.write(ctx, a)
 		case ownership.AskPromise:
-			asked.Add(1)
+			queries.Add(1)
 			go func() {
-				defer asked.Done()
+				defer queries.Done()
 				m.askPromise(ctx, a.Peer)
 			}()
 		case ownership.AskOwner:
-			asked.Add(1)
+			queries.Add(1)
 			go func() {
-				defer asked.Done()
+				defer queries.Done()
 				m.askOwner(ctx, a)
 			}()
 		}
 	}
-	asked.Wait()
+	queries.Wait()
 }
 
-// write puts an ownership record. On a lost answer nothing is concluded until
-// the record was read back: until then the machine does not count the shard as
-// owned.
+// write writes an ownership record. After a lost response the machine does not count
+// the shard as owned until the record has been read back.
 func (m *Membership) write(ctx context.Context, a ownership.Action) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -77,7 +76,7 @@
 		return
 	}
 	if a.Kind == ownership.Release {
-		// Stop acting before others may start.
+		// Stop acting before other nodes may start.
 		m.forget(a.Shard)
 		m.notifyChange()
 	}
@@ -85,7 +84,7 @@
 	rev, err := m.store.Put(ctx, key, value, hosting.Revision(a.Expect), "")
 	written := hosting.Entry{Key: key, Value: value, Revision: rev}
 	if err != nil {
-		// Conflict or lost answer: what the store holds now decides.
+		// Conflict or lost response: the stored record decides.
 		if written, err = m.store.Get(ctx, key); err != nil {
 			return
 		}
@@ -100,7 +99,7 @@
 	m.notifyChange()
 }
 
-// forget drops a shard's record from the view until the store shows it again.
+// forget removes a shard's record from the view until the store shows it again.
 func (m *Membership) forget(shard string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,11 +128,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, shard := range a.Shards {
-		answer := state
+		ownerState := state
 		if acts[shard] {
-			answer = ownership.OwnerActs
+			ownerState = ownership.OwnerActs
 		}
-		m.machine.RecordOwnerState(shard, answer, time.Now())
+		m.machine.RecordOwnerState(shard, ownerState, time.Now())
 	}
 	if len(acts) == 0 && state == ownership.OwnerStopped {
 		m.requestPlan()
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -12,7 +12,7 @@
 	"github.com/rattanwall/rattanwall/internal/ownership"
 )
 
-// renewLoop keeps the session's lease.
+// renewLoop renews the session's lease.
 func (m *Membership) renewLoop(ctx context.Context) {
 	ticker := time.NewTicker(m.timing.RenewInterval)
 	defer ticker.Stop()
@@ -30,9 +30,9 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mu.Lock()
-	lease, session, drained := m.lease, m.machine.Self().Session, m.hasLeft
+	lease, session, hasLeft := m.lease, m.machine.Self().Session, m.hasLeft
 	m.mu.Unlock()
-	if drained {
+	if hasLeft {
 		return
 	}
 	if lease == "" {
@@ -47,7 +47,7 @@
 	case err == nil:
 		m.machine.Renewed(session, sentAt)
 	case errors.Is(err, hosting.ErrLeaseGone):
-		m.log.Warn("the store ended this node's session; opening another")
+		m.log.Warn("the store ended this node's session; opening a new one")
 		m.machine.SessionGone(time.Now())
 		m.lease = ""
 	default:
@@ -55,7 +55,8 @@
 	}
 }
 
-// openSession starts a session: a lease, then the node's record bound to it.
+// openSession starts a session: it obtains a lease and writes the node's record bound
+// to it.
 func (m *Membership) openSession(ctx context.Context) {
 	sentAt := time.Now()
 	lease, err := m.store.Grant(ctx, m.timing.TTL)
@@ -72,7 +73,7 @@
 	m.mu.Unlock()
 	rev, err := m.putNode(ctx, self, lease)
 	if err != nil {
-		m.log.WithError(err).Warn("the node's record could not be written")
+		m.log.WithError(err).Warn("failed to write the node's record")
 		_ = m.store.Revoke(ctx, lease)
 		return
 	}
@@ -83,7 +84,7 @@
 	m.requestPlan()
 }
 
-// publishNode writes the node's record anew under the present session.
+// publishNode rewrites the node's record under the current session.
 func (m *Membership) publishNode(ctx context.Context) error {
 	m.mu.Lock()
 	self, lease := m.machine.Self(), m.lease
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// putNode writes the record over whatever an earlier process of the same node left.
+// putNode writes the node's record, replacing one left by an earlier process of the
+// node.
 func (m *Membership) putNode(ctx context.Context, self ownership.Node, lease hosting.LeaseID) (hosting.Revision, error) {
 	value, err := json.Marshal(self)
 	if err != nil {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,8 +10,8 @@
 	"github.com/rattanwall/rattanwall/internal/pause"
 )
 
-// watchLoop keeps the view. After a failed watch it lists anew: a watch that
-// went silent may have missed changes.
+// watchLoop keeps the view up to date. After a failed watch it lists all entries: a
+// watch that stopped delivering events may have missed changes.
 func (m *Membership) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := m.watchOnce(ctx); err != nil {
@@ -42,14 +42,14 @@
 		return err
 	}
 	if !m.apply(events, rev) && len(events) > 0 {
-		// A watch that replays what is known answers at once, again and again.
+		// A watch that replays known events returns at once each time.
 		pause.For(ctx, watchRetryDelay)
 	}
 	return nil
 }
 
-// install replaces the view by a listing. A listing older than the view is a
-// stale read and is dropped.
+// install replaces the view with a listing. A listing older than the view is a stale
+// read and is ignored.
 func (m *Membership) install(entries []hosting.Entry, rev hosting.Revision) {
 	m.mu.Lock()
 	if rev >= m.revision {
@@ -66,8 +66,8 @@
 	m.requestPlan()
 }
 
-// apply adds events to the view and reports whether any was new. Events of
-// revisions already seen are dropped: a watch may replay them.
+// apply adds events to the view and reports whether any was new. Events of known
+// revisions are ignored: a watch may replay them.
 func (m *Membership) apply(events []hosting.Event, rev hosting.Revision) bool {
 	m.mu.Lock()
 	changed := false
--- a/internal/ownership/explore_test.go
+++ b/internal/ownership/explore_test.go
@@ -14,33 +14,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The explorer runs the production Machine of two nodes of one availability
-// zone against a store of three kinds of keys, and tries every order of events
-// up to a depth: a tick of the clock, renewals that are answered, lost on the
-// way or lost after they took effect, stale or fresh views, plans carried out
-// with or without an answer, promises that are reached or not, and crashes with
-// a restart. A paused node is one to which nothing happens while time passes.
+// The explorer runs the production Machine of two nodes of one availability zone
+// against a model of the store, and tries every order of events up to a depth: clock
+// ticks, renewals that succeed or whose response is lost, stale or fresh views,
+// actions executed with or without a response, promise requests that do or do not
+// reach the peer, and crashes with a restart. A paused node is one without events
+// while time passes.
 //
 // In each state it checks that at most one node may act for the shard.
 
 const tick = time.Second
 
-// exploreTiming is small, in ticks, with the proportions of DefaultTiming.
+// exploreTiming has small values, in ticks, in the proportions of DefaultTiming.
 var exploreTiming = Timing{TTL: 4 * tick, RenewInterval: tick, FenceMargin: tick, PromiseDuration: 3 * tick, QuietPeriod: 4 * tick}
 
-// bounds limit the search; breaks make the world worse than the design allows.
+// bounds limits the search. Its fault options violate assumptions of the design.
 type bounds struct {
 	depth   int
 	crashes int
 	timing  Timing
-	// slowClock makes the first node's clock run at 3/4 of the store's.
+	// slowClock makes the first node's clock run at 3/4 of the rate of the store's.
 	slowClock bool
-	// noCondition makes the store write without comparing revisions.
+	// noCondition makes the store accept writes without comparing revisions.
 	noCondition bool
-	// earlyExpiry makes the store end leases after half their time.
+	// earlyExpiry makes the store end leases after half their TTL.
 	earlyExpiry bool
-	// partitioned makes an owner that is asked look stopped, as when nodes of a zone are
-	// cut off from each other: the open case of docs/design/002-ownership.md.
+	// partitioned makes every owner that is asked look stopped, as when nodes of a
+	// zone cannot reach each other: the open case of docs/design/002-ownership.md.
 	partitioned bool
 }
 
@@ -49,14 +49,14 @@
 	now      int
 	revision int64
 	nodes    [2]*Machine
-	// expires is when each node's present session lapses, in ticks of the store.
+	// expires is when each node's current session expires, in ticks of the store.
 	session  [2]string
 	expires  [2]int
 	sessions int
 	owner    Owner
 	hasOwner bool
 	crashes  int
-	// down nodes are dead until they restart; nothing listens there.
+	// down marks nodes that are dead until they restart; no process listens there.
 	down [2]bool
 }
 
@@ -97,7 +97,8 @@
 	return &c
 }
 
-// key describes a state up to a shift in time and the names of sessions.
+// key returns a hash of the state that ignores shifts in time and the names of
+// sessions.
 func (b bounds) key(w *world) uint64 {
 	buf := make([]byte, 0, 128)
 	names := map[string]byte{"": 0}
@@ -149,7 +150,7 @@
 	return xxhash.Sum64(buf)
 }
 
-// expireSessions ends the sessions whose lease has run out at the store.
+// expireSessions ends the sessions whose lease has expired at the store.
 func (w *world) expireSessions() {
 	for i := range w.nodes {
 		if w.session[i] != "" && w.now >= w.expires[i] {
@@ -166,7 +167,8 @@
 	return ttl
 }
 
-// renew carries one renewal, or the opening of a session, to the store.
+// renew sends one renewal, or opens a session, and reports the outcome to the node if
+// answered is set.
 func (b bounds) renew(w *world, i int, answered bool) {
 	m := w.nodes[i]
 	switch {
@@ -205,7 +207,7 @@
 	w.nodes[i].SetView(v)
 }
 
-// perform carries out what the node plans.
+// perform executes the actions that the node plans.
 func (b bounds) perform(w *world, i int, reached, answered bool) {
 	m := w.nodes[i]
 	for _, a := range m.Plan(b.localTime(w, i)) {
@@ -223,8 +225,8 @@
 			}
 			m.RecordPromiseState(nodeID(j), state, b.localTime(w, i))
 		case AskOwner:
-			// A live owner answers for itself, a restarted one acts for nothing. That
-			// two live nodes of a zone reach each other is assumed here.
+			// A live owner reports whether it acts; a restarted one acts for no
+			// shard. Two live nodes of a zone are assumed to reach each other here.
 			state := OwnerStopped
 			if j := int(a.Peer.ID[0] - 'a'); !b.partitioned && !w.down[j] {
 				if _, ok := w.nodes[j].Epoch("s", b.localTime(w, j)); ok {
@@ -275,7 +277,7 @@
 			step{id + " renews, looks and acts", func(w *world) {
 				b.renew(w, i, true)
 				w.refreshView(i)
-				// Once to ask, once to act on the answer.
+				// The first call asks, the second acts on the response.
 				b.perform(w, i, true, true)
 				b.perform(w, i, true, true)
 			}},
@@ -313,8 +315,8 @@
 	return acting
 }
 
-// explore searches all states within the bounds and returns how many there are,
-// and the events that lead to a broken one, if any.
+// explore searches all states within the bounds. It returns their number and, if a
+// state violates the invariant, the events that lead to it.
 func (b bounds) explore() (states int, trace []string) {
 	type entry struct {
 		w     *world
@@ -350,7 +352,8 @@
 	return len(seen), nil
 }
 
-// Symptom: two nodes give work to one VM. Sequence: any, within the bounds.
+// Guards against two nodes that act as owners of one VM at the same time, which would
+// both start work on it. All orders of events within the bounds are tried.
 func TestAtMostOneOwner(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -360,7 +363,7 @@
 		{"one crash", bounds{depth: 7, crashes: 1, timing: exploreTiming}},
 		{"slow clock", bounds{depth: 7, timing: exploreTiming, slowClock: true}},
 	} {
-		// For a longer search: RATTANWALL_DEEPER=1 adds a step, and so on.
+		// RATTANWALL_DEEPER=n searches n steps deeper.
 		deeper, _ := strconv.Atoi(os.Getenv("RATTANWALL_DEEPER"))
 		c.b.depth += deeper
 		states, trace := c.b.explore()
@@ -369,8 +372,9 @@
 	}
 }
 
-// The explorer's teeth: each deliberate break of the design is found.
-func TestBreaksAreFound(t *testing.T) {
+// Guards against an explorer that overlooks faults: each deliberate violation of the
+// design's assumptions must be found.
+func TestInjectedFaultsAreFound(t *testing.T) {
 	noMargin := exploreTiming
 	noMargin.FenceMargin = -tick
 	breaks := map[string]bounds{
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,22 +1,22 @@
-// Package ownership decides which shards a node owns, and for how long it may
-// act as their owner. A shard is a group of VMs or of job records. The package
-// is pure: events and times go in, actions come out; package membership carries
-// them out against the store and the peers.
+// Package ownership decides which shards a node owns and for how long it may act as
+// their owner. A shard is a group of VMs or of job records. The package has no I/O
+// and no clock: it receives events and times and returns actions; package membership
+// executes them against the store and the peers.
 //
-// Safety argument. A shard's record in the store names a node and its session;
-// a session is a key that dies with a store lease. Taking over needs the
-// session's key to be gone, and a session once gone never returns, so a stale
-// view can only delay. The holder stops acting FenceMargin before the lease can
-// lapse, counted on its own monotonic clock from the moment it sent the last
-// successful renewal; the store counts from later. A paused process therefore
-// finds its fence passed when it wakes.
+// Safety argument: a shard's record in the store names a node and its session; a
+// session is a key that is deleted when its store lease ends. Taking over a shard
+// requires that the session's key is gone, and a deleted session never returns, so a
+// stale view can only cause delay. The holder stops acting FenceMargin before the
+// lease can expire, measured on its own monotonic clock from the moment it sent the
+// last successful renewal; the store starts counting later. A process that resumes
+// after a pause therefore finds that its fence has passed.
 //
-// Without the store no renewal succeeds. A holder then asks the other nodes of
-// its availability zone, the only ones that may take its shards, to promise not
-// to. A promise is given only by a node that does not reach the store either,
-// and kept in memory; a restarted node, which has lost its promises, takes over
-// nothing by expiry until Quiet has passed, which is longer than any promise.
-// docs/design/002-ownership.md tells what remains open.
+// While the store is unreachable, no renewal succeeds. A holder then asks the other
+// nodes of its availability zone, the only ones that may take over its shards, to
+// promise not to do so. A node gives a promise only if it cannot reach the store
+// either, and keeps it in memory. A restarted node has lost its promises, so it takes
+// over no expired shard until QuietPeriod has passed, which is longer than any
+// promise. docs/design/002-ownership.md describes the remaining gaps.
 package ownership
 
 import (
@@ -26,16 +26,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a node's record in the store, alive as long as its session.
+// Node is a node's record in the store. It exists as long as the node's session.
 type Node struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
 	Session string `json:"session"`
-	// PeerAddress is the ip:port that serves the other nodes.
+	// PeerAddress is the ip:port for calls from other nodes.
 	PeerAddress   string `json:"peer_address"`
 	CallerAddress string `json:"caller_address"`
 	AdminAddress  string `json:"admin_address"`
-	// Draining nodes take no shards and hand theirs over.
+	// Draining nodes acquire no shards and hand over those they own.
 	Draining bool `json:"draining,omitempty"`
 }
 
@@ -44,38 +44,39 @@
 	Node string `json:"node"`
 	// Session is empty when the shard was released.
 	Session string `json:"session,omitempty"`
-	// PeerAddress is where the owner is asked, after its session has ended,
+	// PeerAddress is where the owner, once its session has ended, can be asked
 	// whether it still acts.
 	PeerAddress string `json:"peer_address,omitempty"`
-	// Epoch is the store revision of the record: it grows with each change of owner.
+	// Epoch is the store revision of the record; it grows with each change of owner.
 	Epoch int64 `json:"-"`
 }
 
-// Shard is a group of things with one owner at a time.
+// Shard is a group of VMs or of job records that has at most one owner at a time.
 type Shard struct {
 	Key string
-	// Zone limits the owners to one availability zone; empty for any.
+	// Zone restricts the owners to one availability zone; empty means any.
 	Zone string
 }
 
-// Timing holds the durations that the safety argument rests on.
+// Timing holds the durations on which the safety argument rests.
 type Timing struct {
 	// TTL is the store lease's time to live; default 5 s.
 	TTL time.Duration
 	// RenewInterval is how often the lease is renewed; default 1.5 s.
 	RenewInterval time.Duration
-	// FenceMargin is how long before the lease may lapse the holder stops; it
+	// FenceMargin is how long before the lease can expire the holder stops acting; it
 	// covers clocks that run at different rates; default 1 s.
 	FenceMargin time.Duration
-	// PromiseDuration is how long a peer's promise holds; default 4 s.
+	// PromiseDuration is how long a peer's promise is valid; default 4 s.
 	PromiseDuration time.Duration
-	// QuietPeriod is how long a new process takes over nothing by expiry; default 5 s.
+	// QuietPeriod is how long a new process takes over no expired shard; default 5 s.
 	QuietPeriod time.Duration
-	// HandOverInterval is the least time between two hand-overs for balance; default 500 ms.
+	// HandOverInterval is the minimum time between two hand-overs for balancing;
+	// default 500 ms.
 	HandOverInterval time.Duration
 }
 
-// DefaultTiming returns the defaults named in Timing.
+// DefaultTiming returns the defaults documented in Timing.
 func DefaultTiming() Timing {
 	return Timing{
 		TTL: 5 * time.Second, RenewInterval: 1500 * time.Millisecond, FenceMargin: time.Second,
@@ -83,70 +84,72 @@
 	}
 }
 
-// View is what the store was last seen to hold.
+// View is the last known content of the store.
 type View struct {
 	Nodes  map[string]Node
 	Owners map[string]Owner
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
 // The actions.
 const (
-	// Acquire: write the shard's record, expecting Expect.
+	// Acquire: write the shard's record on condition that its revision is Expect.
 	Acquire ActionKind = "acquire"
-	// Release: write the shard's record without a session, expecting Expect.
+	// Release: write the shard's record without a session, on the same condition.
 	Release ActionKind = "release"
 	// AskPromise: ask Peer for a promise.
 	AskPromise ActionKind = "ask-promise"
-	// AskOwner: ask Peer for which of Shards it still acts.
+	// AskOwner: ask Peer for which of Shards it still acts as the owner.
 	AskOwner ActionKind = "ask-owner"
 )
 
-// PromiseState is what became of asking a peer for a promise.
+// PromiseState is the outcome of asking a peer for a promise.
 type PromiseState int
 
-// The answers.
+// The outcomes of asking a peer for a promise.
 const (
-	// PromiseGiven: it will not take over for a time.
+	// PromiseGiven: the peer takes over none of this node's shards for
+	// PromiseDuration.
 	PromiseGiven PromiseState = iota
-	// PromiseRefused: it reaches the store.
+	// PromiseRefused: the peer can reach the store.
 	PromiseRefused
-	// PromiseNotListening: its host is there and nothing listens. Whatever starts in its
-	// place asks the owner before it takes over.
+	// PromiseNotListening: the peer's host responds but no process listens. A process
+	// that starts there asks the owner before it takes over.
 	PromiseNotListening
-	// PromiseNoResponse: no answer. It may be cut off from us only.
+	// PromiseNoResponse: no response; the peer may be cut off from this node only.
 	PromiseNoResponse
 )
 
-// OwnerState is what became of asking an owner whose session has ended.
+// OwnerState is the outcome of asking an owner whose session has ended.
 type OwnerState int
 
-// The answers.
+// The outcomes of asking an owner.
 const (
-	// OwnerActs: it still acts, by promises.
+	// OwnerActs: the owner still acts, on the basis of promises.
 	OwnerActs OwnerState = iota
-	// OwnerStopped: it does not, or nothing listens at its address.
+	// OwnerStopped: the owner does not act, or no process listens at its address.
 	OwnerStopped
-	// OwnerNoResponse: no answer. It may be dead, cut off or paused.
+	// OwnerNoResponse: no response; the owner may be dead, cut off or paused.
 	OwnerNoResponse
 )
 
-// inquiry is what is known of an owner whose session has ended.
+// inquiry is what is known about an owner whose session has ended.
 type inquiry struct {
 	session string
-	// stoppedAt is when it was last found not to act; zero for not yet.
+	// stoppedAt is when the owner was last found not to act; zero if never.
 	stoppedAt time.Time
-	// noResponseSince is when it first did not answer; zero when it did.
+	// noResponseSince is when the owner first failed to respond; zero if it
+	// responded.
 	noResponseSince time.Time
 }
 
-// ownerStoppedValidity is how long an owner found not to act counts as such: it acts again
-// only after it has acquired the shard anew.
+// ownerStoppedValidity is how long the finding that an owner does not act stays
+// valid: the owner acts again only after it has reacquired the shard.
 const ownerStoppedValidity = 3 * time.Second
 
-// Action is something for the shell to do.
+// Action is a request to the caller of Plan.
 type Action struct {
 	Kind   ActionKind
 	Shard  string
@@ -155,18 +158,19 @@
 	Shards []string
 }
 
-// promise is what a peer said in the present outage.
+// promise is a peer's answer during the current store outage.
 type promise struct {
 	until time.Time
-	// given is set once the peer has promised in this outage: it was cut off
-	// from the store as well, so its later silence does not mean it took over.
+	// given is set once the peer has promised in this outage: it was cut off from the
+	// store as well, so a later missing response does not mean that it took over.
 	given bool
-	// refused is set when the peer reaches the store.
+	// refused is set when the peer can reach the store.
 	refused     bool
 	unreachable bool
 }
 
-// Machine is the state of one node. It is not safe for concurrent use.
+// Machine is the ownership state machine of one node. It is not safe for concurrent
+// use.
 type Machine struct {
 	timing    Timing
 	self      Node
@@ -183,13 +187,13 @@
 	promisesGiven    map[string]time.Time
 	promisesReceived map[string]promise
 	extendedUntil    time.Time
-	// retained are shards of a session that lapsed while promises kept them ours.
+	// retained holds the shards of an expired session that promises still protect.
 	retained map[string]bool
-	// inquiries tells of owners whose session has ended, by shard.
+	// inquiries holds, by shard, what is known about owners whose session has ended.
 	inquiries map[string]inquiry
 }
 
-// New returns the machine of a node that started at now and has no session.
+// New returns the machine of a node that starts at now and has no session.
 func New(self Node, timing Timing, now time.Time) *Machine {
 	return &Machine{
 		timing: timing, self: self, startedAt: now,
@@ -198,8 +202,8 @@
 	}
 }
 
-// Renewed tells that the session's lease was granted or renewed by a call sent
-// at sentAt.
+// Renewed records that the session's lease was granted or renewed by a call sent at
+// sentAt.
 func (m *Machine) Renewed(session string, sentAt time.Time) {
 	if session != m.session {
 		m.session = session
@@ -212,11 +216,11 @@
 	m.promisesReceived = map[string]promise{}
 }
 
-// RenewFailed tells that the store did not answer a renewal.
+// RenewFailed records that the store did not respond to a renewal.
 func (m *Machine) RenewFailed() { m.storeOK = false }
 
-// SessionGone tells that the store has ended the session. What promises still
-// protect stays ours to act on, and to acquire again under the next session.
+// SessionGone records that the store has ended the session. The node may still act
+// for shards that promises protect, and reacquires them under its next session.
 func (m *Machine) SessionGone(now time.Time) {
 	protected := now.Before(m.extendedUntil)
 	for key, o := range m.view.Owners {
@@ -228,7 +232,7 @@
 	m.fence = time.Time{}
 }
 
-// SetView replaces what the store holds.
+// SetView replaces the known content of the store.
 func (m *Machine) SetView(v View) {
 	m.view = v
 	for key, q := range m.inquiries {
@@ -244,23 +248,23 @@
 	}
 }
 
-// View returns what the store was last seen to hold.
+// View returns the last known content of the store.
 func (m *Machine) View() View { return m.view }
 
-// SetShards replaces the list of shards that exist.
+// SetShards replaces the list of existing shards.
 func (m *Machine) SetShards(shards []Shard) { m.shards = shards }
 
-// Drain makes the node hand over all it owns.
+// Drain makes the node hand over all shards it owns.
 func (m *Machine) Drain() { m.draining, m.self.Draining = true, true }
 
-// Self returns the node's record as it should stand in the store.
+// Self returns the node's record as it should be stored.
 func (m *Machine) Self() Node { return m.self }
 
-// StoreReachable reports whether the last renewal was answered.
+// StoreReachable reports whether the store responded to the last renewal.
 func (m *Machine) StoreReachable() bool { return m.storeOK }
 
-// MayActUntil returns when the node's right to act for what it owns ends unless it
-// is renewed; extended reports that it rests on promises rather than the store.
+// MayActUntil returns when the node's right to act for its shards ends unless it is
+// renewed; extended reports that the right rests on promises rather than the store.
 func (m *Machine) MayActUntil() (until time.Time, extended bool) {
 	if m.extendedUntil.After(m.fence) {
 		return m.extendedUntil, true
@@ -268,8 +272,8 @@
 	return m.fence, false
 }
 
-// Epoch returns the epoch under which the node may act for a shard at now, and
-// false when it may not.
+// Epoch returns the epoch under which the node may act for a shard at now, and false
+// if it may not act.
 func (m *Machine) Epoch(shard string, now time.Time) (int64, bool) {
 	if until, _ := m.MayActUntil(); !now.Before(until) {
 		return 0, false
@@ -296,7 +300,7 @@
 	return owned
 }
 
-// Plan returns what to do now.
+// Plan returns the actions to execute at now.
 func (m *Machine) Plan(now time.Time) []Action {
 	if !m.storeOK {
 		return m.planOutage(now)
@@ -325,25 +329,25 @@
 	return actions
 }
 
-// planShard decides on one shard while the store answers.
+// planShard decides on one shard while the store is reachable.
 func (m *Machine) planShard(s Shard, now time.Time) (Action, bool) {
 	o, known := m.view.Owners[s.Key]
-	want := m.Desired(s)
-	mine := known && o.Node == m.self.ID && o.Session != ""
+	desired := m.Desired(s)
+	owned := known && o.Node == m.self.ID && o.Session != ""
 	switch {
-	case mine && m.retained[s.Key]:
+	case owned && m.retained[s.Key]:
 		return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
-	case mine && o.Session == m.session:
-		return m.planHandOver(s, o, want, now)
-	case want != m.self.ID:
+	case owned && o.Session == m.session:
+		return m.planHandOver(s, o, desired, now)
+	case desired != m.self.ID:
 		return Action{}, false
 	case !known || o.Session == "":
 		return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
 	case m.sessionLive(o):
 		return Action{}, false
 	case now.Sub(m.startedAt) < m.timing.QuietPeriod || now.Before(m.promisesGiven[o.Node]):
-		// The owner's lease lapsed, but this process, or an earlier one of the
-		// same node, may have promised the owner not to take over.
+		// The owner's lease has expired, but this process, or an earlier process of
+		// the same node, may have promised the owner not to take over.
 		return Action{}, false
 	case !m.ownerStopped(s.Key, o, now):
 		return Action{Kind: AskOwner, Shard: s.Key, Peer: Node{ID: o.Node, PeerAddress: o.PeerAddress}}, true
@@ -351,21 +355,21 @@
 	return Action{Kind: Acquire, Shard: s.Key, Expect: o.Epoch}, true
 }
 
-// ownerStopped reports whether the owner, whose session has ended, was lately
-// found not to act. Without asking, a node that the owner does not know of, and
-// so asked for no promise, would take over while the owner goes on.
+// ownerStopped reports whether the owner, whose session has ended, was recently found
+// not to act. Without this check, a node unknown to the owner, and so never asked for
+// a promise, would take over while the owner continues to act.
 func (m *Machine) ownerStopped(shard string, o Owner, now time.Time) bool {
 	if o.PeerAddress == m.self.PeerAddress {
-		// An earlier process at this very address.
+		// The owner was an earlier process at this node's own address.
 		return true
 	}
 	q := m.inquiries[shard]
 	return q.session == o.Session && !q.stoppedAt.IsZero() && now.Sub(q.stoppedAt) < ownerStoppedValidity
 }
 
-// RecordOwnerState tells what became of asking a shard's owner. One that is silent
-// counts as stopped after PromiseDuration: a paused process asks for no promises, so
-// by then what it had has run out.
+// RecordOwnerState records the outcome of asking a shard's owner. An owner that does
+// not respond counts as stopped after PromiseDuration: a paused process asks for no
+// promises, so by then all its promises have expired.
 func (m *Machine) RecordOwnerState(shard string, state OwnerState, now time.Time) {
 	o := m.view.Owners[shard]
 	q := m.inquiries[shard]
@@ -383,10 +387,10 @@
 	m.inquiries[shard] = q
 }
 
-// planHandOver gives an own shard to the node that should have it, one at a
-// time unless the node is draining.
-func (m *Machine) planHandOver(s Shard, o Owner, want string, now time.Time) (Action, bool) {
-	if want == m.self.ID || want == "" {
+// planHandOver hands over an owned shard to its desired owner, at most one per
+// HandOverInterval unless the node is draining.
+func (m *Machine) planHandOver(s Shard, o Owner, desired string, now time.Time) (Action, bool) {
+	if desired == m.self.ID || desired == "" {
 		return Action{}, false
 	}
 	if !m.draining && now.Sub(m.lastHandOver) < m.timing.HandOverInterval {
@@ -401,9 +405,9 @@
 	return ok && n.Session == o.Session
 }
 
-// Desired returns the node that should own the shard: of the eligible ones the
-// one with the highest hash together with the shard, so that a node's coming or
-// going moves only the shards that it gains or loses.
+// Desired returns the node that should own the shard, by rendezvous hashing among the
+// eligible nodes: when a node joins or leaves, only the shards that it gains or loses
+// move.
 func (m *Machine) Desired(s Shard) string {
 	var best string
 	var bestHash uint64
@@ -419,7 +423,7 @@
 	return best
 }
 
-// zonePeers returns the other nodes of the zone that were last seen alive.
+// zonePeers returns the other known live nodes of the zone, sorted by ID.
 func (m *Machine) zonePeers() []Node {
 	var peers []Node
 	for id, n := range m.view.Nodes {
@@ -431,10 +435,10 @@
 	return peers
 }
 
-// planOutage asks for promises while the store does not answer.
+// planOutage requests promises while the store is unreachable.
 func (m *Machine) planOutage(now time.Time) []Action {
 	if until, _ := m.MayActUntil(); !now.Before(until) {
-		// The fence has passed: a peer may own the shards by now.
+		// The right to act has ended: a peer may own the shards by now.
 		return nil
 	}
 	var actions []Action
@@ -447,7 +451,7 @@
 	return actions
 }
 
-// RecordPromiseState tells what a peer said to a question sent at askedAt.
+// RecordPromiseState records a peer's response to a promise request sent at askedAt.
 func (m *Machine) RecordPromiseState(peer string, state PromiseState, askedAt time.Time) {
 	p := m.promisesReceived[peer]
 	p.unreachable = state == PromiseNoResponse
@@ -462,8 +466,8 @@
 	m.extend(askedAt)
 }
 
-// extend moves the end of the right to act to the earliest end of the promises
-// that it rests on.
+// extend extends the right to act to the earliest end of the promises on which it
+// rests.
 func (m *Machine) extend(askedAt time.Time) {
 	if m.storeOK {
 		return
@@ -475,8 +479,9 @@
 		case p.refused:
 			return
 		case p.unreachable && p.given:
-			// It promised in this outage and is silent now: cut off like us, or
-			// dead. A successor would keep quiet and ask us first.
+			// The peer promised in this outage and does not respond now: it is cut
+			// off as well, or dead. A successor process would observe its quiet
+			// period and ask this node first.
 			continue
 		case p.until.Before(until):
 			until = p.until
@@ -487,8 +492,9 @@
 	}
 }
 
-// Promise decides whether to promise a peer not to take over its shards, and
-// remembers it. A node that reaches the store refuses: it may have to take over.
+// Promise decides whether to promise a peer not to take over its shards, and records
+// the promise. A node that can reach the store refuses, since it may have to take
+// over.
 func (m *Machine) Promise(node string, d time.Duration, now time.Time) bool {
 	if m.storeOK {
 		return false
