--- a/internal/jobs/leader.go
+++ b/internal/jobs/leader.go
@@ -33,7 +33,7 @@
 	Owner(vm string) (node string, listed, known bool)
 	// FitsNowhere returns why no VM can ever run a task of the job, or "" if one can.
 	FitsNowhere(spec model.JobSpec) string
-	Reserve(ctx context.Context, node string, refs []worker.Ref, room vms.TaskRequirements) ([]vms.Attempt, error)
+	Reserve(ctx context.Context, node string, refs []worker.Ref, req vms.TaskRequirements) ([]vms.Attempt, error)
 	Start(ctx context.Context, node string, attempts []vms.Attempt, durationMS int64) ([]vms.Attempt, error)
 	Stop(ctx context.Context, node string, attempts []vms.Attempt, checkpoint bool) error
 	Audit(ctx context.Context, node string, attempts []vms.Attempt) (ended []vms.Attempt, notOwned []string, err error)
--- a/internal/vms/absence_test.go
+++ b/internal/vms/absence_test.go
@@ -16,7 +16,7 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// fakeAgent has one status and notes the starts.
+// fakeAgent reports a fixed status and records the starts.
 type fakeAgent struct {
 	worker.Agent
 	status worker.Status
@@ -44,11 +44,12 @@
 func (fakeTarget) Connections() int64 { return 0 }
 func (fakeTarget) CloseIdle()         {}
 
-// fakeOwnership owns all; a process that asks it may be suspended after the answer.
+// fakeOwnership owns every shard; suspend delays its response, as if the process that
+// asked were suspended after it.
 type fakeOwnership struct {
 	mu      sync.Mutex
 	suspend time.Duration
-	// askedAt is when it was last asked.
+	// askedAt is when Epoch was last called.
 	askedAt time.Time
 }
 
@@ -61,7 +62,7 @@
 	return 1, true
 }
 
-// fakeReporter records ends once it is told to.
+// fakeReporter records ends only while isRecording is set.
 type fakeReporter struct {
 	mu          sync.Mutex
 	isRecording bool
@@ -110,12 +111,11 @@
 
 var oneVM = []model.VM{{Name: "v", Zone: "z", Rack: "r", State: model.VMLive, Capacity: model.Resources{MilliCPU: 1000, MemoryMB: 1000, Slots: 8, Connections: 64}}}
 
-// What happened: a task that had finished was executed again.
-// Sequence: the task is the last on a VM that leaves; the leader of its job's shard
-// does not answer just then; the VM goes off the platform's list.
-// Cause: the VM was dropped for holding nothing, with the end that nobody had
-// recorded yet; the audit found the attempt lost a minute later.
-func TestUnrecordedEndOutlivesItsVM(t *testing.T) {
+// Guards against executing a finished task again. The task is the last one on a VM
+// that leaves, and the leader of its job's shard does not respond before the
+// platform's list drops the VM. If the VM were removed with the unrecorded end, the
+// audit would declare the attempt lost a minute later.
+func TestUnrecordedEndKeepsUnlistedVM(t *testing.T) {
 	ref := worker.Ref{Task: "t/j:0", Attempt: 1}
 	agent := &fakeAgent{status: worker.Status{Sequence: 1, Boot: "b", Tasks: []worker.Task{{Ref: ref, State: worker.Finished}}}}
 	reporter := &fakeReporter{}
@@ -127,18 +127,17 @@
 	reporter.mu.Lock()
 	reporter.isRecording = true
 	reporter.mu.Unlock()
-	require.Eventually(t, func() bool { return reporter.count() == 1 }, 5*time.Second, 10*time.Millisecond, "the end is never recorded")
+	require.Eventually(t, func() bool { return reporter.count() == 1 }, 5*time.Second, 10*time.Millisecond, "the end must be recorded after the VM has left the list")
 	m.SetList(nil)
-	require.Eventually(t, func() bool { return len(m.Dump()) == 0 }, 5*time.Second, 10*time.Millisecond, "the VM is never dropped")
+	require.Eventually(t, func() bool { return len(m.Dump()) == 0 }, 5*time.Second, 10*time.Millisecond, "the VM must be dropped once the end is recorded")
 }
 
-// What happened: a task ran on two VMs.
-// Sequence: an owner asks whether it still owns a VM and is suspended; another node
-// takes the VM over, waits until no start of the first can be under way, and finds
-// that the attempt does not run; the first wakes and starts it.
-// Cause: the time until which the agent may act on the start was counted from after
-// the question.
-func TestStartIsInTimeForWhoeverAskedBeforeIt(t *testing.T) {
+// Guards against a task that runs on two VMs. An owner checks that it still owns a VM
+// and is suspended; another node takes the VM over, waits until no start of the first
+// can be in transit, and finds that the attempt does not run; the first resumes and
+// starts it. The start's deadline must therefore count from before the ownership
+// check.
+func TestStartDeadlineCountsFromOwnershipCheck(t *testing.T) {
 	agent := &fakeAgent{status: worker.Status{Sequence: 1, Boot: "b"}, starts: make(chan worker.StartRequest, 1)}
 	own := &fakeOwnership{}
 	m := newManager(t, agent, own, &fakeReporter{})
@@ -158,5 +157,5 @@
 	own.suspend = 0
 	start := <-agent.starts
 	countedFrom := time.UnixMilli(start.NotAfterUnixMS).Add(-startTimeout)
-	require.False(t, countedFrom.After(own.askedAt), "counted from %v after the question", countedFrom.Sub(own.askedAt))
+	require.False(t, countedFrom.After(own.askedAt), "the start's deadline counts from %v after the ownership check", countedFrom.Sub(own.askedAt))
 }
--- a/internal/vms/machine.go
+++ b/internal/vms/machine.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// statusWait is how long one status call waits for a change. Long, because
-	// each costs a few hundred bytes for each VM; that a VM is gone shows at once
-	// in what else is sent to it.
+	// statusWait is how long one status call waits for a change. It is long because
+	// each call costs a few hundred bytes for each VM; the loss of a VM is detected
+	// at once by the other calls sent to it.
 	statusWait = 15 * time.Second
-	// uncertainInterval is how often the status is read while something is uncertain.
+	// uncertainInterval is the interval between status reads while the VM's state is
+	// uncertain.
 	uncertainInterval = 100 * time.Millisecond
-	// reportRetryDelay is how soon an end that was not recorded is reported again.
+	// reportRetryDelay is the delay before an unrecorded end is reported again.
 	reportRetryDelay = time.Second
-	// statusRetryDelay is the least time between failed status calls.
+	// statusRetryDelay is the minimum delay after a failed status call.
 	statusRetryDelay = 500 * time.Millisecond
-	// lostMargin is added to the lease before an attempt counts as lost: it covers
-	// a renewal still on its way and clocks that run at different rates.
+	// lostMargin is added to the lease before an attempt counts as lost: it covers a
+	// renewal still in transit and clocks that run at different rates.
 	lostMargin = 5 * time.Second
-	// initialLatency is assumed of a VM that served no request yet.
+	// initialLatency is the assumed latency of a VM that has served no request yet.
 	initialLatency = 5 * time.Millisecond
 )
 
-// machine is one owned VM. Its fields are guarded by the manager's mutex.
+// machine is the state of one owned VM. Its fields are guarded by the manager's
+// mutex.
 type machine struct {
 	vm     model.VM
 	shard  string
@@ -41,48 +43,50 @@
 	target target.Target
 	cancel context.CancelFunc
 
-	// takenOverAt is when this node took the VM over.
+	// takenOverAt is when this node became the VM's owner.
 	takenOverAt time.Time
-	// listRequestedAt is when the newest list was asked for; a call that waited for a
-	// change may have been asked for long before it was answered.
+	// listRequestedAt is when the newest list was requested. A call that waited for a
+	// change may have been sent long before its response.
 	listRequestedAt time.Time
-	// listCompleteAfter is when the list tells of all attempts: what an earlier owner, or
-	// the VM at an earlier address, may still run is over by then.
+	// listCompleteAfter is when the VM's list covers all attempts: any attempt that
+	// an earlier owner started, or that runs at the VM's earlier address, has ended
+	// by then.
 	listCompleteAfter time.Time
 	reachable         bool
 	// unlisted is set while the platform's list lacks the VM.
 	unlisted bool
-	// leaving is set while the VM must get nothing new and is emptied.
+	// leaving is set while the VM gets no new work and its tasks are evicted.
 	leaving bool
-	// lastContactEnd is when the last call that may have started or renewed a
-	// task's lease ended, answered or not.
+	// lastContactEnd is when the last call that may have started a task or renewed
+	// its lease returned, with or without a response.
 	lastContactEnd time.Time
-	// suspectUntil keeps requests off a VM that just refused a connection.
+	// suspectUntil is the time before which the VM gets no requests, since it refused
+	// a connection.
 	suspectUntil time.Time
-	// connectFailures counts the connections refused in a row.
+	// connectFailures counts the consecutive failures to connect to the target.
 	connectFailures int
 	tasks           map[worker.Ref]*heldTask
-	// list is a copy of the VM's own list, as of its boot.
+	// list is a copy of the VM's own task list, as of its boot ID.
 	list map[worker.Ref]worker.Task
 	boot string
-	// latency is a moving average over whole requests.
+	// latency is a moving average over completed requests.
 	latency  time.Duration
 	slowdown float64
-	// cancelStatus ends the present status call; it may be called any number of
-	// times.
+	// cancelStatus cancels the current status call; it may be called repeatedly.
 	cancelStatus func()
 }
 
 // heldTask is an attempt that the VM holds or held.
 type heldTask struct {
 	checkpoint string
-	// end is set once the attempt has ended; it stays listed until recorded.
+	// end is set once the attempt has ended; the attempt is kept until its end is
+	// recorded.
 	end End
-	// starting is set while the start's outcome is not known.
+	// starting is set while the outcome of the start is unknown.
 	starting bool
-	// startResolvedAt is when the start's outcome was settled. A list asked for earlier
-	// may lack the task although it runs: taking that for its end would start it
-	// a second time elsewhere.
+	// startResolvedAt is when the outcome of the start was resolved. A list requested
+	// earlier may lack the task although it runs; taking that for its end would start
+	// the task a second time elsewhere.
 	startResolvedAt time.Time
 	stopping        bool
 }
@@ -91,7 +95,7 @@
 	return ref.Task + "#" + itoa(ref.Attempt)
 }
 
-// watchStatus follows the VM's own list.
+// watchStatus keeps the copy of the VM's task list up to date.
 func (m *Manager) watchStatus(ctx context.Context, mc *machine) {
 	var after int64 = -1
 	for ctx.Err() == nil {
@@ -103,7 +107,8 @@
 			continue
 		}
 		if err != nil {
-			// What was given up meanwhile may still be there: read all again.
+			// The VM may still hold attempts declared lost meanwhile: read the whole
+			// list.
 			after = -1
 			m.statusFailed(ctx, mc)
 			continue
@@ -117,12 +122,13 @@
 	}
 }
 
-// errStatusCancelled: a status call was ended to read the list at once.
-var errStatusCancelled = errors.New("status call abandoned")
+// errStatusCancelled: a status call was cancelled in order to read the list at once.
+var errStatusCancelled = errors.New("status call cancelled to refresh the list")
 
-// readStatus reads the VM's list: at once while anything is uncertain, else when
-// it changes. machine.again abandons the call; whatever becomes uncertain after
-// the look at the ledger does so, since both are under one lock.
+// readStatus reads the VM's list: at once while anything is uncertain, otherwise when
+// it changes. machine.refreshStatus cancels the call. State that becomes uncertain
+// after the ledger is checked here always does so, since the check and the setting of
+// cancelStatus share one critical section.
 func (m *Manager) readStatus(ctx context.Context, mc *machine, after int64) (s worker.Status, uncertain bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -144,7 +150,7 @@
 	return s, uncertain, err
 }
 
-// unrecorded reports whether the end of an attempt has yet to be recorded.
+// unrecorded reports whether the end of any attempt has yet to be recorded.
 func (mc *machine) unrecorded() bool {
 	for _, h := range mc.tasks {
 		if h.end != "" {
@@ -154,8 +160,8 @@
 	return false
 }
 
-// statusFailed notes that the VM is not reached, and gives its attempts up once
-// their leases have certainly run out.
+// statusFailed marks the VM as unreachable and declares its attempts lost once their
+// leases have certainly expired.
 func (m *Manager) statusFailed(ctx context.Context, mc *machine) {
 	m.mu.Lock()
 	mc.reachable = false
@@ -171,22 +177,23 @@
 	pause.For(ctx, statusRetryDelay)
 }
 
-// leasesExpired reports whether every lease that anyone gave to tasks on the VM
-// has run out. Renewals stop while the VM is not reached, so that this point
-// comes; an earlier owner's last renewal ended before its fence, which lies
-// before this node took over. m.mu is held.
+// leasesExpired reports whether every lease given to tasks on the VM has expired, by
+// this or an earlier owner. Renewals stop while the VM is unreachable, so this
+// eventually holds. An earlier owner's last renewal ended before its fence, which
+// passed before this node took over. m.mu is held.
 func (m *Manager) leasesExpired(mc *machine, now time.Time) bool {
 	return now.Sub(mc.lastContactEnd) > m.Timing.Lease+lostMargin
 }
 
-// attemptsLost reports whether attempts on a VM that is not reached count as
-// lost: their leases have run out, and the VM is gone or was waited for.
+// attemptsLost reports whether attempts on an unreachable VM count as lost: their
+// leases have expired, and the VM is either off the platform's list or has been
+// unreachable for UnreachableGrace longer.
 func (m *Manager) attemptsLost(mc *machine, now time.Time) bool {
 	doubt := now.Sub(mc.lastContactEnd) < m.Timing.Lease+lostMargin+m.Timing.UnreachableGrace
 	return m.leasesExpired(mc, now) && (mc.unlisted || !doubt)
 }
 
-// observe takes the VM's own list into the ledger.
+// observe applies the VM's own list to the ledger and to the held tasks.
 func (m *Manager) observe(mc *machine, s worker.Status, whole bool, askedAt time.Time, own int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,7 +221,7 @@
 	mc.ledger.Observe(o)
 	for ref, h := range mc.tasks {
 		if _, listed := mc.list[ref]; !listed && h.end == "" && !h.starting && askedAt.After(h.startResolvedAt) {
-			// The VM restarted and holds nothing of it.
+			// The VM restarted and no longer holds the attempt.
 			h.end = EndLost
 		}
 		if h.end != "" {
@@ -224,8 +231,8 @@
 	m.wakeWaiters()
 }
 
-// merge brings the copy of the VM's list up to date: whole is set when s tells of
-// all tasks. After a restart the VM has only what it tells of since.
+// merge updates the copy of the VM's list; whole is set when s lists all tasks. After
+// a restart the VM holds only the tasks that it reports from then on.
 func (mc *machine) merge(s worker.Status, whole bool) {
 	if whole || mc.boot != s.Boot {
 		mc.list, mc.boot = map[worker.Ref]worker.Task{}, s.Boot
@@ -247,8 +254,8 @@
 	return EndStopped
 }
 
-// processEnds reports the attempts that ended, forgets those whose end is recorded,
-// and empties a VM that is leaving.
+// processEnds reports the ended attempts, forgets those whose end is recorded, and
+// evicts the tasks of a VM that is leaving.
 func (m *Manager) processEnds(ctx context.Context, mc *machine) {
 	m.mu.Lock()
 	var report []Attempt
@@ -272,8 +279,8 @@
 	m.forget(ctx, mc, recorded)
 }
 
-// reportRunning tells the leaders of the job shards, all VMs together, which
-// attempts run, and stops those that should not.
+// reportRunning reports the running attempts of all VMs to the leaders of the job
+// shards and stops those that are obsolete.
 func (m *Manager) reportRunning(ctx context.Context) {
 	m.mu.Lock()
 	var report []Attempt
@@ -298,7 +305,7 @@
 	}
 }
 
-// stopAll ends attempts with a checkpoint; their end shows in the next status.
+// stopAll stops attempts with a checkpoint; their end appears in the next status.
 func (m *Manager) stopAll(ctx context.Context, mc *machine, refs []worker.Ref) {
 	for _, ref := range refs {
 		if !m.mayAct(mc) {
@@ -314,7 +321,7 @@
 	}
 }
 
-// forget drops attempts whose end is recorded, here and at the agent.
+// forget removes attempts whose end is recorded, here and at the agent.
 func (m *Manager) forget(ctx context.Context, mc *machine, recorded []worker.Ref) {
 	var ended []worker.Ref
 	m.mu.Lock()
@@ -341,7 +348,7 @@
 }
 
 // keepLeases renews the leases of the VM's tasks and checkpoints them. It does
-// neither while the VM is not reached or no longer owned.
+// neither while the VM is unreachable or no longer owned.
 func (m *Manager) keepLeases(ctx context.Context, mc *machine) {
 	ticker := time.NewTicker(m.Timing.RenewInterval)
 	defer ticker.Stop()
@@ -366,8 +373,9 @@
 	}
 }
 
-// contactEnded notes the end of a call that may have begun or renewed a lease. A
-// VM that did not answer gets nothing more until its list is read again.
+// contactEnded records the end of a call that may have started or renewed a lease.
+// After a call without a response the VM gets no new work until its list is read
+// again.
 func (m *Manager) contactEnded(mc *machine, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -378,8 +386,8 @@
 	}
 }
 
-// refreshStatus makes the present status call end, so that the list is read at once: a
-// call that waits for a change of tasks does not tell that a request has ended.
+// refreshStatus cancels the current status call, so that the list is read at once: a
+// call that waits for a change of tasks does not return when a request ends.
 func (mc *machine) refreshStatus() {
 	if mc.cancelStatus != nil {
 		mc.cancelStatus()
@@ -396,7 +404,7 @@
 	for _, t := range saved {
 		if h := mc.tasks[t.Ref]; h != nil && h.end == "" {
 			h.checkpoint = t.Checkpoint
-			// Saving is no change that the list tells of.
+			// Checkpointing does not count as a change in the VM's list.
 			mc.list[t.Ref] = t
 		}
 	}
--- a/internal/vms/manager.go
+++ b/internal/vms/manager.go
@@ -1,6 +1,6 @@
-// Package vms manages the VMs that this node owns: one ledger each, the tasks'
-// leases, the requests' slots and connections. Only the owner gives work to a
-// VM, and only after it has read the VM's own list of what it holds.
+// Package vms manages the VMs that this node owns: one ledger per VM, the tasks'
+// leases, and the slots and connections of requests. Only the owner assigns work to a
+// VM, and only after it has read the VM's own list of its tasks.
 package vms
 
 import (
@@ -22,11 +22,11 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// partsPerRack divides a rack's VMs into shards, so that the VMs of a small
-// deployment spread over its nodes.
+// partsPerRack is the number of shards per rack, so that the VMs of a small
+// deployment are spread over its nodes.
 const partsPerRack = 3
 
-// shardPrefix marks the ownership shards that are groups of VMs.
+// shardPrefix is the key prefix of the ownership shards that are groups of VMs.
 const shardPrefix = "vm/"
 
 // ShardOf returns the ownership shard of a VM.
@@ -35,18 +35,19 @@
 	return ownership.Shard{Key: fmt.Sprintf("%s%s/%d", shardPrefix, vm.RackKey(), part), Zone: vm.Zone}
 }
 
-// Ownership tells whether this node may act for a shard.
+// Ownership reports whether, and under which epoch, this node may act for a shard.
 type Ownership interface {
 	Epoch(shard string) (int64, bool)
 }
 
-// Reporter carries the ends of attempts to whoever records them. It returns
-// the attempts that are recorded, and those still running that should not be.
+// Reporter delivers the running and ended attempts to the leaders of the job shards.
+// It returns the attempts whose end is recorded, and those still running that must be
+// stopped.
 type Reporter interface {
 	Report(ctx context.Context, attempts []Attempt) (recorded, obsolete []worker.Ref)
 }
 
-// Attempt is an attempt with how it ended.
+// Attempt is an attempt to run a task on a VM, and how it ended.
 type Attempt struct {
 	worker.Ref
 	VM string
@@ -55,22 +56,23 @@
 	Checkpoint string
 }
 
-// End says how an attempt ended.
+// End is how an attempt ended.
 type End string
 
 // The ends of an attempt.
 const (
 	EndFinished End = "finished"
 	EndFailed   End = "failed"
-	// EndStopped: evicted or cancelled.
+	// EndStopped: the attempt was evicted or cancelled.
 	EndStopped End = "stopped"
-	// EndLost: the VM cannot be reached and the lease has run out.
+	// EndLost: the VM is unreachable and the lease has expired, or the VM no longer
+	// holds the attempt.
 	EndLost End = "lost"
-	// EndRefused: it was certainly not started.
+	// EndRefused: the attempt was certainly not started.
 	EndRefused End = "refused"
 )
 
-// Timing of the tasks' leases.
+// Timing holds the durations of the tasks' leases and checkpoints.
 type Timing struct {
 	// Lease is how long a task runs without a renewal; default 30 s. Each renewal
 	// costs some 350 bytes for each VM.
@@ -79,35 +81,36 @@
 	RenewInterval time.Duration
 	// CheckpointInterval is how often running tasks are checkpointed; default 60 s.
 	CheckpointInterval time.Duration
-	// UnreachableGrace is how long the tasks of a VM that is listed but not reached are
-	// waited for after their leases have run out; default 2 min. A task may have
-	// finished there just before, and to run it again would double it; the VM
-	// tells when it comes back. A VM off the list is not waited for.
+	// UnreachableGrace is the additional time, after their leases have expired,
+	// before the tasks of a listed but unreachable VM are declared lost; default 2
+	// min. A task may have finished there just before, and running it again would
+	// execute it twice; the VM reports it when it is reachable again. For a VM off
+	// the list there is no such delay.
 	UnreachableGrace time.Duration
 }
 
-// DefaultTiming returns the defaults named in Timing.
+// DefaultTiming returns the defaults documented in Timing.
 func DefaultTiming() Timing {
 	return Timing{
 		Lease: 30 * time.Second, RenewInterval: 10 * time.Second, CheckpointInterval: time.Minute, UnreachableGrace: 2 * time.Minute,
 	}
 }
 
-// Options of a Manager. All fields are needed.
+// Options configures a Manager. All fields are required.
 type Options struct {
 	Ownership Ownership
 	Reporter  Reporter
 	Config    func() *config.Installed
-	// NewAgent returns the adapter to the agent at an address.
+	// NewAgent returns the client of the agent at an address.
 	NewAgent func(address string) worker.Agent
-	// NewTarget returns the adapter to the target at an address, which opens at
-	// most so many connections.
+	// NewTarget returns the client of the target at an address, which opens at most
+	// maxConnections connections.
 	NewTarget func(address string, maxConnections int) target.Target
 	Timing    Timing
 	Log       *logrus.Entry
 }
 
-// Manager holds the owned VMs. Serve runs it.
+// Manager manages the owned VMs. Serve runs it.
 type Manager struct {
 	Options
 
@@ -148,18 +151,19 @@
 	}
 }
 
-// reportInterval is how often running attempts are reported, so that those that
-// should not run are found.
+// reportInterval is the interval between reports of running attempts, by which
+// obsolete ones are found.
 const reportInterval = 30 * time.Second
 
 func (m *Manager) reportLoop(ctx context.Context) {
 	pause.Every(ctx, reportInterval, func() { m.reportRunning(ctx) })
 }
 
-// tickInterval is how often reservations and waiters are looked at.
+// tickInterval is the interval at which reservations and waiting requests are
+// checked.
 const tickInterval = 250 * time.Millisecond
 
-// Sync asks for a look at who owns what; it does not wait for it.
+// Sync requests a check of VM ownership without waiting for it.
 func (m *Manager) Sync() {
 	select {
 	case m.syncRequests <- struct{}{}:
@@ -167,9 +171,10 @@
 	}
 }
 
-// SetList takes the platform's list. A VM off the list is treated as leaving until
-// its tasks are gone and their ends recorded: the list lags and may miss a VM that
-// still runs, and an end that is dropped here has its task executed again.
+// SetList installs the platform's list of VMs. A VM off the list is treated as
+// leaving until its tasks are gone and their ends recorded: the list lags and may
+// lack a VM that still runs, and dropping an unrecorded end would execute its task
+// again.
 func (m *Manager) SetList(list []model.VM) {
 	m.mu.Lock()
 	next := make(map[string]model.VM, len(list))
@@ -180,9 +185,9 @@
 		_, listed := next[name]
 		mc.unlisted = !listed
 		if !listed && (mc.ledger.Holds() > 0 || len(mc.tasks) > 0) {
-			gone := mc.vm
-			gone.State = model.VMLeaving
-			next[name] = gone
+			leaving := mc.vm
+			leaving.State = model.VMLeaving
+			next[name] = leaving
 		}
 	}
 	m.listed = next
@@ -211,7 +216,7 @@
 	return shards
 }
 
-// Lookup returns a listed VM.
+// Lookup returns the listed VM of that name.
 func (m *Manager) Lookup(name string) (model.VM, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,7 +236,7 @@
 	return list
 }
 
-// sync takes up the VMs that this node owns now and drops the others.
+// sync adds the VMs that this node owns now and removes the others.
 func (m *Manager) sync() {
 	m.mu.Lock()
 	now := time.Now()
@@ -248,7 +253,7 @@
 			mc = m.addVM(vm, epoch, now)
 		}
 		if moved && mc != nil {
-			// What runs at the old address is not in the new one's list.
+			// Tasks that run at the old address are missing from the new one's list.
 			mc.listCompleteAfter = now.Add(m.Timing.Lease + lostMargin)
 		}
 		if mc != nil {
@@ -266,8 +271,8 @@
 	m.mu.Unlock()
 }
 
-// setLeaving makes a VM that begins to leave be emptied at once rather than
-// after the present status call. m.mu is held.
+// setLeaving sets whether the VM is leaving. A VM that starts leaving is emptied at
+// once rather than after the current status call. m.mu is held.
 func (mc *machine) setLeaving(leaving bool) {
 	mc.ledger.SetLeaving(leaving)
 	if leaving && !mc.leaving {
@@ -276,7 +281,7 @@
 	mc.leaving = leaving
 }
 
-// reserveOn is what a VM keeps free of tasks for its services.
+// reserveOn returns the capacity of a VM that is reserved for services.
 func reserveOn(doc config.Document, vm model.VM) model.Resources {
 	var sum model.Resources
 	for _, s := range doc.Services {
@@ -287,7 +292,7 @@
 	return sum
 }
 
-// addVM starts to manage a VM. m.mu is held.
+// addVM starts managing a VM. m.mu is held.
 func (m *Manager) addVM(vm model.VM, epoch int64, now time.Time) *machine {
 	ctx, cancel := context.WithCancel(m.ctx)
 	mc := &machine{
@@ -303,13 +308,13 @@
 	return mc
 }
 
-// maxConnections leaves room for connections whose end the target has not yet seen.
+// maxConnections leaves headroom for closed connections that the target still counts.
 func maxConnections(vm model.VM) int {
 	return int(max(vm.Capacity.Connections-4, 1))
 }
 
-// removeVM stops managing a VM. Requests under way go on to their end; the next
-// owner sees them in the VM's own list. m.mu is held.
+// removeVM stops managing a VM. Requests in flight continue; the next owner finds
+// them in the VM's own list. m.mu is held.
 func (m *Manager) removeVM(mc *machine) {
 	mc.cancel()
 	mc.target.CloseIdle()
@@ -327,29 +332,30 @@
 	}
 }
 
-// mayAct reports whether this node still owns the VM under the same epoch. It
-// is asked right before each act, since the process may have been paused.
+// mayAct reports whether this node still owns the VM under the same epoch. It is
+// called right before each action, since the process may have been paused.
 func (m *Manager) mayAct(mc *machine) bool {
 	epoch, ok := m.Ownership.Epoch(mc.shard)
 	return ok && epoch == mc.epoch
 }
 
-// Summary is what the node tells its peers of the VMs that it owns.
+// Summary is what the node reports to its peers about the VMs it owns.
 type Summary struct {
 	VMs int64
-	// Free is what tasks may still take, summed over the VMs.
+	// Free is the capacity still free for tasks, summed over the VMs.
 	Free model.Resources
-	// Services maps a service's name to the requests it could take now.
+	// Services maps a service's name to the requests that could be admitted now.
 	Services map[string]ServiceCapacity
 }
 
-// ServiceCapacity is how many requests of each class could be admitted now.
+// ServiceCapacity is the number of requests of each class that could be admitted now,
+// and of those waiting.
 type ServiceCapacity struct {
 	Quick, Heavy, Standing int64
 	Waiting                int64
 }
 
-// Summary returns the present summary.
+// Summary returns the current summary.
 func (m *Manager) Summary() Summary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -368,18 +374,18 @@
 			if !svc.InZone(mc.vm.Zone) {
 				continue
 			}
-			room := s.Services[name]
-			room.Quick += mc.ledger.FreeRequests(model.Quick)
-			room.Heavy += mc.ledger.FreeRequests(model.Heavy)
-			room.Standing += mc.ledger.FreeRequests(model.Standing)
-			room.Waiting = waiting
-			s.Services[name] = room
+			available := s.Services[name]
+			available.Quick += mc.ledger.FreeRequests(model.Quick)
+			available.Heavy += mc.ledger.FreeRequests(model.Heavy)
+			available.Standing += mc.ledger.FreeRequests(model.Standing)
+			available.Waiting = waiting
+			s.Services[name] = available
 		}
 	}
 	return s
 }
 
-// VMDump describes one owned VM for the state dump.
+// VMDump is an owned VM's part of the state dump.
 type VMDump struct {
 	Name        string          `json:"name"`
 	Epoch       int64           `json:"epoch"`
@@ -392,7 +398,7 @@
 	LatencyMS   float64         `json:"latency_ms"`
 }
 
-// Dump describes the owned VMs, sorted by name.
+// Dump returns the dumps of the owned VMs, sorted by name.
 func (m *Manager) Dump() []VMDump {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/vms/requests.go
+++ b/internal/vms/requests.go
@@ -14,16 +14,17 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// admitOrder is the order in which waiting classes get what comes free.
+// admitOrder is the order in which waiting classes get freed slots.
 var admitOrder = []model.Class{model.Quick, model.Heavy, model.Standing}
 
 const (
-	// suspectDuration keeps requests off a VM that was not connected to; it is doubled
-	// with each such try in a row, up to maxSuspectDuration.
+	// suspectDuration is how long a VM gets no requests after a failed connection; it
+	// doubles with each consecutive failure, up to maxSuspectDuration.
 	suspectDuration    = 500 * time.Millisecond
 	maxSuspectDuration = 30 * time.Second
-	// minQueueLimit may wait in any case; beyond that the queue is as long as is served
-	// within the longest wait, so that nobody waits in vain. maxQueueLimit bounds memory.
+	// minQueueLimit requests may always wait. Beyond that, the queue holds no more
+	// requests than are served within the longest wait, so that none waits in vain.
+	// maxQueueLimit bounds memory.
 	minQueueLimit = 8
 	maxQueueLimit = 4096
 	// latencyWeight is the weight of the newest request in the moving average.
@@ -38,7 +39,8 @@
 	grant   chan *Grant
 }
 
-// queue is what waits in one class, in order of arrival, with counts by service.
+// queue holds the waiting requests of one class in order of arrival, with counts by
+// service.
 type queue struct {
 	waiters   []*waiter
 	byService map[string]int
@@ -52,30 +54,30 @@
 	q.byService[w.service]++
 }
 
-// filter keeps the waiters that keep says, and forgets the others.
+// filter keeps the waiters for which keep returns true and removes the others.
 func (q *queue) filter(keep func(*waiter) bool) {
-	left := q.waiters[:0]
+	kept := q.waiters[:0]
 	for _, w := range q.waiters {
 		if keep(w) {
-			left = append(left, w)
+			kept = append(kept, w)
 			continue
 		}
 		if q.byService[w.service]--; q.byService[w.service] == 0 {
 			delete(q.byService, w.service)
 		}
 	}
-	clear(q.waiters[len(left):])
-	q.waiters = left
+	clear(q.waiters[len(kept):])
+	q.waiters = kept
 }
 
-// remove takes w out and reports whether it was there.
+// remove removes w and reports whether it was queued.
 func (q *queue) remove(w *waiter) bool {
 	before := len(q.waiters)
 	q.filter(func(other *waiter) bool { return other != w })
 	return len(q.waiters) < before
 }
 
-// Grant is one request's place at a VM. End must be called exactly once.
+// Grant is a slot at a VM for one request. End must be called exactly once.
 type Grant struct {
 	// HopID is unique to this request at this hop.
 	HopID string
@@ -88,40 +90,40 @@
 	startedAt time.Time
 }
 
-// EndKind says how a request at a target ended.
+// EndKind is how a request to a target ended.
 type EndKind int
 
-// How a request ended.
+// The ends of a request.
 const (
-	// EndCompleted: the whole answer was read.
+	// EndCompleted: the whole response was read.
 	EndCompleted EndKind = iota
-	// EndNotRun: the target certainly did not run it.
+	// EndNotRun: the target certainly did not process the request.
 	EndNotRun
-	// EndUnreached: the target could not be connected to.
+	// EndUnreached: the connection to the target failed.
 	EndUnreached
-	// EndUncertain: given up; the target may still be running it.
+	// EndUncertain: the request was abandoned; the target may still be processing it.
 	EndUncertain
 )
 
-// MayAct reports whether this node still owns the VM. Asked right before the
+// MayAct reports whether this node still owns the VM. It is called right before the
 // request is sent.
 func (g *Grant) MayAct() bool { return g.manager.mayAct(g.machine) }
 
-// The bounds of Patience.
+// Parameters of SuspectTimeout.
 const (
 	minSuspectTimeout    = 250 * time.Millisecond
 	suspectTimeoutFactor = 20
 )
 
-// SuspectTimeout is how long an answer may take before the connection is suspected:
-// the VM's usual time many times over.
+// SuspectTimeout returns how long a response may take before the connection is
+// suspected: a multiple of the VM's average latency, at least minSuspectTimeout.
 func (g *Grant) SuspectTimeout() time.Duration {
 	g.manager.mu.Lock()
 	defer g.manager.mu.Unlock()
 	return max(suspectTimeoutFactor*g.machine.latency, minSuspectTimeout)
 }
 
-// End gives the place back as far as the ending allows.
+// End releases the slot, unless the target may still be processing the request.
 func (g *Grant) End(kind EndKind) {
 	m := g.manager
 	m.mu.Lock()
@@ -141,23 +143,23 @@
 		if g.class == model.Standing {
 			break
 		}
-		took := now.Sub(g.startedAt)
-		g.machine.latency += time.Duration(latencyWeight * float64(took-g.machine.latency))
+		duration := now.Sub(g.startedAt)
+		g.machine.latency += time.Duration(latencyWeight * float64(duration-g.machine.latency))
 	}
 	g.machine.ledger.Release(g.HopID)
 	m.wakeWaiters()
 }
 
-// Acquire takes a place for a request at one of the owned VMs. It queues, in its
-// class and within the limits, for at most wait; zero does not queue. Its errors
-// say NotRun.
+// Acquire obtains a slot for a request at one of the owned VMs. It queues the
+// request, by class and within the limits, for at most wait; zero does not queue. Its
+// errors imply that the request was not run.
 func (m *Manager) Acquire(ctx context.Context, service string, class model.Class, wait time.Duration) (*Grant, error) {
 	m.mu.Lock()
 	m.hopCount++
 	hopID := itoa(int64(m.hopCount)) + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	q := m.queues[class]
-	// Whoever waits for the same service is served first, and while quick
-	// requests wait, no other class takes what comes free.
+	// Requests already waiting for the same service go first, and while quick
+	// requests wait, no other class gets a freed slot.
 	if q.byService[service] == 0 && (class == model.Quick || len(m.queues[model.Quick].waiters) == 0) {
 		if g := m.tryAcquire(service, class, hopID); g != nil {
 			m.mu.Unlock()
@@ -178,23 +180,24 @@
 	return m.await(ctx, w, wait)
 }
 
-// queueLimit is how many requests of a service the owned VMs serve within wait,
-// going by their usual latency. m.mu is held.
+// queueLimit returns how many requests of a service may wait: half of what the owned
+// VMs serve within wait at their average latency, between minQueueLimit and
+// maxQueueLimit. m.mu is held.
 func (m *Manager) queueLimit(service string, wait time.Duration) int {
 	svc := m.Config().Document.Services[service]
-	perWait := 0.0
+	servedPerWait := 0.0
 	for _, mc := range m.owned {
 		if svc.InZone(mc.vm.Zone) && mc.reachable {
-			perWait += float64(mc.ledger.Capacity().Slots) * wait.Seconds() / mc.latency.Seconds()
+			servedPerWait += float64(mc.ledger.Capacity().Slots) * wait.Seconds() / mc.latency.Seconds()
 		}
 	}
-	return min(max(int(perWait/2), minQueueLimit), maxQueueLimit)
+	return min(max(int(servedPerWait/2), minQueueLimit), maxQueueLimit)
 }
 
 func (m *Manager) await(ctx context.Context, w *waiter, wait time.Duration) (*Grant, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	err := errkind.New(errkind.Overloaded, "no slot came free in time", nil)
+	err := errkind.New(errkind.Overloaded, "no slot became free in time", nil)
 	select {
 	case g := <-w.grant:
 		return g, nil
@@ -207,12 +210,12 @@
 	if m.queues[w.class].remove(w) {
 		return nil, err
 	}
-	// The grant came at the same moment.
+	// The slot was granted at the same moment.
 	return <-w.grant, nil
 }
 
-// wakeWaiters gives what is free to those who wait, class by class. While quick
-// requests are left waiting, the others get nothing. m.mu is held.
+// wakeWaiters assigns free slots to waiting requests, class by class. While quick
+// requests are still waiting, the other classes get none. m.mu is held.
 func (m *Manager) wakeWaiters() {
 	for _, class := range admitOrder {
 		q := m.queues[class]
@@ -235,9 +238,9 @@
 	}
 }
 
-// tryAcquire takes a place at the better of two VMs picked at random among
-// those that have one, or returns nil. Two are enough to avoid the worst, and
-// chance keeps nodes from all choosing the same. m.mu is held.
+// tryAcquire obtains a slot at the better of two VMs picked at random among those
+// that have one, or returns nil. Two choices are enough to avoid the worst VM, and
+// the randomness keeps nodes from all choosing the same one. m.mu is held.
 func (m *Manager) tryAcquire(service string, class model.Class, hopID string) *Grant {
 	svc, ok := m.Config().Document.Services[service]
 	if !ok {
@@ -281,7 +284,8 @@
 	}
 }
 
-// expectedWait rates a VM for a request: its usual latency, more the busier it is.
+// expectedWait estimates a request's wait at a VM: its average latency, scaled by its
+// used slots.
 func expectedWait(mc *machine) float64 {
 	return mc.latency.Seconds() * float64(mc.ledger.Used().Slots+1)
 }
@@ -299,7 +303,7 @@
 	return false
 }
 
-// Free returns how many requests of a class the owned VMs could take now.
+// Free returns how many requests of a class the owned VMs could admit now.
 func (m *Manager) Free(service string, class model.Class) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -313,7 +317,7 @@
 	return free
 }
 
-// waiting counts the requests that wait. m.mu is held.
+// waiting returns the number of waiting requests. m.mu is held.
 func (m *Manager) waiting() int64 {
 	var n int64
 	for _, q := range m.queues {
@@ -322,7 +326,7 @@
 	return n
 }
 
-// Waiting returns how many requests wait for a slot here.
+// Waiting returns how many requests wait for a slot at this node.
 func (m *Manager) Waiting() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/vms/tasks.go
+++ b/internal/vms/tasks.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// reservationTimeout is how long room is kept for an attempt whose commitment is
-	// being written to the store.
+	// reservationTimeout is how long capacity stays reserved for an attempt whose
+	// commitment is being written to the store.
 	reservationTimeout = 8 * time.Second
-	// startTimeout bounds the time between a start being sent and the agent
-	// acting on it.
+	// startTimeout bounds the time from sending a start to the agent acting on it.
 	startTimeout = 4 * time.Second
-	// maxParallelStarts bounds the starts under way at once.
+	// maxParallelStarts bounds the concurrent starts of one call.
 	maxParallelStarts = 16
 )
 
-// TaskRequirements is what attempts need.
+// TaskRequirements is what an attempt needs of a VM.
 type TaskRequirements struct {
 	PerTask model.Resources
-	// Zones limits the availability zones; none means any.
+	// Zones restricts the availability zones; none means any.
 	Zones []string
 	// Urgent tasks are placed even while quick requests wait.
 	Urgent bool
 }
 
-// Reserve finds room for attempts and returns those that got it, with their VM.
-// While quick requests wait here, only urgent ones do: batch work is shed first.
-func (m *Manager) Reserve(refs []worker.Ref, room TaskRequirements) []Attempt {
+// Reserve reserves capacity for attempts and returns those that got it, with their
+// VM. While quick requests wait at this node, only urgent tasks get capacity: batch
+// work is shed first.
+func (m *Manager) Reserve(refs []worker.Ref, req TaskRequirements) []Attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !room.Urgent && len(m.queues[model.Quick].waiters) > 0 {
+	if !req.Urgent && len(m.queues[model.Quick].waiters) > 0 {
 		return nil
 	}
-	need := room.PerTask
+	need := req.PerTask
 	var machines []*machine
 	var candidates []placement.Candidate
 	for _, mc := range m.owned {
-		if !model.InZones(room.Zones, mc.vm.Zone) || !mc.reachable || !m.mayAct(mc) || mc.ledger.MayPlace(need) != ledger.Admitted {
+		if !model.InZones(req.Zones, mc.vm.Zone) || !mc.reachable || !m.mayAct(mc) || mc.ledger.MayPlace(need) != ledger.Admitted {
 			continue
 		}
 		machines = append(machines, mc)
@@ -70,9 +70,9 @@
 	return reserved
 }
 
-// Start runs attempts on the room reserved for them and returns those that were
-// refused: they certainly do not run and never will. An attempt in neither
-// state is reported later.
+// Start starts attempts on their reserved capacity and returns those that were
+// refused: they certainly do not run and never will. Attempts whose outcome is
+// unknown are reported later.
 func (m *Manager) Start(ctx context.Context, attempts []Attempt, durationMS int64) []Attempt {
 	var mu sync.Mutex
 	var refused []Attempt
@@ -94,18 +94,19 @@
 	return refused
 }
 
-// startOne reports false when the attempt certainly does not run.
+// startOne returns false if the attempt certainly does not run.
 func (m *Manager) startOne(ctx context.Context, a Attempt, durationMS int64) bool {
 	id := ledgerID(a.Ref)
-	// From before the question whether the VM is ours: a process that is suspended
-	// after it must not start what the next owner has found not to run.
+	// The deadline is computed before ownership is checked: a process suspended after
+	// the check must not start an attempt that the next owner has found not to run.
 	notAfter := time.Now().Add(startTimeout)
 	m.mu.Lock()
 	mc := m.owned[a.VM]
 	if mc == nil || mc.tasks[a.Ref] != nil {
 		m.mu.Unlock()
-		// Not ours any more: without a reservation nobody will start it. Or it is
-		// known already: a repeat.
+		// If the VM is no longer owned, no other node starts the attempt, since the
+		// reservation exists only here. If the attempt is already held, this call is
+		// a repeat.
 		return mc != nil
 	}
 	if !mc.ledger.Keep(id) || !m.mayAct(mc) {
@@ -134,22 +135,23 @@
 		delete(mc.tasks, a.Ref)
 		return false
 	default:
-		// The answer was lost. The agent acts on the start within startTimeout or
-		// never; the first list asked for after that tells.
+		// The response was lost. The agent acts on the start within startTimeout or
+		// never; the first list requested after that shows the outcome.
 		time.AfterFunc(startTimeout, func() { m.resolveStart(h) })
 	}
 	return true
 }
 
-// resolveStart lets the VM's list decide about a start whose answer was lost.
+// resolveStart ends the wait for a start whose response was lost: from now on the
+// VM's list decides.
 func (m *Manager) resolveStart(h *heldTask) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h.starting, h.startResolvedAt = false, time.Now()
 }
 
-// Stop ends attempts, with a checkpoint if asked. Their end is reported as any
-// other. Attempts on VMs that the node does not own are left to their owner.
+// Stop stops attempts, with a checkpoint if requested. Their ends are reported like
+// all others. Attempts on VMs that this node does not own are left to their owner.
 func (m *Manager) Stop(ctx context.Context, attempts []Attempt, checkpoint bool) {
 	for _, a := range attempts {
 		m.mu.Lock()
@@ -162,8 +164,8 @@
 	}
 }
 
-// Audit tells which of the attempts have ended or certainly do not run, and
-// which VMs this node does not own.
+// Audit returns which of the attempts have ended or certainly do not run, and which
+// VMs this node does not own.
 func (m *Manager) Audit(attempts []Attempt) (ended []Attempt, notOwned []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -180,12 +182,13 @@
 		case h != nil:
 			ended = append(ended, Attempt{Ref: a.Ref, VM: a.VM, End: h.end, Checkpoint: h.checkpoint})
 		case mc.ledger.Ready() && mc.reachable && mc.listRequestedAt.After(mc.listCompleteAfter), m.attemptsLost(mc, now):
-			// The VM's own list does not have it, and was asked for when no earlier
-			// owner's start could still be on its way; or the VM is gone for longer
-			// than any lease.
+			// The VM's own list lacks the attempt and was requested when no start of
+			// an earlier owner could still be in transit; or the VM has been
+			// unreachable for longer than any lease.
 			ended = append(ended, Attempt{Ref: a.Ref, VM: a.VM, End: EndLost})
 		case now.After(mc.listCompleteAfter):
-			// The list is older than that: read it again before the next audit.
+			// The list was requested before listCompleteAfter: refresh it before the
+			// next audit.
 			mc.refreshStatus()
 		}
 	}
