--- a/internal/jobs/info.go
+++ b/internal/jobs/info.go
@@ -35,7 +35,7 @@
 	Totals Totals `json:"shard_totals"`
 }
 
-// InfoOf describes j, with its tasks if tasks is set.
+// InfoOf describes j, with its tasks if withTasks is set.
 func InfoOf(j *Job, withTasks bool) Info {
 	info := Info{
 		Spec: j.Spec, SubmittedMS: j.SubmittedMS, EndedMS: j.EndedMS, Cancelled: j.Cancelled, Counts: map[string]int{},
--- a/internal/jobs/log.go
+++ b/internal/jobs/log.go
@@ -29,7 +29,8 @@
 // docs/design/003-jobs.md has the measurements.
 const (
 	ringSize = 64
-	// minSnapshotBytes is the size of log entries below which no snapshot is written.
+	// minSnapshotBytes is the size of log entries up to which a snapshot is not
+	// worthwhile unless the ring is nearly full.
 	minSnapshotBytes = 16 << 10
 	logCallTimeout   = 2 * time.Second
 	// commitRetryDelay is the delay between two attempts to write the same entry.
@@ -145,7 +146,7 @@
 }
 
 // append commits ops as the next entry. It retries until the store gives a definite
-// answer or ctx ends. ErrSuperseded means that ops were not and will not be
+// response or ctx ends. ErrSuperseded means that ops were not and will not be
 // committed.
 func (l *log) append(ctx context.Context, ops []Op) error {
 	e := entry{Sequence: l.sequence + 1, Nonce: make([]byte, 8), Ops: ops}
@@ -196,7 +197,7 @@
 }
 
 // snapshotDue reports whether the ring is nearly full of entries that the snapshot
-// lacks, or the entries since the snapshot are larger than a new snapshot.
+// lacks, or the last snapshot was no larger than the entries since.
 func (l *log) snapshotDue() bool {
 	return l.sequence-l.snapSeq >= ringSize-8 || l.pending > max(minSnapshotBytes, l.snapSize)
 }
--- a/internal/jobs/log_test.go
+++ b/internal/jobs/log_test.go
@@ -53,9 +53,10 @@
 }
 
 // Guards against tasks that are lost, duplicated or back in an older state after a
-// new leader has read the log. The log wraps around its ring many times on a store
-// that loses responses and is reloaded regularly. Such faults arise when an entry is
-// overwritten too early, applied twice, or taken for another's.
+// new leader has read the log: an entry was overwritten too early, applied twice, or
+// taken for another's. Thousands of operations, some of them stale, are committed
+// through a store that loses responses, over many turns of the ring; the log is
+// reloaded regularly.
 func TestLogMatchesReferenceRecord(t *testing.T) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -30,9 +30,9 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mu.Lock()
-	lease, session, hasLeft := m.lease, m.machine.Self().Session, m.hasLeft
+	lease, session, left := m.lease, m.machine.Self().Session, m.hasLeft
 	m.mu.Unlock()
-	if hasLeft {
+	if left {
 		return
 	}
 	if lease == "" {
--- a/internal/ownership/explore_test.go
+++ b/internal/ownership/explore_test.go
@@ -15,11 +15,11 @@
 )
 
 // The explorer runs the production Machine of two nodes of one availability zone
-// against a model of the store, and tries every order of events up to a depth: clock
-// ticks, renewals that succeed or whose response is lost, stale or fresh views,
-// actions executed with or without a response, promise requests that do or do not
-// reach the peer, and crashes with a restart. A paused node is one without events
-// while time passes.
+// against a model of the store with three kinds of keys, and tries every order of
+// events up to a depth: clock ticks; renewals that succeed, are lost on the way, or
+// take effect while their response is lost; stale or fresh views; actions executed
+// with or without a response; promise requests that do or do not reach the peer; and
+// crashes with a restart. A paused node is one without events while time passes.
 //
 // In each state it checks that at most one node may act for the shard.
 
@@ -28,7 +28,8 @@
 // exploreTiming has small values, in ticks, in the proportions of DefaultTiming.
 var exploreTiming = Timing{TTL: 4 * tick, RenewInterval: tick, FenceMargin: tick, PromiseDuration: 3 * tick, QuietPeriod: 4 * tick}
 
-// bounds limits the search. Its fault options violate assumptions of the design.
+// bounds limits the search. noCondition, earlyExpiry and partitioned violate
+// assumptions of the design.
 type bounds struct {
 	depth   int
 	crashes int
@@ -167,8 +168,8 @@
 	return ttl
 }
 
-// renew sends one renewal, or opens a session, and reports the outcome to the node if
-// answered is set.
+// renew sends one renewal, or opens a session, and passes the response to the node,
+// or its loss if answered is false.
 func (b bounds) renew(w *world, i int, answered bool) {
 	m := w.nodes[i]
 	switch {
@@ -363,7 +364,7 @@
 		{"one crash", bounds{depth: 7, crashes: 1, timing: exploreTiming}},
 		{"slow clock", bounds{depth: 7, timing: exploreTiming, slowClock: true}},
 	} {
-		// RATTANWALL_DEEPER=n searches n steps deeper.
+		// RATTANWALL_DEEPER=1 searches one step deeper, and so on.
 		deeper, _ := strconv.Atoi(os.Getenv("RATTANWALL_DEEPER"))
 		c.b.depth += deeper
 		states, trace := c.b.explore()
--- a/internal/vms/machine.go
+++ b/internal/vms/machine.go
@@ -60,7 +60,7 @@
 	// lastContactEnd is when the last call that may have started a task or renewed
 	// its lease returned, with or without a response.
 	lastContactEnd time.Time
-	// suspectUntil is the time before which the VM gets no requests, since it refused
+	// suspectUntil is the time before which the VM gets no requests, after it refused
 	// a connection.
 	suspectUntil time.Time
 	// connectFailures counts the consecutive failures to connect to the target.
@@ -100,7 +100,7 @@
 	var after int64 = -1
 	for ctx.Err() == nil {
 		askedAt := time.Now()
-		own := mc.target.Connections()
+		ownConnections := mc.target.Connections()
 		whole := after < 0
 		status, uncertain, err := m.readStatus(ctx, mc, after)
 		if errors.Is(err, errStatusCancelled) {
@@ -114,7 +114,7 @@
 			continue
 		}
 		after = status.Sequence
-		m.observe(mc, status, whole, askedAt, own)
+		m.observe(mc, status, whole, askedAt, ownConnections)
 		m.processEnds(ctx, mc)
 		if uncertain {
 			pause.For(ctx, uncertainInterval)
@@ -194,13 +194,13 @@
 }
 
 // observe applies the VM's own list to the ledger and to the held tasks.
-func (m *Manager) observe(mc *machine, s worker.Status, whole bool, askedAt time.Time, own int64) {
+func (m *Manager) observe(mc *machine, s worker.Status, whole bool, askedAt time.Time, ownConnections int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mc.reachable, mc.slowdown, mc.listRequestedAt = true, s.Usage.Slowdown, askedAt
 	o := ledger.Observation{AskedAt: askedAt, Tasks: map[string]model.Resources{}, InFlight: s.InFlight}
 	if !mc.ledger.Ready() || mc.ledger.Uncertain() {
-		o.ForeignConnections = max(int64(s.Connections)-max(own, mc.target.Connections()), 0)
+		o.ForeignConnections = max(int64(s.Connections)-max(ownConnections, mc.target.Connections()), 0)
 	}
 	mc.merge(s, whole)
 	for _, t := range mc.list {
@@ -284,12 +284,12 @@
 func (m *Manager) reportRunning(ctx context.Context) {
 	m.mu.Lock()
 	var report []Attempt
-	at := map[worker.Ref]*machine{}
+	machines := map[worker.Ref]*machine{}
 	for _, mc := range m.owned {
 		for ref, h := range mc.tasks {
 			if h.end == "" && !h.starting && mc.reachable {
 				report = append(report, Attempt{Ref: ref, VM: mc.vm.Name})
-				at[ref] = mc
+				machines[ref] = mc
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 	}
 	_, obsolete := m.Reporter.Report(ctx, report)
 	for _, ref := range obsolete {
-		if mc := at[ref]; mc != nil {
+		if mc := machines[ref]; mc != nil {
 			m.stopAll(ctx, mc, []worker.Ref{ref})
 		}
 	}
