--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkLargeFleet plays the scheduler of a fleet of 1,100 VMs for its busiest seconds.
-// It tells the processor time of all decisions for each run, in ns: planning, reports,
-// ends and paces; not the model of the fleet.
+// BenchmarkLargeFleet plays the busiest seconds of a fleet of 1,100 VMs. It reports the processor
+// time of the scheduler per started run, in ns, for planning, reports, run ends and paces, without
+// the model of the fleet.
 func BenchmarkLargeFleet(b *testing.B) {
 	s, err := Find("colocated-1100")
 	require.NoError(b, err)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Report is a comparison of variants over the same seeds.
+// Report compares variants over the same seeds.
 type Report struct {
 	Scenario string   `json:"scenario"`
 	Seeds    int      `json:"seeds"`
@@ -20,38 +20,38 @@
 	Variants []Result `json:"variants"`
 }
 
-// Result is what a variant came to over all seeds.
+// Result summarises the outcomes of one variant over all seeds.
 type Result struct {
 	Name string `json:"name"`
-	// Median, Low and High are those of Service, Low and High its quartiles.
+	// Median, Low and High are the median and the lower and upper quartiles of Outcome.Service.
 	Median float64 `json:"median"`
 	Low    float64 `json:"lower_quartile"`
 	High   float64 `json:"upper_quartile"`
-	// Difference is the mean of the differences to the first variant, seed by seed;
-	// Margin half of its 95 % confidence interval.
+	// Difference is the mean of the per-seed differences in service to the first variant,
+	// Margin half the width of its 95 % confidence interval.
 	Difference float64 `json:"difference"`
 	Margin     float64 `json:"margin"`
-	// Means has the means of the other figures.
+	// Means holds the mean of each metric, except that the longest durations are maxima.
 	Means    Outcome   `json:"means"`
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Significant reports whether the difference is beyond what chance gives.
+// Significant reports whether the confidence interval of the difference excludes 0.
 func (r *Result) Significant() bool { return math.Abs(r.Difference) > r.Margin }
 
-// Options say what to compare.
+// Options configure a comparison.
 type Options struct {
 	Variants []Variant
 	Seeds    int
 	First    uint64
-	// Workers is how many plays run at a time.
+	// Workers is the number of plays that run concurrently.
 	Workers int
-	// Progress is told how many plays of how many are done; may be nil. Calls do not
-	// overlap.
+	// Progress, if not nil, is called after each play with the number of finished plays and
+	// the total. Calls do not overlap.
 	Progress func(done, all int)
 }
 
-// Compare plays all variants on the same seeds.
+// Compare plays all variants on the same seeds and summarises their outcomes.
 func Compare(ctx context.Context, s *Scenario, o Options) (Report, error) {
 	outcomes, err := playAll(ctx, s, &o)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return r, nil
 }
 
-// playAll plays each variant on each seed, some at a time. The first error ends the
-// others.
+// playAll plays each variant on each seed, up to o.Workers at a time. The first error
+// cancels the remaining plays.
 func playAll(ctx context.Context, s *Scenario, o *Options) ([][]Outcome, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(o.Workers, 1))
@@ -76,8 +76,8 @@
 	for v := range outcomes {
 		outcomes[v] = make([]Outcome, o.Seeds)
 	}
-	var lock sync.Mutex
-	done, all := 0, len(o.Variants)*o.Seeds
+	var mu sync.Mutex
+	done, total := 0, len(o.Variants)*o.Seeds
 	for seed := range o.Seeds {
 		for v := range o.Variants {
 			group.Go(func() error {
@@ -85,12 +85,12 @@
 				if err != nil {
 					return err
 				}
-				lock.Lock()
-				defer lock.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				outcomes[v][seed] = out
 				done++
 				if o.Progress != nil {
-					o.Progress(done, all)
+					o.Progress(done, total)
 				}
 				return nil
 			})
@@ -99,7 +99,8 @@
 	return outcomes, group.Wait()
 }
 
-// clearAllocations drops figures that count other plays' allocations as well.
+// clearAllocations removes allocation counts: the runtime's counter includes the allocations
+// of concurrent plays.
 func clearAllocations(outcomes [][]Outcome) {
 	for v := range outcomes {
 		for i := range outcomes[v] {
@@ -108,12 +109,12 @@
 	}
 }
 
-func summarise(name string, outcomes, first []Outcome) Result {
+func summarise(name string, outcomes, baseline []Outcome) Result {
 	r := Result{Name: name, Outcomes: outcomes}
 	service := metricValues(outcomes, func(o *Outcome) float64 { return o.Service })
 	differences := make([]float64, len(service))
 	for i := range service {
-		differences[i] = service[i] - first[i].Service
+		differences[i] = service[i] - baseline[i].Service
 	}
 	r.Difference, r.Margin = meanAndMargin(differences)
 	slices.Sort(service)
@@ -124,30 +125,30 @@
 	return r
 }
 
-// confidenceLevel is that of the interval of a difference.
+// confidenceLevel applies to the intervals of differences.
 const confidenceLevel = 0.95
 
-// meanAndMargin returns a mean and half the width of its confidence interval; the
-// margin of fewer than two figures is infinite in truth, and 0 here.
-func meanAndMargin(x []float64) (mean, margin float64) {
-	if len(x) < 2 {
-		return stat.Mean(x, nil), 0
+// meanAndMargin returns the mean and half the width of its confidence interval. The margin
+// of fewer than two values, which is infinite, is returned as 0.
+func meanAndMargin(values []float64) (mean, margin float64) {
+	if len(values) < 2 {
+		return stat.Mean(values, nil), 0
 	}
-	mean, deviation := stat.MeanStdDev(x, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile((1 + confidenceLevel) / 2)
-	return mean, t * deviation / math.Sqrt(float64(len(x)))
+	mean, deviation := stat.MeanStdDev(values, nil)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile((1 + confidenceLevel) / 2)
+	return mean, t * deviation / math.Sqrt(float64(len(values)))
 }
 
-func metricValues(outcomes []Outcome, of func(*Outcome) float64) []float64 {
-	list := make([]float64, len(outcomes))
+func metricValues(outcomes []Outcome, metric func(*Outcome) float64) []float64 {
+	values := make([]float64, len(outcomes))
 	for i := range outcomes {
-		list[i] = of(&outcomes[i])
+		values[i] = metric(&outcomes[i])
 	}
-	return list
+	return values
 }
 
 func means(outcomes []Outcome) Outcome {
-	mean := func(of func(*Outcome) float64) float64 { return stat.Mean(metricValues(outcomes, of), nil) }
+	mean := func(metric func(*Outcome) float64) float64 { return stat.Mean(metricValues(outcomes, metric), nil) }
 	m := Outcome{
 		Service: mean(func(o *Outcome) float64 { return o.Service }), Kinds: map[string]float64{},
 		Largest: mean(func(o *Outcome) float64 { return o.Largest }), Smallest: mean(func(o *Outcome) float64 { return o.Smallest }),
@@ -160,7 +161,7 @@
 	for _, k := range kindNames {
 		m.Kinds[k] = mean(func(o *Outcome) float64 { return o.Kinds[k] })
 	}
-	// Of the longest spells the longest of all seeds counts, not their mean.
+	// The longest durations are the maxima over all seeds, not means.
 	for i := range outcomes {
 		m.LongestHarmS = max(m.LongestHarmS, outcomes[i].LongestHarmS)
 		m.LongestWaitS = max(m.LongestWaitS, outcomes[i].LongestWaitS)
--- a/internal/experiment/crashing.go
+++ b/internal/experiment/crashing.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// crashDelay is how long after its start a crashing task ends its VM; crashDetectionDelay how
-	// much later the machine service has said so, crashRecoveryDelay when the machine has another.
+	// crashDelay is the time from the start of a crashing task to the end of its VM.
+	// crashDetectionDelay is the time from there until the machine service reports the VM's end,
+	// crashRecoveryDelay until the VM's replacement is up.
 	crashDelay          = 10 * time.Millisecond
 	crashDetectionDelay = 2100 * time.Millisecond
 	crashRecoveryDelay  = 3 * time.Second
 )
 
-// crashFault is what is known of tasks that end each VM which begins them.
+// crashFault is the state of a FaultCrashing: tasks that crash every VM on which they start.
 type crashFault struct {
 	random *rand.Rand
-	// share of the jobs that come until a moment have such a task, their first one.
+	// share is the fraction of the batch jobs arriving before until whose first task crashes
+	// its VM.
 	share float64
 	until time.Duration
-	// pendingCrashes are the VMs that are about to end, back those that come back.
+	// pendingCrashes are VMs about to crash, pendingReturns crashed VMs to be replaced.
 	pendingCrashes, pendingReturns []vmEvent
 }
 
-// markCrashing decides whether a job that comes has a crashing task.
+// markCrashing decides at random whether an arriving job has a crashing task.
 func (p *player) markCrashing(j *job) {
 	if c := &p.crashFault; j.kind != servingKind && p.now < c.until && c.random.Float64() < c.share {
 		j.isCrashing = true
@@ -34,14 +36,14 @@
 	}
 }
 
-// scheduleCrash looks whether a run that has begun ends its VM.
+// scheduleCrash schedules the crash of the VM if the started run is one of a crashing task.
 func (p *player) scheduleCrash(o scheduler.Order) {
 	if p.fleet.jobs[o.Task.Job].isCrashing && o.Task.Step == 0 && o.Task.Index == 0 {
 		p.crashFault.pendingCrashes = append(p.crashFault.pendingCrashes, vmEvent{at: p.now + crashDelay, vm: p.fleet.byID[o.Instance.ID]})
 	}
 }
 
-// processCrashes ends the VMs that are to end, and brings back those that have ended.
+// processCrashes ends the VMs that are due to crash and replaces those that crashed earlier.
 func (p *player) processCrashes() {
 	c := &p.crashFault
 	due := c.pendingCrashes
@@ -69,21 +71,21 @@
 	c.pendingReturns = rest
 }
 
-// replaceVM begins another life of a VM.
+// replaceVM adds a new VM with the properties of a crashed one and an ID of its own.
 func (p *player) replaceVM(v *vm) {
-	next := &vm{inst: v.inst, runs: map[batch.TaskID]*run{}, slowdown: 1, bornAt: -initialUptime, lastReportAt: p.now}
-	next.inst.ID += "+"
-	p.fleet.vms = append(p.fleet.vms, next)
-	p.fleet.byID[next.inst.ID] = next
+	replacement := &vm{inst: v.inst, runs: map[batch.TaskID]*run{}, slowdown: 1, bornAt: -initialUptime, lastReportAt: p.now}
+	replacement.inst.ID += "+"
+	p.fleet.vms = append(p.fleet.vms, replacement)
+	p.fleet.byID[replacement.inst.ID] = replacement
 	p.sched.SetInstances(p.now, p.fleet.instances())
 }
 
-// resizeVM changes what a VM has.
-func (p *player) resizeVM(v *vm, times float64) {
+// resizeVM sets the capacity of a VM to its full capacity over divisor.
+func (p *player) resizeVM(v *vm, divisor float64) {
 	if v.fullCapacity == (batch.Resources{}) {
 		v.fullCapacity = v.inst.Capacity
 	}
-	v.inst.Capacity.MilliCPU = int64(float64(v.fullCapacity.MilliCPU) / times)
-	v.inst.Capacity.MemoryMB = int64(float64(v.fullCapacity.MemoryMB) / times)
+	v.inst.Capacity.MilliCPU = int64(float64(v.fullCapacity.MilliCPU) / divisor)
+	v.inst.Capacity.MemoryMB = int64(float64(v.fullCapacity.MemoryMB) / divisor)
 	p.sched.SetInstances(p.now, p.fleet.instances())
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// tailTargetMS is the serving tasks' target, of which rounded figures are told.
+	// tailTargetMS is the serving tasks' tail latency target, in ms. Reported tail latencies are
+	// rounded to whole milliseconds.
 	tailTargetMS = 20
-	// averagingWindow is what a figure covers.
+	// averagingWindow is the time that a reported metric covers.
 	averagingWindow = 500 * time.Millisecond
-	// reportNoise is the error of a figure, as a standard deviation of its logarithm;
-	// one in outlierInterval is off by outlierFactor instead.
+	// reportNoise is the error of a reported tail latency, as the standard deviation of its
+	// logarithm. One report in outlierInterval is off by a further outlierFactor.
 	reportNoise     = 0.08
 	outlierInterval = 40
 	outlierFactor   = 2.2
-	// saturationThreshold is the share of a VM's processors in use beyond which all tails there grow:
-	// by saturationSlope, as a logarithm, for each VM's worth of processors too many.
+	// saturationThreshold is the share of a VM's processors in demand above which all tail
+	// latencies there grow. The logarithm grows by saturationSlope times the excess share, which
+	// counts up to maxSaturation.
 	saturationThreshold = 0.95
 	saturationSlope     = 8.0
 	maxSaturation       = 0.25
-	// startDelay is how long an order takes to be carried out.
+	// startDelay is the time from sending a start to its acknowledgement.
 	startDelay = 5 * time.Millisecond
 )
 
@@ -33,27 +35,27 @@
 type vm struct {
 	inst batch.Instance
 	runs map[batch.TaskID]*run
-	// orderedRuns holds the runs in the order of their starts: floating-point sums must not
-	// follow the order of a map, or equal seeds would differ.
+	// orderedRuns holds the runs in the order of their starts: floating-point sums in map order
+	// would differ between plays of the same seed.
 	orderedRuns  []*run
 	ends         []batch.RunEnd
 	reportedEnds int
 	seq          int64
 	lastReportAt time.Duration
-	// slowdown is how many times as long work takes; 0 stands still.
+	// slowdown is the factor by which work takes longer; 0 means that work is stalled.
 	slowdown float64
 	failing  bool
 	lost     bool
-	// down is set between two starts under the VM's ID; born tells them apart, 0 where none
-	// start again, and the present one began at bornAt.
+	// down is set between two incarnations of the VM. born identifies the incarnation, which
+	// began at bornAt; it is 0 in scenarios without restarts.
 	down   bool
 	born   int64
 	bornAt time.Duration
-	// fullCapacity is what it has when it has not shrunk, where it ever has.
+	// fullCapacity is the original capacity of a VM that has been shrunk, else zero.
 	fullCapacity batch.Resources
 }
 
-// run is a run on a VM.
+// run is one attempt of a task on a VM.
 type run struct {
 	order   scheduler.Order
 	job     *job
@@ -61,15 +63,16 @@
 	pace    float64
 	worked  time.Duration
 	started time.Duration
-	// tail and use are means over the last averagingWindow.
+	// tail, relative to the target, and use, in thousandths of a processor, are moving averages
+	// over averagingWindow.
 	tail, use float64
-	// overTarget is set while the tail is above its target, harmed while that is so because
-	// of the fillers beside it.
+	// overTarget is set while the tail latency exceeds its target, harmed while it does so only
+	// because of what else runs on the VM.
 	overTarget, harmed bool
 	willFail           bool
 }
 
-// fleet is the modelled VMs and what is true of them.
+// fleet holds the modelled VMs and their true state, which the scheduler learns from reports only.
 type fleet struct {
 	scenario *Scenario
 	world    *world
@@ -77,9 +80,10 @@
 	vms      []*vm
 	byID     map[string]*vm
 	jobs     map[string]*job
-	// doneTasks are the tasks that are done: another run's end must not count again.
+	// doneTasks are the finished tasks; the end of another run of them does not count.
 	doneTasks map[batch.TaskID]bool
-	// wastedCoreSeconds sums the processor seconds of work that was not kept, used those in use.
+	// wastedCoreSeconds sums the processor time of lost or repeated work, usedCoreSeconds that
+	// of all work.
 	wastedCoreSeconds, usedCoreSeconds float64
 }
 
@@ -87,7 +91,7 @@
 	f := &fleet{
 		scenario: s, world: w, random: rand.New(rand.NewPCG(seed, 23)), byID: map[string]*vm{}, jobs: map[string]*job{}, doneTasks: map[batch.TaskID]bool{},
 	}
-	every := time.Duration(s.Fleet.ReportMS) * time.Millisecond
+	reportInterval := time.Duration(s.Fleet.ReportMS) * time.Millisecond
 	for i := range s.Fleet.VMs {
 		size := 1.0
 		if n := len(s.Fleet.Sizes); n > 0 {
@@ -99,7 +103,7 @@
 				Labels:   []string{"a", fmt.Sprintf("r%d", i/s.Fleet.RackOf)},
 				Capacity: batch.Resources{MilliCPU: int64(1000 * s.Fleet.Cores * size), MemoryMB: int64(1000 * s.Fleet.MemoryGB * size)},
 			},
-			runs: map[batch.TaskID]*run{}, slowdown: 1, bornAt: -initialUptime, lastReportAt: -every * time.Duration(i) / time.Duration(s.Fleet.VMs),
+			runs: map[batch.TaskID]*run{}, slowdown: 1, bornAt: -initialUptime, lastReportAt: -reportInterval * time.Duration(i) / time.Duration(s.Fleet.VMs),
 		}
 		if s.hasRestarts() {
 			v.born, v.inst.Born = 1, 1
@@ -120,7 +124,7 @@
 	return list
 }
 
-// startRun carries a start out, or refuses it.
+// startRun executes a start order; it returns a refusal if the VM is unreachable.
 func (f *fleet) startRun(now time.Duration, o scheduler.Order) batch.Refusal {
 	v := f.byID[o.Instance.ID]
 	if v == nil || v.lost || v.down {
@@ -128,8 +132,8 @@
 	}
 	j := f.jobs[o.Task.Job]
 	r := &run{order: o, job: j, spec: &j.spec.Steps[o.Task.Step], pace: 1, started: now, willFail: v.failing || f.drawFailure(j)}
-	if saved, err := time.ParseDuration(o.Start.Checkpoint); err == nil {
-		r.worked = saved
+	if progress, err := time.ParseDuration(o.Start.Checkpoint); err == nil {
+		r.worked = progress
 	}
 	v.runs[o.Task] = r
 	v.orderedRuns = append(v.orderedRuns, r)
@@ -162,9 +166,9 @@
 	}
 }
 
-func (f *fleet) endRun(v *vm, r *run, how batch.EndKind) {
+func (f *fleet) endRun(v *vm, r *run, kind batch.EndKind) {
 	v.seq++
-	e := batch.RunEnd{Seq: v.seq, Task: r.order.Task, Run: r.order.Run, Kind: how, Checkpoint: r.checkpoint()}
+	e := batch.RunEnd{Seq: v.seq, Task: r.order.Task, Run: r.order.Run, Kind: kind, Checkpoint: r.checkpoint()}
 	v.ends = append(v.ends, e)
 	delete(v.runs, r.order.Task)
 	for i, other := range v.orderedRuns {
@@ -173,7 +177,7 @@
 			break
 		}
 	}
-	if how != batch.EndDone && r.job.kind != servingKind && e.Checkpoint == "" {
+	if kind != batch.EndDone && r.job.kind != servingKind && e.Checkpoint == "" {
 		f.wastedCoreSeconds += r.worked.Seconds() * r.cores()
 	}
 }
@@ -189,73 +193,74 @@
 	return r.worked.String()
 }
 
-// servingLoad is the share of its declared processors that a serving run uses.
+// servingLoad returns the share of its declared processors that a serving run uses.
 func (f *fleet) servingLoad(now time.Duration, r *run) float64 {
 	s := &f.scenario.Serving
 	return s.MeanLoad * (1 + s.Swing*math.Sin(2*math.Pi*(now.Seconds()/s.SwingS+r.job.loadPhase)))
 }
 
-// ready reports whether a serving run is past its startup.
+// ready reports whether a serving run has finished its startup.
 func (f *fleet) ready(now time.Duration, r *run) bool {
 	return now-r.started >= time.Duration(f.scenario.Serving.StartMS)*time.Millisecond
 }
 
-// fillerUse is a filler's use of processors, as a share of its VM's.
+// fillerUse is the processor use of a filler, as a share of its VM's processors.
 type fillerUse struct {
 	image string
 	use   float64
 }
 
-// advance lets a VM's runs work for a while.
+// advance simulates the runs of a VM for dt.
 func (f *fleet) advance(now, dt time.Duration, v *vm) {
 	if v.lost || v.down {
 		return
 	}
 	capacity := float64(v.inst.Capacity.MilliCPU)
-	total, fillers := 0.0, 0.0
-	var presses []fillerUse
+	demand, fillerDemand := 0.0, 0.0
+	var fillerUses []fillerUse
 	for _, r := range v.orderedRuns {
 		switch r.job.kind {
 		case servingKind:
-			total += f.servingLoad(now, r) * float64(r.spec.Need.MilliCPU) / capacity
+			demand += f.servingLoad(now, r) * float64(r.spec.Need.MilliCPU) / capacity
 		case fillerKind:
 			use := r.pace * 1000 * r.cores() / capacity
-			presses = append(presses, fillerUse{r.spec.Image, use})
-			fillers += use
+			fillerUses = append(fillerUses, fillerUse{r.spec.Image, use})
+			fillerDemand += use
 		default:
-			total += float64(r.spec.Need.MilliCPU) / capacity
+			demand += float64(r.spec.Need.MilliCPU) / capacity
 		}
 	}
-	// Fillers get what is left.
+	// Fillers share the processors that the other runs leave.
 	share := 1.0
-	if fillers > 0 {
-		share = min(1, max(1-total, 0)/fillers)
+	if fillerDemand > 0 {
+		share = min(1, max(1-demand, 0)/fillerDemand)
 	}
-	f.usedCoreSeconds += (min(total, 1) + fillers*share) * capacity / 1000 * dt.Seconds()
+	f.usedCoreSeconds += (min(demand, 1) + fillerDemand*share) * capacity / 1000 * dt.Seconds()
 	for _, r := range append([]*run(nil), v.orderedRuns...) {
 		if r.job.kind == servingKind {
-			f.advanceServing(now, dt, v, r, presses, total+fillers)
+			f.advanceServing(now, dt, v, r, fillerUses, demand+fillerDemand)
 			continue
 		}
 		f.advanceBatch(now, dt, v, r, share)
 	}
 }
 
-// advanceServing lets a serving run's tail follow its load and what is beside it.
-func (f *fleet) advanceServing(now, dt time.Duration, v *vm, r *run, presses []fillerUse, total float64) {
+// advanceServing updates the tail latency of a serving run from its own load, the demand on
+// its VM and the interference of the fillers there.
+func (f *fleet) advanceServing(now, dt time.Duration, v *vm, r *run, fillerUses []fillerUse, demand float64) {
 	if f.random.Float64() < f.scenario.Serving.FailsPerMinute*dt.Minutes() {
 		f.endRun(v, r, batch.EndFailed)
 		return
 	}
-	own := -math.Log(1-f.servingLoad(now, r)) - math.Log(f.scenario.Serving.TargetTimes)
-	tail := own + saturationSlope*min(max(total-saturationThreshold, 0), maxSaturation)
-	for _, p := range presses {
-		if w, ok := f.world.slopes[[2]string{r.spec.Image, p.image}]; ok {
-			tail += w.at(now) * p.use
+	ownTail := -math.Log(1-f.servingLoad(now, r)) - math.Log(f.scenario.Serving.TargetTimes)
+	tail := ownTail + saturationSlope*min(max(demand-saturationThreshold, 0), maxSaturation)
+	for _, u := range fillerUses {
+		if slope, ok := f.world.slopes[[2]string{r.spec.Image, u.image}]; ok {
+			tail += slope.at(now) * u.use
 		}
 	}
 	r.overTarget = tail > 0
-	r.harmed = r.overTarget && own <= 0
+	r.harmed = r.overTarget && ownTail <= 0
 	r.tail += (math.Exp(tail) - r.tail) * min(2*dt.Seconds()/averagingWindow.Seconds(), 1)
 }
 
@@ -271,11 +276,11 @@
 		r.use = 1000 * r.cores()
 	}
 	r.worked += time.Duration(pace * float64(dt))
-	length := r.job.durations[r.order.Task.Step][r.order.Task.Index]
+	duration := r.job.durations[r.order.Task.Step][r.order.Task.Index]
 	switch {
-	case r.willFail && r.worked > length/2:
+	case r.willFail && r.worked > duration/2:
 		f.endRun(v, r, batch.EndFailed)
-	case r.worked >= length:
+	case r.worked >= duration:
 		f.endRun(v, r, batch.EndDone)
 		f.recordDone(now, r)
 	}
@@ -292,7 +297,7 @@
 	}
 }
 
-// report is what a VM tells, and forgets the ends that are acknowledged.
+// report removes the acknowledged run ends of a VM and returns its next report.
 func (f *fleet) report(now time.Duration, v *vm, acked int64) batch.Report {
 	for len(v.ends) > 0 && v.ends[0].Seq <= acked {
 		v.ends = v.ends[1:]
@@ -308,17 +313,17 @@
 func (f *fleet) status(now time.Duration, r *run) batch.RunStatus {
 	st := batch.RunStatus{Task: r.order.Task, Run: r.order.Run, HasUsage: true, Usage: r.use, Checkpoint: r.checkpoint()}
 	if r.job.kind != servingKind {
-		length := r.job.durations[r.order.Task.Step][r.order.Task.Index]
-		st.Progress = int(100 * min(float64(r.worked)/float64(length), 1))
+		duration := r.job.durations[r.order.Task.Step][r.order.Task.Index]
+		st.Progress = int(100 * min(float64(r.worked)/float64(duration), 1))
 		return st
 	}
 	if f.ready(now, r) {
 		st.Progress = 100
 	}
-	off := math.Exp(f.random.NormFloat64() * reportNoise)
+	errorFactor := math.Exp(f.random.NormFloat64() * reportNoise)
 	if f.random.IntN(outlierInterval) == 0 {
-		off *= outlierFactor
+		errorFactor *= outlierFactor
 	}
-	st.Usage = math.Round(r.tail * tailTargetMS * off)
+	st.Usage = math.Round(r.tail * tailTargetMS * errorFactor)
 	return st
 }
--- a/internal/experiment/library.go
+++ b/internal/experiment/library.go
@@ -11,7 +11,7 @@
 
 const extension = ".jsonc"
 
-// Scenarios lists the names of the scenarios that come with the program.
+// Scenarios returns the names of the scenarios embedded in the program.
 func Scenarios() []string {
 	entries, _ := library.ReadDir("scenarios")
 	names := make([]string, 0, len(entries))
@@ -21,7 +21,7 @@
 	return names
 }
 
-// Find returns the scenario of that name, or that of the file at that path.
+// Find returns the embedded scenario of that name, or else loads the file at that path.
 func Find(name string) (Scenario, error) {
 	if raw, err := library.ReadFile(path.Join("scenarios", name+extension)); err == nil {
 		return Parse(name+extension, raw)
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -11,7 +11,7 @@
 	"github.com/rattanwall/rattanwall/internal/batch"
 )
 
-// jobKind is what a job is.
+// jobKind is the kind of work of a job; each kind has a queue of its own.
 type jobKind int
 
 const (
@@ -23,51 +23,53 @@
 
 var kindNames = [kindCount]string{"serving", "short", "fillers"}
 
-// pool is that of all queues.
+// pool is the pool of all queues and VMs.
 const pool = "pool"
 
-// maxSpread bounds a factor of size.
+// maxSpread bounds the factors that drawFactor returns.
 const maxSpread = 4.0
 
-// job is a job of the load, with what is true of it.
+// job is a job of the load with its true properties and its state.
 type job struct {
 	kind      jobKind
 	arrivesAt time.Duration
 	spec      *batch.Job
-	// durations are the true durations of each step's tasks.
+	// durations holds the true duration of each task by step; serving jobs have none.
 	durations [][]time.Duration
-	// usedShares is the share of its declared processors that each step's tasks use.
+	// usedShares holds, by step, the share of the declared processors that a task uses.
 	usedShares []float64
-	// loadPhase is that of a serving job's load, 0 to 1; leaves is when it is cancelled.
+	// loadPhase is the phase of a serving job's load, 0 to 1. cancelAt is when the job is
+	// cancelled; 0 is never.
 	loadPhase float64
 	cancelAt  time.Duration
 	totalWork float64
 	value     float64
-	// tasksLeft counts the tasks that are not done; ended is when the last was.
+	// tasksLeft is the number of unfinished tasks; endedAt is when the last one finished.
 	tasksLeft int
 	endedAt   time.Duration
 	failed    bool
 	cancelled bool
-	// isCrashing is set where the first task ends each VM that begins it.
+	// isCrashing is set if the first task crashes every VM on which it starts.
 	isCrashing bool
 	objective  time.Duration
 }
 
-// world is what the scheduler is not told: the load to come, and who presses on whom.
+// world holds what the scheduler does not know: the future load, and the interference between
+// images.
 type world struct {
 	jobs []*job
-	// slopes are the effects of filler images on serving images.
+	// slopes are the effects of fillers on serving tasks, by serving image and filler image.
 	slopes map[[2]string]varyingSlope
 }
 
-// varyingSlope is a slope that changes within seconds.
+// varyingSlope is an interference slope that varies periodically, with a period in seconds.
 type varyingSlope struct{ mean, amplitude, period, phase float64 }
 
 func (w varyingSlope) at(now time.Duration) float64 {
 	return w.mean * (1 + w.amplitude*math.Sin(2*math.Pi*(now.Seconds()/w.period+w.phase)))
 }
 
-// generator draws a world; equal seeds give equal worlds.
+// generator generates a world at random; equal seeds give equal worlds.
 type generator struct {
 	*rand.Rand
 	scenario *Scenario
@@ -98,17 +100,18 @@
 
 func (g *generator) addJob(j *job) { g.world.jobs = append(g.world.jobs, j) }
 
-// addArrivals calls add for each arrival during the load.
+// addArrivals calls add for each arrival of a Poisson process during the load, at a rate of
+// perS that bursts multiply.
 func (g *generator) addArrivals(perS float64, bursts []Burst, add func(at time.Duration)) {
 	if perS <= 0 {
 		return
 	}
-	highest := 1.0
+	maxTimes := 1.0
 	for _, b := range bursts {
-		highest = max(highest, b.Times)
+		maxTimes = max(maxTimes, b.Times)
 	}
 	for at := 0.0; ; {
-		at += g.ExpFloat64() / (perS * highest)
+		at += g.ExpFloat64() / (perS * maxTimes)
 		if at >= g.scenario.LoadS {
 			return
 		}
@@ -118,13 +121,13 @@
 				times *= b.Times
 			}
 		}
-		if g.Float64() < times/highest {
+		if g.Float64() < times/maxTimes {
 			add(seconds(at))
 		}
 	}
 }
 
-// drawFactor is a factor with mean 1 and a long tail.
+// drawFactor returns a log-normal random factor with mean 1, cut off at maxSpread.
 func (g *generator) drawFactor(sigma float64) float64 {
 	return min(math.Exp(g.NormFloat64()*sigma-sigma*sigma/2), maxSpread)
 }
@@ -140,8 +143,8 @@
 	return fmt.Sprintf("j%06d", g.jobCount)
 }
 
-// Spreads of sizes, as standard deviations of logarithms, and how far tasks of one
-// step are from each other.
+// Standard deviations of the logarithms of random sizes. taskSpread is that between the tasks
+// of one step.
 const (
 	widthSpread  = 0.7
 	coresSpread  = 0.35
@@ -149,7 +152,7 @@
 	lengthSpread = 0.5
 	staySpread   = 0.5
 	taskSpread   = 0.3
-	// servingMemoryPerCoreMB is a serving task's memory for each processor it declares, in MB.
+	// servingMemoryPerCoreMB is the memory of a serving task per declared processor, in MB.
 	servingMemoryPerCoreMB = 2000
 )
 
@@ -173,42 +176,44 @@
 
 func (g *generator) batchJob(k jobKind, b *Batch, at time.Duration) *job {
 	j := &job{kind: k, arrivesAt: at, spec: &batch.Job{ID: g.nextID()}}
-	length := b.Seconds * g.drawFactor(lengthSpread)
+	meanDuration := b.Seconds * g.drawFactor(lengthSpread)
 	tasks := g.drawCount(b.Tasks, widthSpread)
-	off := math.Exp(g.NormFloat64() * b.EstimateError)
-	chain := 0.0
+	estimateError := math.Exp(g.NormFloat64() * b.EstimateError)
+	criticalPath := 0.0
 	for n := range g.drawCount(b.Steps, stepsSpread) {
 		step := batch.Step{
 			Tasks: tasks, Filler: k == fillerKind, Image: imageName("fill", g.IntN(b.Images)), Checkpoints: g.Float64() < b.Checkpoints,
 			Need:     batch.Resources{MilliCPU: max(int64(1000*b.Cores*g.drawFactor(coresSpread)), 1), MemoryMB: int64(1000 * b.MemoryGB * g.drawFactor(taskSpread))},
-			Estimate: seconds(length * off),
+			Estimate: seconds(meanDuration * estimateError),
 		}
 		if n > 0 {
 			step.After = []int{n - 1}
 		}
-		lengths := make([]time.Duration, tasks)
-		for i := range lengths {
-			lengths[i] = seconds(length * g.drawFactor(taskSpread))
-			j.totalWork += lengths[i].Seconds() * float64(step.Need.MilliCPU) / 1000
+		durations := make([]time.Duration, tasks)
+		for i := range durations {
+			durations[i] = seconds(meanDuration * g.drawFactor(taskSpread))
+			j.totalWork += durations[i].Seconds() * float64(step.Need.MilliCPU) / 1000
 		}
-		chain += slices.Max(lengths).Seconds()
+		criticalPath += slices.Max(durations).Seconds()
 		j.tasksLeft += tasks
-		j.durations = append(j.durations, lengths)
+		j.durations = append(j.durations, durations)
 		j.usedShares = append(j.usedShares, min(b.Used*(0.75+0.5*g.Float64()), 1))
 		j.spec.Steps = append(j.spec.Steps, step)
 	}
-	j.objective = seconds(b.Terms.Stretch*chain + b.Terms.SlackS)
+	j.objective = seconds(b.Terms.Stretch*criticalPath + b.Terms.SlackS)
 	return j
 }
 
-// fixedValueShare is the part of a mean job's worth that each has; maxValueFactor bounds it.
+// fixedValueShare is the part of the mean value that each job has whatever its work;
+// maxValueFactor bounds a job's value in multiples of the mean.
 const (
 	fixedValueShare = 0.3
 	maxValueFactor  = 4.0
 )
 
-// assignValues gives the jobs of a kind their worth by their work.
-func (g *generator) assignValues(k jobKind, worth float64) {
+// assignValues sets the values of the jobs of a kind by their work; a job of mean work has
+// meanValue.
+func (g *generator) assignValues(k jobKind, meanValue float64) {
 	sum, n := 0.0, 0
 	for _, j := range g.world.jobs {
 		if j.kind == k {
@@ -218,7 +223,7 @@
 	}
 	for _, j := range g.world.jobs {
 		if j.kind == k {
-			j.value = worth * min(fixedValueShare+(1-fixedValueShare)*j.totalWork/(sum/float64(n)), maxValueFactor)
+			j.value = meanValue * min(fixedValueShare+(1-fixedValueShare)*j.totalWork/(sum/float64(n)), maxValueFactor)
 		}
 	}
 }
@@ -226,20 +231,21 @@
 func (g *generator) drawInterference() map[[2]string]varyingSlope {
 	i := &g.scenario.Interference
 	slopes := map[[2]string]varyingSlope{}
-	presses := make([]int, g.scenario.Fillers.Images)
-	for f := range presses {
-		presses[f] = -1
+	pressedResources := make([]int, g.scenario.Fillers.Images)
+	for f := range pressedResources {
+		pressedResources[f] = -1
 		if g.Float64() < i.Pressing {
-			presses[f] = g.IntN(i.Resources)
+			pressedResources[f] = g.IntN(i.Resources)
 		}
 	}
 	for n := range g.scenario.Serving.Images {
-		minds := g.IntN(i.Resources)
-		for f, resource := range presses {
-			// Two draws for each pair, whether it presses or not, keep worlds alike.
-			w := varyingSlope{mean: i.Slope * g.drawFactor(0.3), amplitude: i.Wobble, period: 4 + 10*g.Float64(), phase: g.Float64()}
-			if resource == minds {
-				slopes[[2]string{imageName("serve", n), imageName("fill", f)}] = w
+		sensitiveTo := g.IntN(i.Resources)
+		for f, resource := range pressedResources {
+			// Drawing for every pair, whether it interferes or not, keeps worlds of the same seed
+			// alike across scenarios.
+			slope := varyingSlope{mean: i.Slope * g.drawFactor(0.3), amplitude: i.Wobble, period: 4 + 10*g.Float64(), phase: g.Float64()}
+			if resource == sensitiveTo {
+				slopes[[2]string{imageName("serve", n), imageName("fill", f)}] = slope
 			}
 		}
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -13,59 +13,61 @@
 )
 
 const (
-	// timeStep is the resolution of virtual time.
+	// timeStep is the increment of virtual time.
 	timeStep = 20 * time.Millisecond
-	// ratingInterval is the span by which lasting work is rated.
+	// ratingInterval is the interval at which the value of serving jobs is credited.
 	ratingInterval = 2 * time.Second
-	// harmFactor is how many times more a tail over its target costs than a task that
-	// is away, where what fills beside it is the cause.
+	// harmFactor is the cost of a tail latency over its target that fillers cause, relative to
+	// the cost of an unavailable task.
 	harmFactor = 4.0
-	// lateFactor times its objective a job still earns lateValueShare.
+	// A job that finishes late, but within lateFactor times its objective, earns
+	// lateValueShare of its value.
 	lateFactor     = 3.0
 	lateValueShare = 0.15
-	// leaseExpiryDelay is how long after it was lost a VM counts as ended by its lease.
+	// leaseExpiryDelay is the time from the loss of a VM to the expiry of its lease, when the
+	// leader removes it.
 	leaseExpiryDelay = 9 * time.Second
 )
 
-// Outcome is what one play of a scenario came to.
+// Outcome holds the results of one play of a scenario.
 type Outcome struct {
 	Seed uint64 `json:"seed"`
-	// Service is the worth earned over the worth asked for, 0 to 1.
+	// Service is the earned value over the requested value, 0 to 1.
 	Service float64 `json:"service"`
-	// Kinds has the same by kind of work.
+	// Kinds is the same by kind of work.
 	Kinds map[string]float64 `json:"kinds"`
-	// Largest and Smallest are those of the largest tenth and the smaller half of the
+	// Largest and Smallest are the same for the largest tenth and the smaller half of the
 	// filler jobs.
 	Largest  float64 `json:"largest_fillers"`
 	Smallest float64 `json:"smaller_fillers"`
-	// HarmS is the time that serving tasks were over their target because of fillers, in
+	// HarmS is the time for which serving tasks exceeded their target because of fillers, in
 	// task seconds.
 	HarmS float64 `json:"harm_task_s"`
-	// LongestHarmS is the longest that one task was so on end.
+	// LongestHarmS is the longest such time of one task before it met its target again.
 	LongestHarmS float64 `json:"longest_harm_s"`
-	// LongestWaitS is the longest wait of a short job's first task.
+	// LongestWaitS is the longest wait of a short job for the start of its first task.
 	LongestWaitS float64 `json:"longest_short_wait_s"`
-	// Used is the share of all processors in use during the load.
+	// Used is the mean share of all processors in use during the play.
 	Used float64 `json:"used"`
-	// WastedS is work that was not kept, in processor seconds.
+	// WastedS is lost or repeated work, in processor seconds.
 	WastedS float64 `json:"wasted_s"`
-	// CrashingJobs counts the jobs with a task that ends its VMs, Crashes the VMs that
-	// such tasks ended.
+	// CrashingJobs counts the jobs with a task that crashes its VMs, Crashes the VMs that such
+	// tasks crashed.
 	CrashingJobs int `json:"crashing_jobs,omitempty"`
 	Crashes      int `json:"crashes,omitempty"`
-	// Restarts counts the VMs that started again under their IDs.
+	// Restarts counts the restarts of VMs under their IDs.
 	Restarts int `json:"restarts,omitempty"`
-	// PaceOrders and Starts count orders.
+	// PaceOrders and Starts count the pace orders and the starts sent to VMs.
 	PaceOrders int `json:"pace_orders"`
 	Starts     int `json:"starts"`
-	// NsPerDecision and AllocsPerDecision are the processor time and allocations of the
-	// scheduler for each start, all its calls counted; allocations, those of the model
-	// included, are told where one play runs at a time.
+	// NsPerDecision is the time spent in the scheduler's planning and reports, in ns per start.
+	// AllocsPerDecision is the number of allocations per start, those of the model included; it
+	// is given only if one play runs at a time.
 	NsPerDecision     float64 `json:"ns_per_decision"`
 	AllocsPerDecision float64 `json:"allocs_per_decision"`
 }
 
-// player plays one world against one policy.
+// player plays one world with one policy.
 type player struct {
 	scenario *Scenario
 	fleet    *fleet
@@ -73,23 +75,24 @@
 	sched    *scheduler.Scheduler
 	fence    int64
 	now      time.Duration
-	// arrivals are the jobs still to come.
+	// arrivals are the jobs not yet submitted, by arrival time.
 	arrivals          []*job
 	submittedJobs     []*job
 	store             map[string]*scheduler.Progress
 	startSegments     map[scheduler.SegmentID]scheduler.StartSegment
 	faults            []Fault
 	pendingRecoveries []vmEvent
-	// pendingListings are the VMs whose entries are still those of the start before.
+	// pendingListings are the restarted VMs that are still listed with their previous
+	// incarnation.
 	pendingListings []vmEvent
-	// nextLeaderAt is when the next leader takes over, absent is set until then.
+	// nextLeaderAt is when the next leader takes over; noLeader is set until then.
 	nextLeaderAt time.Duration
 	noLeader     bool
 	lostAt       map[string]time.Duration
 	crashFault   crashFault
 
-	// pendingStarts are the starts that the leader has decided and not given, credit the share of
-	// one that it has had time for.
+	// pendingStarts are the starts that the leader has decided and not sent, startCredit the
+	// number (with a fraction) that it has had time to send since.
 	pendingStarts []pendingStart
 	startCredit   float64
 	backlog       *scheduler.Backlog
@@ -103,11 +106,11 @@
 	allocs            uint64
 }
 
-// servingAccount is a lasting job's account of the present two seconds.
+// servingAccount sums task time of a serving job over the current rating interval of two seconds.
 type servingAccount struct{ readyTime, lostTime, totalTime time.Duration }
 
 // Play plays one seed of a scenario with a variant. Equal arguments give equal outcomes
-// but for the figures of time and allocations.
+// except for NsPerDecision and AllocsPerDecision, which are measured.
 func Play(ctx context.Context, s *Scenario, v *Variant, seed uint64) (Outcome, error) {
 	w := newWorld(s, seed)
 	v.apply(w)
@@ -132,8 +135,8 @@
 	return p.outcome(seed), nil
 }
 
-// elect begins a leader's term: it learns of the jobs from the store and of the runs
-// from the VMs.
+// elect begins the tenure of a new leader, which reads the jobs and starts from the store and
+// learns of the runs from the VMs.
 func (p *player) elect() {
 	p.fence++
 	var model scheduler.InterferenceModel
@@ -156,11 +159,11 @@
 			p.submit(j, true)
 		}
 	}
-	var log []scheduler.StartSegment
+	var segments []scheduler.StartSegment
 	for _, id := range slices.SortedFunc(maps.Keys(p.startSegments), scheduler.SegmentID.Compare) {
-		log = append(log, p.startSegments[id])
+		segments = append(segments, p.startSegments[id])
 	}
-	p.sched.RestoreStarts(p.now, log)
+	p.sched.RestoreStarts(p.now, segments)
 }
 
 func (p *player) config() *batch.Config {
@@ -173,9 +176,9 @@
 	return c
 }
 
-func (p *player) submit(j *job, existed bool) {
+func (p *player) submit(j *job, predatesLeader bool) {
 	p.sched.Submit(p.now, scheduler.Submission{
-		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.arrivesAt, PredatesLeader: existed, Progress: p.store[j.spec.ID],
+		Job: j.spec, Queue: kindNames[j.kind], Pool: pool, Age: p.now - j.arrivesAt, PredatesLeader: predatesLeader, Progress: p.store[j.spec.ID],
 	})
 }
 
@@ -200,7 +203,7 @@
 	}
 }
 
-// submitArrivals hands in the jobs that are due and cancels those that leave.
+// submitArrivals submits the jobs that are due and cancels serving jobs whose stay has ended.
 func (p *player) submitArrivals() {
 	for len(p.arrivals) > 0 && p.arrivals[0].arrivesAt <= p.now && !p.noLeader {
 		j := p.arrivals[0]
@@ -218,10 +221,11 @@
 	}
 }
 
-// runLeader is one turn of the leader: reports, what is due by time, a plan.
+// runLeader executes one round of the leader: it collects reports, runs timers, plans, and
+// executes the orders.
 func (p *player) runLeader() {
-	every := time.Duration(p.scenario.Fleet.ReportMS) * time.Millisecond
-	began := time.Now()
+	reportInterval := time.Duration(p.scenario.Fleet.ReportMS) * time.Millisecond
+	startedAt := time.Now()
 	for _, v := range p.fleet.vms {
 		if v.lost {
 			p.removeLost(v)
@@ -230,8 +234,8 @@
 		if v.down {
 			continue
 		}
-		if p.now-v.lastReportAt >= every || len(v.ends) > v.reportedEnds {
-			hold, ok := p.sched.Hold(p.now, v.inst.ID, every)
+		if p.now-v.lastReportAt >= reportInterval || len(v.ends) > v.reportedEnds {
+			hold, ok := p.sched.Hold(p.now, v.inst.ID, reportInterval)
 			if ok {
 				p.sched.HandleReport(p.now, p.now, v.inst.ID, p.fleet.report(p.now, v, hold.Acked))
 			}
@@ -240,22 +244,22 @@
 	p.sched.SetStartBudget(p.backlog.Budget(p.now, 0))
 	p.sched.Tick(p.now)
 	orders := p.sched.Plan(p.now)
-	p.schedulerTime += time.Since(began)
-	given := p.backlog.RecordPlan(p.now, scheduler.CountStarts(orders), p.sched.StartBudgetLeft())
+	p.schedulerTime += time.Since(startedAt)
+	onSent := p.backlog.RecordPlan(p.now, scheduler.CountStarts(orders), p.sched.StartBudgetLeft())
 	for _, o := range orders {
-		p.executeOrder(o, given)
+		p.executeOrder(o, onSent)
 	}
 	p.sendStarts()
 	p.writeRecords()
 }
 
-// pendingStart is a start that was decided, and who is told when it is given.
+// pendingStart is a start that was decided but not sent; onSent is called when it is sent.
 type pendingStart struct {
 	scheduler.Order
 	onSent func(now time.Duration)
 }
 
-// sendStarts gives what has been decided, as far as the leader's processor does.
+// sendStarts sends the pending starts, at most Leader.StartsPerS a second.
 func (p *player) sendStarts() {
 	p.startCredit = min(p.startCredit+p.scenario.Leader.StartsPerS*timeStep.Seconds(), p.scenario.Leader.StartsPerS)
 	for len(p.pendingStarts) > 0 && (p.startCredit >= 1 || p.scenario.Leader.StartsPerS == 0) {
@@ -272,7 +276,7 @@
 	}
 }
 
-// sendStart has a VM carry a start out.
+// sendStart starts a run on its VM and reports the result to the scheduler.
 func (p *player) sendStart(o scheduler.Order) {
 	p.result.Starts++
 	refusal := p.fleet.startRun(p.now, o)
@@ -285,17 +289,17 @@
 	}
 }
 
-// removeLost tells the leader that a VM has ended, when its lease is over.
+// removeLost removes a lost VM from the scheduler once its lease has expired.
 func (p *player) removeLost(v *vm) {
 	if at := p.lostAt[v.inst.ID]; at > 0 && p.now-at > leaseExpiryDelay {
 		p.sched.RemoveInstance(p.now, v.inst.ID, "lost")
 	}
 }
 
-func (p *player) executeOrder(o scheduler.Order, given func(time.Duration)) {
+func (p *player) executeOrder(o scheduler.Order, onSent func(time.Duration)) {
 	switch o.Kind {
 	case scheduler.OrderStart:
-		p.pendingStarts = append(p.pendingStarts, pendingStart{o, given})
+		p.pendingStarts = append(p.pendingStarts, pendingStart{o, onSent})
 	case scheduler.OrderStop:
 		p.fleet.stopRun(o)
 		p.sched.Stopped(p.now, o)
@@ -308,38 +312,38 @@
 	}
 }
 
-// writeRecords writes what the leader has to record.
+// writeRecords writes the leader's pending records and starts to the store.
 func (p *player) writeRecords() {
-	f := p.sched.PendingWrites()
-	if c := p.sched.PendingStarts(p.now, f != nil); c != nil {
-		if c.Segment != nil {
-			p.startSegments[c.Segment.ID] = *c.Segment
+	writes := p.sched.PendingWrites()
+	if starts := p.sched.PendingStarts(p.now, writes != nil); starts != nil {
+		if starts.Segment != nil {
+			p.startSegments[starts.Segment.ID] = *starts.Segment
 		}
-		for _, id := range c.Obsolete {
+		for _, id := range starts.Obsolete {
 			delete(p.startSegments, id)
 		}
-		p.sched.StartsWritten(c)
+		p.sched.StartsWritten(starts)
 	}
-	if f == nil {
+	if writes == nil {
 		return
 	}
-	for _, r := range f.Records {
+	for _, r := range writes.Records {
 		p.store[r.Job] = r.Progress
 		p.sched.RecordWritten(r, 1)
 		if j := p.fleet.jobs[r.Job]; r.Progress.State == batch.Failed {
 			j.failed = true
 		}
 	}
-	p.sched.Flushed(f)
+	p.sched.Flushed(writes)
 }
 
 func (p *player) beginFaults() {
-	rest := p.faults[:0]
+	remaining := p.faults[:0]
 	for _, f := range p.faults {
 		at := seconds(p.scenario.LeadS + f.AtS)
 		switch {
 		case p.now < at:
-			rest = append(rest, f)
+			remaining = append(remaining, f)
 		case f.Kind == FaultTakeover:
 			p.removeLeader(f)
 		case f.Kind == FaultCrashing:
@@ -348,21 +352,21 @@
 			p.applyFault(f)
 		}
 	}
-	p.faults = rest
+	p.faults = remaining
 }
 
 func (p *player) removeLeader(f Fault) { p.nextLeaderAt, p.noLeader = p.now+seconds(f.ForS), true }
 
-// vmEvent ends a fault of VMs.
+// vmEvent is something that happens to a VM at a set time, such as the end of a fault.
 type vmEvent struct {
 	at time.Duration
 	vm *vm
 }
 
-// applyFault strikes VMs at random, and those that recover do so when the fault is over.
+// applyFault applies a fault to VMs chosen at random and schedules their recovery, if any.
 func (p *player) applyFault(f Fault) {
-	struck := p.fleet.random.Perm(len(p.fleet.vms))[:int(f.Share*float64(len(p.fleet.vms))+0.5)]
-	for _, i := range struck {
+	affected := p.fleet.random.Perm(len(p.fleet.vms))[:int(f.Share*float64(len(p.fleet.vms))+0.5)]
+	for _, i := range affected {
 		v := p.fleet.vms[i]
 		switch f.Kind {
 		case FaultSlow:
@@ -385,7 +389,7 @@
 	}
 }
 
-// endFaults ends the faults of VMs that are over.
+// endFaults restores the VMs whose faults are over.
 func (p *player) endFaults() {
 	for _, r := range p.pendingRecoveries {
 		if p.now >= r.at {
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// smallScenario is a scenario that plays in a tenth of a second.
+// smallScenario returns a scenario that plays in a tenth of a second.
 func smallScenario(t *testing.T) Scenario {
 	s, err := Find("faults-48")
 	require.NoError(t, err)
@@ -20,11 +20,12 @@
 	return s
 }
 
-// pressedSeeds are enough to tell the gains below, which are the same on every run: equal
-// seeds give equal plays.
+// pressedSeeds is enough to show the gains in the tests below. They are the same on every run,
+// since equal seeds give equal plays.
 const pressedSeeds = 4
 
-// pressedScenario is the first forty seconds of the scenario of that name.
+// pressedScenario returns the first forty seconds of pressed-48, in which nearly all fillers
+// interfere with serving tasks.
 func pressedScenario(t *testing.T) Scenario {
 	s, err := Find("pressed-48")
 	require.NoError(t, err)
@@ -35,7 +36,7 @@
 func play(t *testing.T, s *Scenario, v Variant, seed uint64) Outcome {
 	out, err := Play(context.Background(), s, &v, seed)
 	require.NoError(t, err)
-	// These two are measured, not decided.
+	// These two are measured and differ between equal plays.
 	out.NsPerDecision, out.AllocsPerDecision = 0, 0
 	return out
 }
@@ -64,8 +65,8 @@
 	require.ErrorContains(t, err, "use default, first-come")
 }
 
-// A scenario that makes no sense is refused whole: every fault with line, field and fix.
-func TestScenariosThatAreRefused(t *testing.T) {
+// An invalid scenario is rejected with errors that name the field and the fix.
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	whole, err := library.ReadFile("scenarios/colocated-48.jsonc")
 	require.NoError(t, err)
 	for name, c := range map[string]struct{ raw, want string }{
@@ -89,7 +90,7 @@
 	require.ErrorContains(t, err, "--list")
 }
 
-func TestChangedPolicies(t *testing.T) {
+func TestParseVariant(t *testing.T) {
 	v, err := ParseVariant("x", []byte(`{"peak_limit": 0.8}`))
 	require.NoError(t, err)
 	want := scheduler.DefaultPolicy()
@@ -101,8 +102,8 @@
 	require.ErrorContains(t, err, "peak_limit: give a share")
 }
 
-// A comparison tells chance from gain: a variant that is the default one has a
-// difference of 0, and a plot is a picture.
+// A variant with the default policy has a difference of 0 that is not significant, progress is
+// reported for every play, and the plot has the format of its file name.
 func TestCompareAndPlot(t *testing.T) {
 	s := smallScenario(t)
 	variants, err := Choose([]string{"first-come"})
@@ -122,7 +123,7 @@
 	require.ErrorContains(t, Plot(&r, filepath.Join(t.TempDir(), "p.doc")), ".svg")
 }
 
-// A play ends when it is told to.
+// A comparison stops when its context is cancelled.
 func TestPlayIsCancelled(t *testing.T) {
 	s := smallScenario(t)
 	variants, err := Choose(nil)
@@ -133,85 +134,83 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// Load: nearly every filler presses on all that serves, more of them come than can run
-// beside it, and each starts soon: many starts beside what minds them. Symptom: serving
-// tasks are over their target each time a filler starts. The decision that answers it is
-// to work paces out at each start.
-func TestPacingAtStartsSparesWhatServes(t *testing.T) {
+// Nearly all fillers interfere with all serving tasks, more arrive than can run beside them, and
+// each starts soon. If paces were computed only with reports, serving tasks exceeded their target
+// each time a filler started. Computing paces at each start avoids that.
+func TestPacingAtStartsProtectsServingTasks(t *testing.T) {
 	const manyStarts = `"starved_crowded_ms": 2000, "keep_empty": 0`
 	s, err := Find("pressed-48")
 	require.NoError(t, err)
 	atStarts, err := ParseVariant("at starts", []byte(`{`+manyStarts+`}`))
 	require.NoError(t, err)
-	late, err := ParseVariant("with reports only", []byte(`{`+manyStarts+`, "pace_at_start": false}`))
+	withReportsOnly, err := ParseVariant("with reports only", []byte(`{`+manyStarts+`, "pace_at_start": false}`))
 	require.NoError(t, err)
-	r, err := Compare(context.Background(), &s, Options{Variants: []Variant{atStarts, late}, Seeds: 8, First: 1, Workers: 4})
+	r, err := Compare(context.Background(), &s, Options{Variants: []Variant{atStarts, withReportsOnly}, Seeds: 8, First: 1, Workers: 4})
 	require.NoError(t, err)
-	now, before := r.Variants[0].Means.HarmS, r.Variants[1].Means.HarmS
-	t.Logf("harmed task seconds: %.0f, with reports only %.0f", now, before)
-	require.Less(t, now, 0.8*before)
+	harm, harmWithReportsOnly := r.Variants[0].Means.HarmS, r.Variants[1].Means.HarmS
+	t.Logf("harmed task seconds: %.0f, with paces computed with reports only: %.0f", harm, harmWithReportsOnly)
+	require.Less(t, harm, 0.8*harmWithReportsOnly)
 }
 
-// Load: as above. Symptom: hundreds of jobs wait, and each gets one task after two
-// seconds beside serving tasks that mind it; slowed to a crawl there, they keep others
-// from ending in time and press on what serves. The decision that answers it: in a
-// crowded fleet jobs wait longer before they start beside others.
+// The load is that of TestPacingAtStartsProtectsServingTasks. Hundreds of jobs wait; if each could
+// start one task after two seconds beside serving tasks that it interferes with, these tasks would
+// run very slowly, delay other jobs and harm the serving tasks. In a crowded fleet jobs therefore
+// wait longer before they start there.
 func TestStarvedJobsWaitLongerInACrowdedFleet(t *testing.T) {
 	s := pressedScenario(t)
-	soon, err := ParseVariant("as soon as elsewhere", []byte(`{"starved_crowded_ms": 2000}`))
+	sameDelay, err := ParseVariant("as soon as elsewhere", []byte(`{"starved_crowded_ms": 2000}`))
 	require.NoError(t, err)
 	variants, err := Choose(nil)
 	require.NoError(t, err)
-	r, err := Compare(context.Background(), &s, Options{Variants: append(variants, soon), Seeds: pressedSeeds, First: 1, Workers: 4})
+	r, err := Compare(context.Background(), &s, Options{Variants: append(variants, sameDelay), Seeds: pressedSeeds, First: 1, Workers: 4})
 	require.NoError(t, err)
-	now, before := &r.Variants[0].Means, &r.Variants[1].Means
-	t.Logf("fillers %.3f, before %.3f; harmed task seconds %.0f, before %.0f", now.Kinds["fillers"], before.Kinds["fillers"], now.HarmS, before.HarmS)
-	require.Greater(t, now.Kinds["fillers"], before.Kinds["fillers"]+0.01)
-	require.Less(t, now.HarmS, before.HarmS)
+	byDefault, withSameDelay := &r.Variants[0].Means, &r.Variants[1].Means
+	t.Logf("fillers %.3f, with the same delay in a crowded fleet %.3f; harmed task seconds %.0f and %.0f", byDefault.Kinds["fillers"], withSameDelay.Kinds["fillers"], byDefault.HarmS, withSameDelay.HarmS)
+	require.Greater(t, byDefault.Kinds["fillers"], withSameDelay.Kinds["fillers"]+0.01)
+	require.Less(t, byDefault.HarmS, withSameDelay.HarmS)
 }
 
-// Load: as above. Symptom: fillers that press on all that serves wait beside idle
-// processors, since each VM serves something. The decision that answers it: a tenth of
-// the VMs is left to them as long as what serves has room elsewhere.
-func TestKeptEmptyVMsServeFillersThatPressEverywhere(t *testing.T) {
+// The load is that of TestPacingAtStartsProtectsServingTasks. If serving tasks ran on every VM,
+// fillers that interfere with all of them would wait despite idle processors. A tenth of the VMs
+// is therefore kept free of serving tasks while these have capacity elsewhere.
+func TestKeptEmptyVMsRunFillersThatInterfereEverywhere(t *testing.T) {
 	s := pressedScenario(t)
-	spread, err := ParseVariant("spread", []byte(`{"keep_empty": 0}`))
+	noneEmpty, err := ParseVariant("spread", []byte(`{"keep_empty": 0}`))
 	require.NoError(t, err)
 	variants, err := Choose(nil)
 	require.NoError(t, err)
-	r, err := Compare(context.Background(), &s, Options{Variants: append(variants, spread), Seeds: pressedSeeds, First: 1, Workers: 4})
+	r, err := Compare(context.Background(), &s, Options{Variants: append(variants, noneEmpty), Seeds: pressedSeeds, First: 1, Workers: 4})
 	require.NoError(t, err)
-	now, before := r.Variants[0].Means.Kinds, r.Variants[1].Means.Kinds
-	t.Logf("fillers %.3f, before %.3f; serving %.3f, before %.3f", now["fillers"], before["fillers"], now["serving"], before["serving"])
-	require.Greater(t, now["fillers"], before["fillers"]+0.03)
-	require.Greater(t, now["serving"], before["serving"]-0.01)
+	byDefault, withNoneEmpty := r.Variants[0].Means.Kinds, r.Variants[1].Means.Kinds
+	t.Logf("fillers %.3f, with no VM kept empty %.3f; serving %.3f and %.3f", byDefault["fillers"], withNoneEmpty["fillers"], byDefault["serving"], withNoneEmpty["serving"])
+	require.Greater(t, byDefault["fillers"], withNoneEmpty["fillers"]+0.03)
+	require.Greater(t, byDefault["serving"], withNoneEmpty["serving"]-0.01)
 }
 
-// Jobs of which a task ends its VMs cost others the work that is lost with each VM: three
-// or four VMs a job, and not one each two seconds for as long as the load lasts.
-func TestCrashingJobsAreGivenUp(t *testing.T) {
+// Each VM that a task crashes costs other jobs their work on it. A job with such a task must fail
+// after three or four VMs, rather than crash one every two seconds for as long as the load lasts.
+func TestCrashingJobsFail(t *testing.T) {
 	s, err := Find("crashing-48")
 	require.NoError(t, err)
 	for seed := range uint64(2) {
 		out := play(t, &s, Variants()[0], seed)
-		t.Logf("%d jobs ended %d VMs; service %.3f, kinds %v", out.CrashingJobs, out.Crashes, out.Service, out.Kinds)
+		t.Logf("%d jobs crashed %d VMs; service %.3f, kinds %v", out.CrashingJobs, out.Crashes, out.Service, out.Kinds)
 		require.Positive(t, out.CrashingJobs)
 		require.LessOrEqual(t, out.Crashes, 5*out.CrashingJobs)
 	}
 }
 
-// VMs that start again under their IDs cost what ran on them, and nothing more: a leader that
-// takes a new start for the one before loses ends, and runs tasks again for as long as the
-// load lasts.
-func TestRestartsCostWhatRanThere(t *testing.T) {
+// The restart of VMs under their IDs must cost only the runs on them. A leader that mistakes a new
+// incarnation for the previous one loses run ends and repeats tasks for as long as the load lasts.
+func TestRestartsCostOnlyTheRunsThere(t *testing.T) {
 	s, err := Find("restarts-48")
 	require.NoError(t, err)
-	calm := s
-	calm.Faults = nil
+	faultless := s
+	faultless.Faults = nil
 	for seed := range uint64(2) {
-		out, quiet := play(t, &s, Variants()[0], seed), play(t, &calm, Variants()[0], seed)
-		t.Logf("%d restarts; service %.3f, without %.3f; starts %d, without %d; kinds %v", out.Restarts, out.Service, quiet.Service, out.Starts, quiet.Starts, out.Kinds)
+		out, baseline := play(t, &s, Variants()[0], seed), play(t, &faultless, Variants()[0], seed)
+		t.Logf("%d restarts; service %.3f, without %.3f; starts %d, without %d; kinds %v", out.Restarts, out.Service, baseline.Service, out.Starts, baseline.Starts, out.Kinds)
 		require.Positive(t, out.Restarts)
-		require.Less(t, float64(out.Starts), 1.5*float64(quiet.Starts))
+		require.Less(t, float64(out.Starts), 1.5*float64(baseline.Starts))
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -9,7 +9,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot.
+// Sizes within a plot. The line at 0 extends by zeroLineOverhang of a row beyond the first and
+// the last row.
 const (
 	plotWidth        = 20 * vg.Centimeter
 	rowHeight        = 0.9 * vg.Centimeter
@@ -18,14 +19,15 @@
 	zeroLineOverhang = 0.55
 )
 
-// errorBarData is a difference with its interval, as gonum's plotters want it.
+// errorBarData holds differences and their intervals; it implements plotter.XYer and
+// plotter.XErrorer.
 type errorBarData struct {
 	plotter.XYs
 	plotter.XErrors
 }
 
-// Plot writes the differences to the first variant, with their 95 % intervals, to a
-// file whose ending says what it is: .svg, .png or .pdf.
+// Plot writes a plot of the differences to the first variant, with their 95 % intervals, to a
+// file in the format that its extension names: .svg, .png or .pdf.
 func Plot(r *Report, file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: service, difference to %s over %d seeds", r.Scenario, r.Variants[0].Name, r.Seeds)
@@ -34,11 +36,11 @@
 	names := make([]string, n)
 	data := errorBarData{XYs: make(plotter.XYs, n), XErrors: make(plotter.XErrors, n)}
 	for i, v := range r.Variants[1:] {
-		// The first one at the top.
-		at := n - 1 - i
-		names[at] = fmt.Sprintf("%s (%.3f)", v.Name, v.Median)
-		data.XYs[at] = plotter.XY{X: v.Difference, Y: float64(at)}
-		data.XErrors[at].Low, data.XErrors[at].High = -v.Margin, v.Margin
+		// The first variant is at the top.
+		rowIndex := n - 1 - i
+		names[rowIndex] = fmt.Sprintf("%s (%.3f)", v.Name, v.Median)
+		data.XYs[rowIndex] = plotter.XY{X: v.Difference, Y: float64(rowIndex)}
+		data.XErrors[rowIndex].Low, data.XErrors[rowIndex].High = -v.Margin, v.Margin
 	}
 	bars, err := plotter.NewXErrorBars(data)
 	if err != nil {
--- a/internal/experiment/rate.go
+++ b/internal/experiment/rate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rateServing takes the state of lasting work into its account.
+// rateServing adds one time step of all serving jobs to their accounts.
 func (p *player) rateServing() {
 	for _, j := range p.submittedJobs {
 		if j.kind == servingKind && !j.cancelled {
@@ -51,7 +51,7 @@
 }
 
 func (p *player) closeAccounts() {
-	// In the order of the jobs: sums must not follow the order of a map.
+	// Floating-point sums in map order would differ between plays of the same seed.
 	for _, j := range p.submittedJobs {
 		a := p.accounts[j]
 		if a == nil {
@@ -80,12 +80,12 @@
 		}
 	}
 	o.Kinds = map[string]float64{}
-	earned, owed := 0.0, 0.0
+	earned, requested := 0.0, 0.0
 	for k := range kindCount {
 		o.Kinds[kindNames[k]] = ratio(p.earned[k], p.requested[k])
-		earned, owed = earned+p.earned[k], owed+p.requested[k]
+		earned, requested = earned+p.earned[k], requested+p.requested[k]
 	}
-	o.Service = ratio(earned, owed)
+	o.Service = ratio(earned, requested)
 	slices.SortStableFunc(fillers, func(a, b *job) int { return cmp.Compare(a.totalWork, b.totalWork) })
 	o.Largest, o.Smallest = earnedShare(fillers[len(fillers)*9/10:]), earnedShare(fillers[:len(fillers)/2])
 	capacity := 0.0
@@ -99,7 +99,7 @@
 	return o
 }
 
-// firstTaskWait is how long a job waited for its first task, so far.
+// firstTaskWait returns how long a job waited, or has waited so far, for its first task to start.
 func (p *player) firstTaskWait(j *job) time.Duration {
 	if w := p.firstTaskWaits[j]; w > 0 {
 		return w
@@ -107,26 +107,26 @@
 	return p.now - j.arrivesAt
 }
 
-// earnedValue is what a job that ends came to.
+// earnedValue returns the value that a batch job earned by its end time.
 func (j *job) earnedValue() float64 {
-	took := j.endedAt - j.arrivesAt
+	elapsed := j.endedAt - j.arrivesAt
 	switch {
 	case j.endedAt == 0 || j.failed:
 		return 0
-	case took <= j.objective:
+	case elapsed <= j.objective:
 		return j.value
-	case took <= time.Duration(lateFactor*float64(j.objective)):
+	case elapsed <= time.Duration(lateFactor*float64(j.objective)):
 		return lateValueShare * j.value
 	}
 	return 0
 }
 
 func earnedShare(jobs []*job) float64 {
-	earned, owed := 0.0, 0.0
+	earned, requested := 0.0, 0.0
 	for _, j := range jobs {
-		earned, owed = earned+j.earnedValue(), owed+j.value
+		earned, requested = earned+j.earnedValue(), requested+j.value
 	}
-	return ratio(earned, owed)
+	return ratio(earned, requested)
 }
 
 func ratio(a, b float64) float64 {
--- a/internal/experiment/restarting.go
+++ b/internal/experiment/restarting.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// initialUptime is how long before the play VMs began that have not started again.
+	// initialUptime is the uptime of VMs at the start of the play.
 	initialUptime = time.Hour
-	// maxListingDelay is how long after it has started again a VM's entry tells so at the latest.
+	// maxListingDelay bounds the time after a restart until the VM is listed with its new
+	// incarnation.
 	maxListingDelay = 1500 * time.Millisecond
 )
 
-// clock is the VM's own: the time since its start.
+// clock returns the VM's own monotonic clock: the time since its incarnation began.
 func (v *vm) clock(now time.Duration) time.Duration { return now - v.bornAt }
 
-// hasRestarts reports whether VMs of the scenario start again under their IDs.
+// hasRestarts reports whether VMs of the scenario restart under their IDs.
 func (s *Scenario) hasRestarts() bool {
 	for _, f := range s.Faults {
 		if f.Kind == FaultRestarted {
@@ -26,7 +27,7 @@
 	return false
 }
 
-// stopVM ends a start of a VM; its connections are closed.
+// stopVM ends the incarnation of a VM and closes its connections.
 func (p *player) stopVM(v *vm) {
 	if v.lost || v.down {
 		return
@@ -37,8 +38,8 @@
 	p.sched.HoldFailed(p.now, v.inst.ID, true)
 }
 
-// restartVM begins the next start of a VM, which knows nothing of the one before. Its entry
-// tells so a little later.
+// restartVM begins a new incarnation of a VM, which has no state of the previous one. The
+// list of VMs shows it after a random delay of up to maxListingDelay.
 func (p *player) restartVM(v *vm) {
 	v.down, v.slowdown, v.failing = false, 1, false
 	v.seq, v.reportedEnds, v.bornAt, v.lastReportAt = 0, 0, p.now, 0
@@ -46,16 +47,16 @@
 	p.pendingListings = append(p.pendingListings, vmEvent{at: p.now + time.Duration(p.fleet.random.Int64N(int64(maxListingDelay))), vm: v})
 }
 
-// updateListings brings the entries of VMs that have started again up to date.
+// updateListings lists restarted VMs with their new incarnation once their delay is over.
 func (p *player) updateListings() {
-	rest := p.pendingListings[:0]
+	remaining := p.pendingListings[:0]
 	for _, r := range p.pendingListings {
 		if p.now < r.at {
-			rest = append(rest, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		r.vm.inst.Born = r.vm.born
 		p.sched.SetInstances(p.now, p.fleet.instances())
 	}
-	p.pendingListings = rest
+	p.pendingListings = remaining
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,11 +1,11 @@
-// Package experiment plays the scheduler's production decisions against a modelled
-// fleet in virtual time, without sockets, and compares policies over the same seeds.
+// Package experiment runs the production scheduler against a simulated fleet in virtual time,
+// without sockets, and compares policies over the same seeds.
 //
-// What is modelled: arrivals by kind with sizes, steps and widths; VMs with true
-// speeds; the load of what serves, in swings; interference between images that the
-// scheduler is not told; reports that lag and are rough; VMs that slow, stall, fail
-// and are lost; take-overs. What is not: the store, the network and callers' retries.
-// docs/POLICY.md compares its figures with those of whole deployments.
+// The model includes job arrivals by kind, with sizes, steps and widths; VMs with true speeds;
+// the periodic load of serving tasks; interference between images, which the scheduler has to
+// infer; delayed and inaccurate reports; VMs that slow down, stall, fail tasks, crash, restart,
+// shrink or are lost; and changes of the leader. It does not include the store, the network and
+// callers' retries. docs/POLICY.md compares its results with those of whole deployments.
 package experiment
 
 import (
@@ -16,105 +16,107 @@
 	"github.com/rattanwall/rattanwall/internal/settings"
 )
 
-// Scenario is a load on a fleet, and what befalls them. Times are in seconds from the
-// start of the load; before it the fleet has LeadS to take up what is there already.
+// Scenario describes a fleet, its load and its faults. Times are in seconds from the start of
+// the load; the fleet has LeadS before that to start the serving jobs present at the beginning.
 type Scenario struct {
-	// Name heads the report.
+	// Name is shown at the head of the report.
 	Name string `json:"name"`
-	// LeadS is how long lasting work is there before the load; LoadS how long jobs
-	// arrive; AfterS how long those that came last may take. Seconds.
+	// LeadS is the time before the load, for the first serving jobs to start; LoadS the time
+	// during which jobs arrive; AfterS the time after it, for the last jobs to finish. Seconds.
 	LeadS  float64 `json:"lead_s"`
 	LoadS  float64 `json:"load_s"`
 	AfterS float64 `json:"after_s"`
 	Fleet  Fleet   `json:"fleet"`
 	Leader Leader  `json:"leader"`
-	// Serving is lasting work with users of its own, Short tasks hold processors for a
-	// while, Fillers use what the others leave.
+	// Serving jobs have lasting tasks with a latency target, Short jobs have tasks that reserve
+	// processors for a limited time, and Fillers use the processors that the others leave idle.
 	Serving Serving `json:"serving"`
 	Short   Batch   `json:"short"`
 	Fillers Batch   `json:"fillers"`
-	// Interference is who presses on whom.
+	// Interference is the effect of fillers on serving tasks.
 	Interference Interference `json:"interference"`
 	Faults       []Fault      `json:"faults"`
 }
 
-// Fleet is the VMs.
+// Fleet describes the VMs.
 type Fleet struct {
 	VMs int `json:"vms"`
-	// Cores are the processors of a VM, Sizes factors of it that VMs have in turn.
+	// Cores is the number of processors of a VM. Sizes are factors of a VM's size, assigned to
+	// VMs in turn.
 	Cores float64   `json:"cores"`
 	Sizes []float64 `json:"sizes"`
-	// MemoryGB goes with Cores.
+	// MemoryGB is the memory of a VM of size 1.
 	MemoryGB float64 `json:"memory_gb"`
-	// RackOf is how many VMs share a rack.
+	// RackOf is the number of VMs per rack.
 	RackOf int `json:"rack_of"`
-	// ReportMS is the time between two reports of a VM, in milliseconds.
+	// ReportMS is the interval between reports of a VM, in milliseconds.
 	ReportMS int64 `json:"report_ms"`
 }
 
-// Leader is the process that decides.
+// Leader describes the process that runs the scheduler.
 type Leader struct {
-	// StartsPerS is how many starts its processor can give in a second, one after the other;
-	// 0 is without bound.
+	// StartsPerS is the maximum number of starts per second that its processor can send, one
+	// after the other; 0 is unlimited.
 	StartsPerS float64 `json:"starts_per_s"`
 }
 
-// Serving is lasting work whose tails must stay below a target.
+// Serving describes jobs of lasting tasks whose tail latency must stay below a target.
 type Serving struct {
-	// Jobs are there at the start; PerS more arrive a second.
+	// Jobs is the number of jobs present at the start; PerS more arrive per second.
 	Jobs int     `json:"jobs"`
 	PerS float64 `json:"per_s"`
-	// Tasks is the mean of a job's tasks, Cores that of what each declares.
+	// Tasks is the mean number of tasks of a job, Cores the mean processors that each declares.
 	Tasks float64 `json:"tasks"`
 	Cores float64 `json:"cores"`
-	// Images is how many there are.
+	// Images is the number of different images.
 	Images int `json:"images"`
-	// MeanLoad is the share of its declared processors that a task uses on average,
-	// Swing by how much of it that rises and falls within SwingS seconds.
+	// MeanLoad is the mean share of its declared processors that a task uses. The load varies
+	// by the fraction Swing of it, with a period of SwingS seconds.
 	MeanLoad float64 `json:"mean_load"`
 	Swing    float64 `json:"swing"`
 	SwingS   float64 `json:"swing_s"`
-	// TargetTimes is the target of the tail in multiples of the tail without load.
+	// TargetTimes is the target of the tail latency in multiples of that without load.
 	TargetTimes float64 `json:"target_times"`
-	// StayS is how long a job that arrives during the load stays, in seconds, on average.
+	// StayS is the mean time until a job that arrives during the load is cancelled, in seconds.
 	StayS float64 `json:"stay_s"`
-	// FailsPerMinute is how often a task fails.
+	// FailsPerMinute is the failure rate of a running task.
 	FailsPerMinute float64 `json:"fails_per_minute"`
-	// Worth of a job's whole work for two seconds.
+	// Worth is the value of a job for each two seconds in which all its tasks are ready and
+	// within their target.
 	Worth   float64 `json:"worth"`
 	Terms   Terms   `json:"terms"`
 	StartMS int64   `json:"start_ms"`
 }
 
-// Batch is work that ends.
+// Batch describes jobs of tasks that finish.
 type Batch struct {
 	PerS float64 `json:"per_s"`
-	// Steps, Tasks, Seconds and Cores are means: of a job's steps, one after the other,
-	// of a step's tasks, and of what each takes.
+	// Steps is the mean number of steps of a job, which run one after the other; Tasks the mean
+	// number of tasks of a step; Seconds and Cores the mean duration and processors of a task.
 	Steps   float64 `json:"steps"`
 	Tasks   float64 `json:"tasks"`
 	Seconds float64 `json:"seconds"`
 	Cores   float64 `json:"cores"`
-	// MemoryGB is what a task takes, on average.
+	// MemoryGB is the mean memory of a task.
 	MemoryGB float64 `json:"memory_gb"`
-	// EstimateError is the standard deviation of the logarithm of the declared duration
-	// over the true one; 0.9 is a factor of 2.5.
+	// EstimateError is the standard deviation of the logarithm of the ratio of declared to true
+	// duration; 0.9 is a factor of 2.5.
 	EstimateError float64 `json:"estimate_error"`
-	// Used is the share of its declared processors that a task uses, on average.
+	// Used is the mean share of its declared processors that a task uses.
 	Used   float64 `json:"used"`
 	Images int     `json:"images"`
-	// Checkpoints is the share of steps that can resume.
+	// Checkpoints is the share of steps whose tasks resume from checkpoints.
 	Checkpoints float64 `json:"checkpoints"`
 	// Fails is the share of runs that fail.
 	Fails float64 `json:"fails"`
-	// Worth is that of a job of mean work.
+	// Worth is the value of a job of mean work.
 	Worth  float64 `json:"worth"`
 	Terms  Terms   `json:"terms"`
 	Bursts []Burst `json:"bursts"`
 }
 
-// Terms are a queue's: the objective is Stretch times a job's longest chain of work,
-// and SlackS seconds.
+// Terms are the settings of a queue. A job's objective is to finish within Stretch times its
+// critical path plus SlackS seconds.
 type Terms struct {
 	Stretch  float64 `json:"stretch"`
 	SlackS   float64 `json:"slack_s"`
@@ -122,51 +124,52 @@
 	Priority int     `json:"priority"`
 }
 
-// Burst multiplies arrivals for a while.
+// Burst multiplies the arrival rate by Times for ForS seconds.
 type Burst struct {
 	AtS   float64 `json:"at_s"`
 	ForS  float64 `json:"for_s"`
 	Times float64 `json:"times"`
 }
 
-// Interference is who presses on whom: what serves minds one of the shared resources,
-// a filler may press on one. Where both are the same, the tail grows by the factor
+// Interference describes the effect of fillers on serving tasks of the same VM. Each serving
+// image is sensitive to one of the shared resources; a filler image may put pressure on one. If
+// both are the same, the tail latency grows by the factor
 // exp(slope x share of the VM's processors that the filler uses).
 type Interference struct {
-	// Resources is how many there are; fewer bring more pairs that press.
+	// Resources is the number of shared resources; with fewer, more pairs of images interfere.
 	Resources int `json:"resources"`
-	// Pressing is the share of filler images that press on one.
+	// Pressing is the share of filler images that put pressure on a resource.
 	Pressing float64 `json:"pressing"`
-	// Slope is the mean, Wobble the share of it by which it changes within seconds.
+	// Slope is the mean slope, Wobble the fraction of it by which it varies within seconds.
 	Slope  float64 `json:"slope"`
 	Wobble float64 `json:"wobble"`
 }
 
-// FaultKind is what befalls VMs or the leader.
+// FaultKind is a kind of fault of VMs or of the leader.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultSlow: VMs take Times as long.
+	// FaultSlow multiplies the duration of work on VMs by Times.
 	FaultSlow FaultKind = "slow"
-	// FaultStalled: what runs on VMs stands still.
+	// FaultStalled stops the progress of all runs on VMs.
 	FaultStalled FaultKind = "stalled"
-	// FaultFailing: VMs fail what they start.
+	// FaultFailing makes all runs fail that VMs start.
 	FaultFailing FaultKind = "failing"
-	// FaultLost: VMs are gone for good.
+	// FaultLost removes VMs permanently.
 	FaultLost FaultKind = "lost"
-	// FaultTakeover: there is no leader for a while; then another takes over.
+	// FaultTakeover leaves the fleet without a leader until another takes over.
 	FaultTakeover FaultKind = "takeover"
-	// FaultCrashing: a share of the jobs that come have a task that ends each VM which
-	// begins it; the VMs come back.
+	// FaultCrashing gives a share of the arriving jobs a task that crashes every VM on which it
+	// starts; the VMs are replaced.
 	FaultCrashing FaultKind = "crashing"
-	// FaultShrunk: VMs have a part of their capacity only, one in Times.
+	// FaultShrunk divides the capacity of VMs by Times.
 	FaultShrunk FaultKind = "shrunk"
-	// FaultRestarted: VMs end, and start again under their IDs when the fault is over.
+	// FaultRestarted ends VMs, which restart under their IDs when the fault is over.
 	FaultRestarted FaultKind = "restarted"
 )
 
-// Fault befalls a share of the VMs, or the leader, for a while.
+// Fault affects a share of the VMs, or the leader, for ForS seconds.
 type Fault struct {
 	Kind  FaultKind `json:"kind"`
 	AtS   float64   `json:"at_s"`
@@ -175,7 +178,7 @@
 	Times float64   `json:"times"`
 }
 
-// The largest scenario: what one process plays in minutes.
+// Limits of a scenario, so that one process plays it within minutes.
 const (
 	maxVMs     = 5000
 	maxSeconds = 3600
@@ -186,7 +189,7 @@
 	maxFaults  = 100
 )
 
-// Load reads and checks a scenario file: JSON with comments.
+// Load reads and validates a scenario file, which is JSON with comments.
 func Load(path string) (Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -195,7 +198,8 @@
 	return Parse(path, raw)
 }
 
-// Parse checks raw; name stands for the file in errors, which list every fault.
+// Parse decodes and validates a scenario. Errors name the file as name and list every invalid
+// field.
 func Parse(name string, raw []byte) (Scenario, error) {
 	var s Scenario
 	d, err := settings.Read(name, raw, &s)
@@ -206,7 +210,7 @@
 	return s, d.Err()
 }
 
-// bound is what a field may be.
+// bound is the allowed range of a field.
 type bound struct {
 	field     string
 	value     float64
@@ -261,8 +265,8 @@
 		bound{name + ".used", b.Used, 0.01, 1}, bound{name + ".images", float64(b.Images), 1, maxImages},
 		bound{name + ".checkpoints", b.Checkpoints, 0, 1}, bound{name + ".fails", b.Fails, 0, 0.9}, bound{name + ".worth", b.Worth, 0, 1e6})
 	for i, burst := range b.Bursts {
-		at := fmt.Sprintf("%s.bursts[%d].", name, i)
-		list = append(list, bound{at + "at_s", burst.AtS, 0, maxSeconds}, bound{at + "for_s", burst.ForS, 0.1, maxSeconds}, bound{at + "times", burst.Times, 0, 100})
+		prefix := fmt.Sprintf("%s.bursts[%d].", name, i)
+		list = append(list, bound{prefix + "at_s", burst.AtS, 0, maxSeconds}, bound{prefix + "for_s", burst.ForS, 0.1, maxSeconds}, bound{prefix + "times", burst.Times, 0, 100})
 	}
 	return list
 }
@@ -290,20 +294,20 @@
 		d.Fault("faults", fmt.Sprintf("give at most %d", maxFaults))
 	}
 	for i, f := range s.Faults {
-		at := fmt.Sprintf("faults[%d].", i)
+		prefix := fmt.Sprintf("faults[%d].", i)
 		switch f.Kind {
 		case FaultSlow, FaultStalled, FaultFailing, FaultLost, FaultTakeover, FaultCrashing, FaultShrunk, FaultRestarted:
 		default:
-			d.Fault(at+"kind", fmt.Sprintf("use %s, %s, %s, %s, %s, %s, %s or %s", FaultSlow, FaultStalled, FaultFailing, FaultLost, FaultTakeover, FaultCrashing, FaultShrunk, FaultRestarted))
+			d.Fault(prefix+"kind", fmt.Sprintf("use %s, %s, %s, %s, %s, %s, %s or %s", FaultSlow, FaultStalled, FaultFailing, FaultLost, FaultTakeover, FaultCrashing, FaultShrunk, FaultRestarted))
 		}
 		if f.AtS < 0 || f.AtS > maxSeconds || f.ForS < 0 || f.ForS > maxSeconds {
-			d.Fault(at+"at_s", fmt.Sprintf("give times from 0 to %d", maxSeconds))
+			d.Fault(prefix+"at_s", fmt.Sprintf("give times from 0 to %d", maxSeconds))
 		}
 		if f.Share < 0 || f.Share > 1 {
-			d.Fault(at+"share", "give a share from 0 to 1")
+			d.Fault(prefix+"share", "give a share from 0 to 1")
 		}
 		if (f.Kind == FaultSlow || f.Kind == FaultShrunk) && f.Times < 1 {
-			d.Fault(at+"times", "give how many times as long the VMs take, or as little they have, 1 or more")
+			d.Fault(prefix+"times", "give how many times as long the VMs take, or as little they have, 1 or more")
 		}
 	}
 }
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -9,22 +9,23 @@
 	"github.com/rattanwall/rattanwall/internal/settings"
 )
 
-// Variant is a policy to be compared, and what the scheduler knows or is spared.
+// Variant is a policy to compare, optionally with changed knowledge or interference.
 type Variant struct {
 	Name   string
 	Policy scheduler.Policy
-	// Informed tells the scheduler the true durations and who presses on whom: what the
-	// same policy could reach if nothing had to be found out.
+	// Informed gives the scheduler the true mean durations and the true interference. It bounds
+	// what the policy could reach if it had nothing to learn.
 	Informed bool
-	// WithoutInterference plays a world in which no filler presses: what the fleet could carry.
+	// WithoutInterference removes the effects of fillers on serving tasks. It bounds the work
+	// that the fleet could do.
 	WithoutInterference bool
 }
 
-// Default is the policy that deployments run on, and the first of every comparison.
+// Default names the variant with the default policy, which is the first of every comparison.
 const Default = "default"
 
-// Variants are the built-in ones: baselines, ceilings, and the default policy with one
-// mechanism off each, whose names begin with "no-".
+// Variants returns the built-in variants: the default policy, baselines, upper bounds, and the
+// default policy with one mechanism disabled each, whose names begin with "no-".
 func Variants() []Variant {
 	list := []Variant{
 		{Name: Default, Policy: scheduler.DefaultPolicy()},
@@ -33,15 +34,15 @@
 		{Name: "informed", Policy: scheduler.DefaultPolicy(), Informed: true},
 		{Name: "unpressed", Policy: scheduler.DefaultPolicy(), WithoutInterference: true},
 	}
-	for _, off := range ablations {
+	for _, ablation := range ablations {
 		p := scheduler.DefaultPolicy()
-		off.set(&p)
-		list = append(list, Variant{Name: "no-" + off.name, Policy: p})
+		ablation.set(&p)
+		list = append(list, Variant{Name: "no-" + ablation.name, Policy: p})
 	}
 	return list
 }
 
-// firstComePolicy is first come, first served with first fit.
+// firstComePolicy orders jobs first come, first served, and places tasks by first fit.
 func firstComePolicy() scheduler.Policy {
 	p := scheduler.DefaultPolicy()
 	p.Order, p.Placement, p.ReserveMost, p.StarvedAfterMS, p.StarvedCrowdedMS = scheduler.OrderArrival, scheduler.PlacementFirst, 0, 0, 0
@@ -49,14 +50,14 @@
 	return p
 }
 
-// leastLoadedPolicy goes by slack and to the VM with the most room.
+// leastLoadedPolicy orders jobs by slack and places tasks on the VM with the most free capacity.
 func leastLoadedPolicy() scheduler.Policy {
 	p := firstComePolicy()
 	p.Order, p.Placement = scheduler.OrderSlack, scheduler.PlacementLeastLoaded
 	return p
 }
 
-// ablations turn one mechanism off each.
+// ablations disable one mechanism of the default policy each.
 var ablations = []struct {
 	name string
 	set  func(*scheduler.Policy)
@@ -82,7 +83,7 @@
 	{"evacuation", func(p *scheduler.Policy) { p.Evacuate = false }},
 }
 
-// Choose returns the named built-in variants, the default one first.
+// Choose returns the default variant followed by the named built-in variants.
 func Choose(names []string) ([]Variant, error) {
 	all := Variants()
 	chosen := []Variant{all[0]}
@@ -98,7 +99,7 @@
 	return chosen, nil
 }
 
-// Names lists the variants' names.
+// Names returns the names of the variants, separated by commas.
 func Names(list []Variant) string {
 	text := ""
 	for i, v := range list {
@@ -110,7 +111,7 @@
 	return text
 }
 
-// ParseVariant returns the default policy with the fields that raw gives, as JSON.
+// ParseVariant returns a variant of the default policy with the fields that raw, as JSON, sets.
 func ParseVariant(name string, raw []byte) (Variant, error) {
 	v := Variant{Name: name, Policy: scheduler.DefaultPolicy()}
 	if _, err := settings.Read(name, raw, &v.Policy); err != nil {
@@ -122,7 +123,7 @@
 	return v, nil
 }
 
-// apply changes a world to what the variant asks for.
+// apply modifies a world as the variant requires.
 func (v *Variant) apply(w *world) {
 	if v.WithoutInterference {
 		clear(w.slopes)
@@ -141,26 +142,27 @@
 	}
 }
 
-// knownWeight is the evidence, in squares of shares of a VM, that outweighs all that a
-// play may tell.
+// knownWeight is the weight of the true interference in the model, in squares of shares of a
+// VM; it outweighs all observations during a play.
 const knownWeight = 1e6
 
-// trueInterference is the interference as an earlier leader would have learned it.
+// trueInterference returns the world's interference in the form that an earlier leader would
+// have learned.
 func (w *world) trueInterference(servingImages, fillerImages int) scheduler.InterferenceModel {
 	m := scheduler.InterferenceModel{Pairs: map[string]scheduler.NormalEquations{}}
 	for f := range fillerImages {
 		m.Images = append(m.Images, imageName("fill", f))
 	}
 	for n := range servingImages {
-		e := scheduler.NormalEquations{A: make([][]float32, fillerImages+1), B: make([]float32, fillerImages+1)}
-		for i := range e.A {
-			e.A[i] = make([]float32, fillerImages+1)
-			e.A[i][i] = knownWeight
+		equations := scheduler.NormalEquations{A: make([][]float32, fillerImages+1), B: make([]float32, fillerImages+1)}
+		for i := range equations.A {
+			equations.A[i] = make([]float32, fillerImages+1)
+			equations.A[i][i] = knownWeight
 		}
 		for f := range fillerImages {
-			e.B[f+1] = float32(knownWeight * w.slopes[[2]string{imageName("serve", n), imageName("fill", f)}].mean)
+			equations.B[f+1] = float32(knownWeight * w.slopes[[2]string{imageName("serve", n), imageName("fill", f)}].mean)
 		}
-		m.Pairs[imageName("serve", n)] = e
+		m.Pairs[imageName("serve", n)] = equations
 	}
 	return m
 }
