--- a/internal/dev/mishaps.go
+++ b/internal/dev/mishaps.go
@@ -10,21 +10,21 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// incident is something that goes wrong, or is done on purpose, at a fraction of
-// the run.
+// incident is a fault or a planned operation that is triggered after a fraction of the run.
+// trigger returns a description for the user.
 type incident struct {
 	fraction float64
 	trigger  func(ctx context.Context) string
 }
 
-// runIncidents brings about, during the load, what the invariants are about: a VM
-// leaves, a node is replaced as planned, callers come in a burst, connections
-// go silent.
-func runIncidents(ctx context.Context, o Options, d *harness.Deployment, g *load.Generator) {
+// runIncidents triggers, during the load, the incidents that the invariants are about: a VM
+// leaves, a node is replaced as planned, a burst of requests arrives, and connections become
+// unresponsive.
+func runIncidents(ctx context.Context, o Options, d *harness.Deployment, generator *load.Generator) {
 	first := d.Shape.ZoneNames()[0]
-	leaving, silent := fmt.Sprintf("%s-w01", first), fmt.Sprintf("%s-w02", first)
+	leaving, unresponsive := fmt.Sprintf("%s-w01", first), fmt.Sprintf("%s-w02", first)
 	replaced := d.Shape.Nodes()[0].Name
-	list := []incident{
+	incidents := []incident{
 		{0.2, func(context.Context) string {
 			d.Platform.SetVMState(leaving, model.VMLeaving)
 			return "the platform's list says that " + leaving + " leaves"
@@ -34,22 +34,22 @@
 			return "node " + replaced + " is replaced, as planned"
 		}},
 		{0.6, func(ctx context.Context) string {
-			g.Burst(context.WithoutCancel(ctx), model.Quick, burstSize)
+			generator.Burst(context.WithoutCancel(ctx), model.Quick, burstSize)
 			return fmt.Sprintf("%d callers came at once", burstSize)
 		}},
 		{0.75, func(context.Context) string {
-			d.Worker(silent).Silence()
-			return "all open connections of " + silent + " go silent"
+			d.Worker(unresponsive).Silence()
+			return "all open connections of " + unresponsive + " go silent"
 		}},
 	}
 	started := time.Now()
-	for _, m := range list {
-		due := time.Duration(m.fraction*float64(o.Duration)) - time.Since(started)
+	for _, next := range incidents {
+		due := time.Duration(next.fraction*float64(o.Duration)) - time.Since(started)
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(due):
 		}
-		o.Printf("%5.1fs  %s", time.Since(started).Seconds(), m.trigger(ctx))
+		o.Printf("%5.1fs  %s", time.Since(started).Seconds(), next.trigger(ctx))
 	}
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -166,9 +166,9 @@
 	}
 }
 
-func (f *fleet) endRun(v *vm, r *run, kind batch.EndKind) {
+func (f *fleet) endRun(v *vm, r *run, endKind batch.EndKind) {
 	v.seq++
-	e := batch.RunEnd{Seq: v.seq, Task: r.order.Task, Run: r.order.Run, Kind: kind, Checkpoint: r.checkpoint()}
+	e := batch.RunEnd{Seq: v.seq, Task: r.order.Task, Run: r.order.Run, Kind: endKind, Checkpoint: r.checkpoint()}
 	v.ends = append(v.ends, e)
 	delete(v.runs, r.order.Task)
 	for i, other := range v.orderedRuns {
@@ -177,7 +177,7 @@
 			break
 		}
 	}
-	if kind != batch.EndDone && r.job.kind != servingKind && e.Checkpoint == "" {
+	if endKind != batch.EndDone && r.job.kind != servingKind && e.Checkpoint == "" {
 		f.wastedCoreSeconds += r.worked.Seconds() * r.cores()
 	}
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -189,14 +189,14 @@
 		if n > 0 {
 			step.After = []int{n - 1}
 		}
-		durations := make([]time.Duration, tasks)
-		for i := range durations {
-			durations[i] = seconds(meanDuration * g.drawFactor(taskSpread))
-			j.totalWork += durations[i].Seconds() * float64(step.Need.MilliCPU) / 1000
+		taskDurations := make([]time.Duration, tasks)
+		for i := range taskDurations {
+			taskDurations[i] = seconds(meanDuration * g.drawFactor(taskSpread))
+			j.totalWork += taskDurations[i].Seconds() * float64(step.Need.MilliCPU) / 1000
 		}
-		criticalPath += slices.Max(durations).Seconds()
+		criticalPath += slices.Max(taskDurations).Seconds()
 		j.tasksLeft += tasks
-		j.durations = append(j.durations, durations)
+		j.durations = append(j.durations, taskDurations)
 		j.usedShares = append(j.usedShares, min(b.Used*(0.75+0.5*g.Float64()), 1))
 		j.spec.Steps = append(j.spec.Steps, step)
 	}
--- a/internal/experiment/rate.go
+++ b/internal/experiment/rate.go
@@ -80,12 +80,12 @@
 		}
 	}
 	o.Kinds = map[string]float64{}
-	earned, requested := 0.0, 0.0
+	earned, requestedValue := 0.0, 0.0
 	for k := range kindCount {
 		o.Kinds[kindNames[k]] = ratio(p.earned[k], p.requested[k])
-		earned, requested = earned+p.earned[k], requested+p.requested[k]
+		earned, requestedValue = earned+p.earned[k], requestedValue+p.requested[k]
 	}
-	o.Service = ratio(earned, requested)
+	o.Service = ratio(earned, requestedValue)
 	slices.SortStableFunc(fillers, func(a, b *job) int { return cmp.Compare(a.totalWork, b.totalWork) })
 	o.Largest, o.Smallest = earnedShare(fillers[len(fillers)*9/10:]), earnedShare(fillers[:len(fillers)/2])
 	capacity := 0.0
@@ -122,11 +122,11 @@
 }
 
 func earnedShare(jobs []*job) float64 {
-	earned, requested := 0.0, 0.0
+	earned, requestedValue := 0.0, 0.0
 	for _, j := range jobs {
-		earned, requested = earned+j.earnedValue(), requested+j.value
+		earned, requestedValue = earned+j.earnedValue(), requestedValue+j.value
 	}
-	return ratio(earned, requested)
+	return ratio(earned, requestedValue)
 }
 
 func ratio(a, b float64) float64 {
--- a/internal/trace/runs.go
+++ b/internal/trace/runs.go
@@ -9,22 +9,22 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// Run is what the logs tell of one run of a task.
+// Run is one run of a task, as recorded in the logs.
 type Run struct {
 	Task   string `json:"task"`
 	Number int64  `json:"run"`
 	VM     string `json:"vm"`
-	// Fence is the fencing token of the leader that started it, Leader where that
-	// one was elected, "" where no log tells.
+	// Fence is the fencing token of the leader that started the run. Leader is the node where
+	// that leader was elected, "" if the logs don't contain the election.
 	Fence  int64  `json:"fence"`
 	Leader string `json:"leader"`
-	// Started is when its start was ordered; zero where no log tells.
+	// Started is when the start was ordered; zero if it is not in the logs.
 	Started time.Time `json:"started"`
-	// Outcomes are what was told of its end, by each leader, in order.
+	// Outcomes are the log lines of all leaders about how the run went on or ended, in order.
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Outcome is what one leader told of a run's end.
+// Outcome is a leader's log line about how a run went on or ended.
 type Outcome struct {
 	Time   time.Time `json:"time"`
 	Node   string    `json:"node"`
@@ -32,16 +32,17 @@
 	Reason string    `json:"reason,omitempty"`
 }
 
-// isDone reports whether its VM told that the run was done, whether a leader took
-// note of it or not.
+// isDone reports whether the run's VM reported it as done, even if the leader withheld that
+// end.
 func (r *Run) isDone() bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		return o.Event == scheduler.EventEndWithheld || (o.Event == scheduler.EventRunEnded && o.Reason == string(batch.EndDone))
 	})
 }
 
-// outlivedStart reports whether the run was seen at its VM, or told to have ended there,
-// after another was started. A lease that lapsed is told late as a matter of course.
+// outlivedStart reports whether the run was reported as running, or its end was, after the given
+// start of another run. The end of a run by an expired lease is always reported late and does not
+// count.
 func (r *Run) outlivedStart(start time.Time) bool {
 	return !start.IsZero() && slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		if !o.Time.After(start) {
@@ -57,8 +58,8 @@
 	})
 }
 
-// ranTwice reports whether runs, in the order of their numbers, are more than one
-// after the other: an earlier one was done, or outlived the start of a later one.
+// ranTwice reports whether the task of the runs, given in the order of their numbers, was run
+// again although an earlier run was done or outlived the start of a later one.
 func ranTwice(runs []*Run) bool {
 	for i, r := range runs[:len(runs)-1] {
 		if r.isDone() || slices.ContainsFunc(runs[i+1:], func(later *Run) bool { return r.outlivedStart(later.Started) }) {
@@ -68,16 +69,15 @@
 	return false
 }
 
-// RepeatedRuns returns the runs of those tasks in a story of which a later run was
-// started although an earlier one was done, or was yet to be: of each task the runs
-// in the order of their numbers, which is that of their starts. A task that failed
-// and was done at its last try is none of them; one that was copied (run_copied)
-// may be.
-func RepeatedRuns(story []Line) []Run {
+// RepeatedRuns returns the runs of those tasks in a timeline for which a later run was started
+// although an earlier one was done or was still running: for each task, its runs in the order of
+// their numbers, which is that of their starts. A task that was retried after a failure is not
+// included; one that was copied (run_copied) may be.
+func RepeatedRuns(timeline []Line) []Run {
 	byTask := map[string][]*Run{}
 	var order []string
-	for i := range story {
-		l := &story[i]
+	for i := range timeline {
+		l := &timeline[i]
 		task, number := l.stringField("task"), l.intField("run")
 		if task == "" || number == 0 {
 			continue
@@ -86,13 +86,13 @@
 			order = append(order, task)
 		}
 		runs := byTask[task]
-		k := slices.IndexFunc(runs, func(r *Run) bool { return r.Number == number })
-		if k < 0 {
-			k = len(runs)
+		index := slices.IndexFunc(runs, func(r *Run) bool { return r.Number == number })
+		if index < 0 {
+			index = len(runs)
 			runs = append(runs, &Run{Task: task, Number: number, Fence: l.Fence, Leader: l.Leader})
 			byTask[task] = runs
 		}
-		runs[k].addLine(l)
+		runs[index].addLine(l)
 	}
 	var found []Run
 	for _, task := range order {
@@ -108,7 +108,7 @@
 	return found
 }
 
-// addLine adds what a line tells of the run.
+// addLine adds the information of a log line to the run.
 func (r *Run) addLine(l *Line) {
 	if vm := l.stringField("vm"); vm != "" {
 		r.VM = vm
--- a/internal/trace/runs_test.go
+++ b/internal/trace/runs_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A task ran twice, and the two leaders' logs tell how. The first leader (token 706)
-// starts the task on i-1. Their zone is cut off: the first leader goes on for a while
-// without the store, and i-1 goes off the list. Another (token 4246) leads, does not
-// hear i-1, takes it as gone while a lease lives there, and starts the task on i-2.
+// Logs of two leaders, between which a task ran twice. The first leader (token 706) starts the task
+// on i-1. Then their zone is cut off: the first leader continues for a while without the store, and
+// i-1 is removed from the list. The second leader (token 4246) does not reach i-1, declares it gone
+// while a lease is still valid there, and starts the task on i-2.
 const (
 	firstLeaderLog = `{"msg":"leader_elected","fence":706,"time":"2026-03-23T02:46:00.000Z"}
 {"msg":"leader_ready","fence":706,"jobs":4,"time":"2026-03-23T02:46:00.100Z"}
@@ -46,22 +46,22 @@
 	return append(lines, more...)
 }
 
-// The story of the task tells both runs with their leaders, from the election of the
-// first on, and between the runs what the second believed of the first one's VM.
-func TestStoryOfATaskThatRanTwice(t *testing.T) {
-	var told []string
+// The timeline of the task has both runs with their leaders, from the election of the first leader
+// on, and between the runs the second leader's view of the first run's VM.
+func TestTimelineOfATaskThatRanTwice(t *testing.T) {
+	var events []string
 	for _, l := range Timeline(readLeaderLogs(t), "522c.0.0.1") {
-		told = append(told, strings.TrimSpace(fmt.Sprintf("%s %s %s", l.Node, l.Event, l.Leader)))
+		events = append(events, strings.TrimSpace(fmt.Sprintf("%s %s %s", l.Node, l.Event, l.Leader)))
 	}
 	require.Equal(t, []string{
 		"edge-2 leader_elected", "edge-2 leader_ready", "edge-2 run_started edge-2", "edge-2 leader_unconfirmed", "edge-2 run_ended edge-2",
 		"edge-3 leader_elected", "edge-3 leader_ready", "edge-3 vm_unanswered", "edge-3 vm_unlisted", "edge-2 leader_ended", "edge-3 vm_gone",
 		"edge-3 run_started edge-3", "edge-3 run_ended edge-3",
-	}, told)
+	}, events)
 }
 
-// Of a job's tasks the one that ran again although it was done is named, with each
-// run's leader, token, VM and end; one that was done at its second try is not.
+// The task that ran again although it was done is listed, with leader, token, VM and end of each
+// run; a task that was retried after a failure is not.
 func TestRunsOfATaskThatRanTwice(t *testing.T) {
 	runs := RepeatedRuns(Timeline(readLeaderLogs(t), "522c"))
 	at := func(text string) time.Time {
@@ -82,8 +82,8 @@
 	require.Empty(t, RepeatedRuns(Timeline(readLeaderLogs(t), "522c.0.0.2")))
 }
 
-// An end that was withheld was an end all the same; a log that is missing leaves
-// gaps, and the token still tells that there were two leaders.
+// A withheld end counts as an end. If the log of the first leader is missing, its start time and
+// node are unknown, but the token still shows that there were two leaders.
 func TestRunsOfATaskWhoseFirstEndWasWithheld(t *testing.T) {
 	lines, err := Read(strings.NewReader(secondLeaderLog+
 		`{"msg":"end_withheld","job":"522c","task":"522c.0.0.1","vm":"i-1","run":11844717423,"time":"2026-03-23T02:46:26.000Z"}
@@ -97,11 +97,11 @@
 	require.Equal(t, "edge-3", runs[1].Leader)
 }
 
-// The second run was started while the first went on, whose VM was cut off and had
-// not been heard; it was stopped when its VM was heard again. Nothing was done twice,
-// and yet two ran at once. A run whose lease lapsed before is none of that, though its
-// end is told late as well.
-func TestRunsOfATaskThatRanAtTwoPlaces(t *testing.T) {
+// The second run was started while the first one continued on a VM that was cut off and
+// unresponsive; the first was stopped when its VM became reachable again. Neither run was done
+// before, but both ran at once. A run whose lease had expired does not count, although its end is
+// reported late as well.
+func TestRunsOfATaskThatRanOnTwoVMsAtOnce(t *testing.T) {
 	for reason, runs := range map[string]int{"stopped": 2, "lapsed": 0} {
 		lines, err := Read(strings.NewReader(
 			`{"msg":"run_started","job":"j","task":"j.0.0.4","vm":"i-1","run":33554446,"time":"2026-03-23T02:46:04.796Z"}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace tells the story of one job, task or VM from the structured logs of
-// all processes: every line that names it, and those that explain them.
+// Package trace builds the timeline of one job, task, VM or request from the structured logs of
+// all processes: every line that names it, and the lines about VMs and leaders that explain them.
 package trace
 
 import (
@@ -17,27 +17,26 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// maxLineBytes bounds one line of a log, in bytes; a longer one is an error.
+// maxLineBytes bounds the length of a log line; a longer one is an error.
 const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
 	Time time.Time `json:"time"`
-	// Node is where it was logged: the name that was given for the log.
+	// Node is the name that the caller of Read gave to the log.
 	Node  string `json:"node"`
 	Event string `json:"event"`
-	// Fields are the line's other fields.
+	// Fields are the remaining fields, without the level.
 	Fields map[string]any `json:"fields"`
-	// Fence is the fencing token of the leader that started the run that the line
-	// names, and Leader where that one was elected; zero where there is no run, or
-	// no such election in the logs.
+	// Fence is the fencing token of the leader that started the run that the line names; 0 if
+	// it names none. Leader is the node where that leader was elected; "" if the logs don't
+	// contain the election.
 	Fence  int64  `json:"run_fence,omitempty"`
 	Leader string `json:"run_leader,omitempty"`
 }
 
-// Read returns the lines of one process's log. What comes before a line's first
-// brace is left out, as collectors put times and names there; lines without one
-// are no events and are left out too.
+// Read returns the events of one process's log. Text before the first brace of a line is
+// ignored, since log collectors put times and names there. Lines that are not events are skipped.
 func Read(r io.Reader, node string) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -58,7 +57,7 @@
 func decodeLine(raw []byte, node string) (Line, bool) {
 	fields := map[string]any{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	// Run numbers have more digits than a float keeps.
+	// Run numbers have more digits than a float64 can represent.
 	decoder.UseNumber()
 	if decoder.Decode(&fields) != nil {
 		return Line{}, false
@@ -86,7 +85,7 @@
 	return s
 }
 
-// mentions reports whether the line names the job, task or VM.
+// mentions reports whether the line names the job, task, VM or request, or a task of the job.
 func (l *Line) mentions(id string) bool {
 	for _, field := range [...]string{"job", "task", "vm", "request"} {
 		if v := l.stringField(field); v == id || (field == "task" && strings.HasPrefix(v, id+".")) {
@@ -96,8 +95,8 @@
 	return false
 }
 
-// isLeaderEvent reports whether the line tells of a change of the leader, or of how one
-// stands to the store.
+// isLeaderEvent reports whether the line is about a change of the leader, or a leader's lease or
+// confirmation in the store.
 func (l *Line) isLeaderEvent() bool {
 	switch l.Event {
 	case "leader_elected", "leader_ready", "leader_deposed", "leader_stepped_down", "leader_fenced", "leader_lease_gone", "leader_lease_unrenewed",
@@ -107,8 +106,8 @@
 	return false
 }
 
-// isContext reports whether the line tells something of the VMs or of the leader
-// that bears on whatever happened at the time.
+// isContext reports whether the line is about the state of one of the VMs or of the leader, which
+// may explain events at that time.
 func (l *Line) isContext(vms map[string]bool) bool {
 	switch l.Event {
 	case scheduler.EventVMListed, scheduler.EventVMHeard, scheduler.EventVMSuspected, scheduler.EventVMGone, scheduler.EventVMUnlisted,
@@ -118,14 +117,14 @@
 	return l.isLeaderEvent()
 }
 
-// subject is what a story is about.
+// subject holds the VMs, the fencing tokens of leaders and the time span of a timeline.
 type subject struct {
 	vms         map[string]bool
 	fences      map[int64]bool
 	first, last time.Time
 }
 
-// findSubject goes through the lines about id.
+// findSubject collects the subject from the lines that mention id.
 func findSubject(lines []Line, id string) subject {
 	s := subject{vms: map[string]bool{}, fences: map[int64]bool{}}
 	for i := range lines {
@@ -149,35 +148,35 @@
 	return s
 }
 
-// Timeline returns, in order of time, the lines about id, and between the first and
-// the last of them those that explain what became of it: changes of the leader,
-// and what was believed of the VMs that ran it. The leaders that started its runs
-// are told from their election to their end.
+// Timeline returns, in order of time, the lines that mention id and, between the first and the
+// last of them, the lines that may explain them: changes of the leader, and the leaders' view of
+// the VMs that ran it. Lines about the leaders that started its runs are included from their
+// election to their end.
 func Timeline(lines []Line, id string) []Line {
-	s := findSubject(lines, id)
-	if s.first.IsZero() {
+	subj := findSubject(lines, id)
+	if subj.first.IsZero() {
 		return nil
 	}
 	elected := electedNodes(lines)
-	var story []Line
+	var timeline []Line
 	for i := range lines {
 		l := lines[i]
-		within := !l.Time.Before(s.first) && !l.Time.After(s.last)
-		starter := l.isLeaderEvent() && s.fences[l.intField("fence")]
-		if told := l.mentions(id) || starter || (within && l.isContext(s.vms)); !told {
+		inSpan := !l.Time.Before(subj.first) && !l.Time.After(subj.last)
+		ofStartingLeader := l.isLeaderEvent() && subj.fences[l.intField("fence")]
+		if included := l.mentions(id) || ofStartingLeader || (inSpan && l.isContext(subj.vms)); !included {
 			continue
 		}
 		if run := l.intField("run"); run != 0 {
 			l.Fence = scheduler.FenceOf(run)
 			l.Leader = elected[l.Fence]
 		}
-		story = append(story, l)
+		timeline = append(timeline, l)
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return story
+	slices.SortStableFunc(timeline, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return timeline
 }
 
-// electedNodes are where the leaders were elected, by fencing token.
+// electedNodes returns the nodes where leaders were elected, by fencing token.
 func electedNodes(lines []Line) map[int64]string {
 	elected := map[int64]string{}
 	for i := range lines {
@@ -188,5 +187,5 @@
 	return elected
 }
 
-// Keys are the names of the line's fields, in order.
+// Keys returns the names of the line's fields in alphabetical order.
 func (l *Line) Keys() []string { return slices.Sorted(maps.Keys(l.Fields)) }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -23,9 +23,9 @@
 const entryLog = `{"msg":"job_submitted","job":"06ad","outcome":"ok","time":"2026-03-23T02:46:40.990Z"}
 `
 
-// A job's story has its lines of all processes in order, what was believed of its
-// VMs meanwhile and who led; nothing of other jobs, and nothing from before or after.
-func TestStoryOfAJob(t *testing.T) {
+// The timeline of a job has its lines from all processes in order and the lines about its VMs and
+// the leader in between; nothing of other jobs, and nothing from before or after.
+func TestTimelineOfAJob(t *testing.T) {
 	lines, err := Read(strings.NewReader(leaderLog), "edge-1")
 	require.NoError(t, err)
 	more, err := Read(strings.NewReader(entryLog), "edge-2")
