--- a/internal/capacity/churn.go
+++ b/internal/capacity/churn.go
@@ -19,12 +19,12 @@
 	churnJobInterval = 200 * time.Millisecond
 	churnTasksPerJob = 10
 	churnTaskMS      = 1_000
-	// churnDrainDelay lets the last tasks end and be recorded.
+	// churnDrainDelay allows the last tasks to end and be recorded.
 	churnDrainDelay = 8 * time.Second
 	maxStartUS      = 60_000_000
 )
 
-// measureChurn submits jobs at a steady rate and counts what they cost beyond
+// measureChurn submits jobs at a steady rate and measures the cost per task start beyond that at
 // rest.
 func measureChurn(ctx context.Context, d *harness.Deployment, c *counters, rest Sample) (Churn, error) {
 	bytes, calls, cpu, started := c.snapshot(), d.Platform.Calls(), cpuTime(), time.Now()
@@ -34,33 +34,33 @@
 	}
 	time.Sleep(churnDrainDelay)
 	elapsed := time.Since(started).Seconds()
-	perNode := elapsed * float64(rest.Nodes)
-	starts := startLatencies(d, submitted)
-	n := float64(starts.TotalCount())
+	nodeSeconds := elapsed * float64(rest.Nodes)
+	latencies := startLatencies(d, submitted)
+	starts := float64(latencies.TotalCount())
 	churn := Churn{
-		Starts: int(n), StartsPerSecond: n / churnDuration.Seconds(), BytesPerStart: map[Kind]float64{},
-		CPUMSPerStart: ((cpuTime() - cpu).Seconds() - rest.CPUPerNode*perNode) * 1000 / n,
-		StartP50MS:    float64(starts.ValueAtQuantile(50)) / 1000,
-		StartP99MS:    float64(starts.ValueAtQuantile(99)) / 1000,
+		Starts: int(starts), StartsPerSecond: starts / churnDuration.Seconds(), BytesPerStart: map[Kind]float64{},
+		CPUMSPerStart: ((cpuTime() - cpu).Seconds() - rest.CPUPerNode*nodeSeconds) * 1000 / starts,
+		StartP50MS:    float64(latencies.ValueAtQuantile(50)) / 1000,
+		StartP99MS:    float64(latencies.ValueAtQuantile(99)) / 1000,
 	}
 	for k, now := range c.snapshot() {
-		atRest := rest.BytesPerNode[k] * perNode
+		atRest := rest.BytesPerNode[k] * nodeSeconds
 		if k == KindPeer {
-			// Counted once here, at rest for both ends.
+			// Bytes between peers are counted once here, but for both nodes in the sample at rest.
 			atRest /= 2
 		}
-		churn.BytesPerStart[k] = (float64(now-bytes[k]) - atRest) / n
+		churn.BytesPerStart[k] = (float64(now-bytes[k]) - atRest) / starts
 	}
-	churn.PutsPerStart = float64(d.Platform.Calls()["put"]-calls["put"]) / n
+	churn.PutsPerStart = float64(d.Platform.Calls()["put"]-calls["put"]) / starts
 	return churn, nil
 }
 
-// submitJobs submits jobs and returns when each was, by its key.
+// submitJobs submits jobs at a steady rate and returns the time of each submission by team/ID.
 func submitJobs(ctx context.Context, d *harness.Deployment, teams int) (map[string]time.Time, error) {
 	submitted := map[string]time.Time{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var failed error
+	var lastErr error
 	nodes := d.Nodes()
 	ticker := time.NewTicker(churnJobInterval)
 	defer ticker.Stop()
@@ -78,19 +78,19 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = err
+				lastErr = err
 			}
 			submitted[spec.Team+"/"+spec.ID] = at
 		}()
 	}
 	wg.Wait()
-	return submitted, failed
+	return submitted, lastErr
 }
 
-// startLatencies are from each job's submission to each of its tasks' starts,
-// as the stand-ins recorded them.
+// startLatencies returns the times, in µs, from a job's submission to the start of each of its
+// tasks as recorded by the stand-ins.
 func startLatencies(d *harness.Deployment, submitted map[string]time.Time) *hdrhistogram.Histogram {
-	h := hdrhistogram.New(1, maxStartUS, 3)
+	latencies := hdrhistogram.New(1, maxStartUS, 3)
 	for _, e := range d.Recorder.Events() {
 		if e.Kind != record.TaskStart {
 			continue
@@ -98,11 +98,11 @@
 		for i := len(e.ID) - 1; i > 0; i-- {
 			if e.ID[i] == ':' {
 				if at, ok := submitted[e.ID[:i]]; ok {
-					_ = h.RecordValue(e.At.Sub(at).Microseconds())
+					_ = latencies.RecordValue(e.At.Sub(at).Microseconds())
 				}
 				break
 			}
 		}
 	}
-	return h
+	return latencies
 }
--- a/internal/capacity/count.go
+++ b/internal/capacity/count.go
@@ -10,10 +10,10 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// Kind says what bytes are for.
+// Kind is the kind of server that a connection goes to.
 type Kind string
 
-// The kinds of bytes that a node's control traffic is made of.
+// The kinds of control traffic of a node, by the server.
 const (
 	KindStore  Kind = "store"
 	KindAgent  Kind = "agent"
@@ -21,12 +21,12 @@
 	KindPeer   Kind = "peer"
 )
 
-// Kinds lists them in the order of the page.
+// Kinds lists the kinds in the order of the report.
 var Kinds = []Kind{KindStore, KindPeer, KindAgent, KindTarget}
 
-// counters counts the bytes that nodes send and receive on connections that
-// they open, both directions, by kind. What they receive on connections opened
-// by peers is the same traffic seen from the other end.
+// counters counts the bytes that nodes send and receive on the connections they open, in both
+// directions, by kind. Connections opened by peers are not counted: that is the same traffic at
+// the other end.
 type counters struct {
 	mu     sync.Mutex
 	byPort map[string]Kind
@@ -41,7 +41,7 @@
 	return c
 }
 
-// setKind tells what is served at an address; what is not marked is a peer.
+// setKind sets the kind of server at an address. Addresses without a kind are peers.
 func (c *counters) setKind(address string, k Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	return now
 }
 
-// countingHosts puts all on loopback and counts what nodes send and receive.
+// countingHosts puts all hosts on loopback and counts the traffic of nodes.
 type countingHosts struct {
 	counters *counters
 	nodes    map[string]bool
@@ -80,7 +80,7 @@
 	return network, ip
 }
 
-// countingNetwork is a network whose outgoing connections are counted.
+// countingNetwork counts the bytes on the connections that are opened through it.
 type countingNetwork struct {
 	netio.Network
 	counters *counters
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -1,6 +1,6 @@
-// Package capacity measures what the roles of a node cost at several small
-// sizes, fits how that grows, and works out the figures at the target size. It
-// runs the real nodes over the stand-ins on loopback.
+// Package capacity measures the cost of a node (traffic, store calls, processor time and memory)
+// at several small sizes, fits a linear model to it, and extrapolates to the target size. It runs
+// the real nodes with the stand-ins on loopback.
 package capacity
 
 import (
@@ -30,52 +30,53 @@
 	Services int `json:"services"`
 }
 
-// Sample is what one size costs at rest: no requests, no starts, tasks running.
+// Sample is the cost of one size at rest: tasks run, but there are no requests and no starts.
 type Sample struct {
 	Size
-	// Seconds is how long was measured.
+	// Seconds is the duration of the measurement.
 	Seconds float64 `json:"seconds"`
-	// BytesPerNode is bytes a second and node by kind, both directions, counted
-	// at the sockets.
+	// BytesPerNode is the traffic of a node by kind, in bytes per second, in both directions,
+	// counted at the sockets.
 	BytesPerNode map[Kind]float64 `json:"bytes_per_node_s"`
-	// CallsPerNode is calls of the store a second and node, by kind.
+	// CallsPerNode is the number of store calls of a node per second, by kind.
 	CallsPerNode map[string]float64 `json:"store_calls_per_node_s"`
-	// CPUPerNode is the whole process's share of a core per node, the stand-ins'
-	// share included.
+	// CPUPerNode is the processor time of the whole process, stand-ins included, as a share of a
+	// core per node.
 	CPUPerNode float64 `json:"cpu_per_node"`
-	// HeapPerNode is live heap after collection, per node, in bytes, the
-	// stand-ins' share included.
+	// HeapPerNode is the live heap of the whole process after garbage collection, stand-ins
+	// included, in bytes per node.
 	HeapPerNode float64 `json:"heap_per_node"`
-	// ConfigBytes is the size of the configuration's head.
+	// ConfigBytes is the size of the encoded head of the configuration.
 	ConfigBytes int `json:"config_bytes"`
 }
 
-// Measurement is what a measurement writes to a file.
+// Measurement holds all results of Measure; it is stored as a JSON file.
 type Measurement struct {
 	Samples []Sample `json:"samples"`
-	// HeldOut is a size that the fit does not use, to check it.
+	// HeldOut is the sample of a size that is not used for the fit but to check it.
 	HeldOut Sample `json:"held"`
-	// Churn is the same size while tasks start and end.
+	// Churn is the additional cost at the held-out size while tasks start and end.
 	Churn Churn `json:"churn"`
 }
 
-// Churn is what task starts cost beyond rest, each with its end.
+// Churn is the cost of task starts, with their ends, beyond the cost at rest.
 type Churn struct {
 	Starts          int     `json:"starts"`
 	StartsPerSecond float64 `json:"starts_per_second"`
-	// BytesPerStart is by kind, counted at the sockets, over all nodes.
+	// BytesPerStart is the traffic of all nodes by kind, counted at the sockets.
 	BytesPerStart map[Kind]float64 `json:"bytes_per_start"`
-	// PutsPerStart are writes to the store; commits are shared when busy.
+	// PutsPerStart is the number of writes to the store. Under load several starts share one.
 	PutsPerStart float64 `json:"puts_per_start"`
-	// CPUMSPerStart is processor time in ms, the stand-ins' share included.
+	// CPUMSPerStart is the processor time in ms, stand-ins included.
 	CPUMSPerStart float64 `json:"cpu_ms_per_start"`
-	// StartP50MS and StartP99MS are from submission to running at the VM.
+	// StartP50MS and StartP99MS are quantiles of the time from a job's submission to a task's
+	// start on its VM.
 	StartP50MS float64 `json:"start_p50_ms"`
 	StartP99MS float64 `json:"start_p99_ms"`
 }
 
-// Sizes are those measured for the fit, and the one held back.
-func Sizes() (fit []Size, held Size) {
+// Sizes returns the sizes used for the fit, and the one held out to check it.
+func Sizes() (fit []Size, heldOut Size) {
 	fit = []Size{
 		{Nodes: 4, Zones: 2, VMs: 48, Tasks: 0, Teams: 10, Services: 1},
 		{Nodes: 4, Zones: 2, VMs: 48, Tasks: 240, Teams: 10, Services: 1},
@@ -89,31 +90,31 @@
 }
 
 const (
-	// settleDuration lets a deployment come to rest before it is measured.
+	// settleDuration is the wait until a deployment is at rest.
 	settleDuration = 8 * time.Second
-	// measureDuration is long beside every period of the protocol.
+	// measureDuration is much longer than every period of the protocol.
 	measureDuration = 24 * time.Second
-	// longRun keeps tasks running throughout.
+	// longTaskMS keeps tasks running throughout the measurement.
 	longTaskMS = 3_600_000
-	// startTimeout bounds the time until all tasks run.
+	// startTimeout bounds the wait until all tasks run.
 	startTimeout = 90 * time.Second
 )
 
-// Measure measures every size; tell is called with each.
-func Measure(ctx context.Context, log *logrus.Logger, tell func(format string, args ...any)) (Measurement, error) {
+// Measure measures all sizes; printf is called with the result of each size of the fit.
+func Measure(ctx context.Context, log *logrus.Logger, printf func(format string, args ...any)) (Measurement, error) {
 	var m Measurement
-	fit, held := Sizes()
+	fit, heldOut := Sizes()
 	for _, size := range fit {
 		s, _, err := measureSize(ctx, size, log, false)
 		if err != nil {
 			return m, errors.Wrapf(err, "size %+v", size)
 		}
-		tell("%+v: %.0f bytes/s and node, %.3f of a core", size, totalBytes(s.BytesPerNode), s.CPUPerNode)
+		printf("%+v: %.0f bytes/s and node, %.3f of a core", size, totalBytes(s.BytesPerNode), s.CPUPerNode)
 		m.Samples = append(m.Samples, s)
 	}
 	var err error
-	m.HeldOut, m.Churn, err = measureSize(ctx, held, log, true)
-	return m, errors.Wrapf(err, "size %+v", held)
+	m.HeldOut, m.Churn, err = measureSize(ctx, heldOut, log, true)
+	return m, errors.Wrapf(err, "size %+v", heldOut)
 }
 
 func totalBytes(m map[Kind]float64) float64 {
@@ -124,7 +125,7 @@
 	return sum
 }
 
-// shape describes a deployment of a size.
+// shape returns the shape of a deployment of this size.
 func (s Size) shape() deployment.Shape {
 	shape := deployment.Shapes()["cofnod-criw"]
 	shape.Zones = map[string]int{}
@@ -166,7 +167,7 @@
 	return rest, c, err
 }
 
-// populate adds teams and services, and starts the tasks.
+// populate adds the teams and services of a size and starts its tasks.
 func populate(ctx context.Context, d *harness.Deployment, size Size) error {
 	teams, services := map[string]config.Team{}, map[string]config.Service{}
 	for i := range size.Teams {
@@ -188,15 +189,15 @@
 	return startTasks(ctx, d, size)
 }
 
-// startTasks submits the tasks as jobs of ten, spread over the teams, and waits
-// until all run.
+// startTasks submits the tasks as jobs of ten tasks, spread over the teams, and waits until all
+// of them run.
 func startTasks(ctx context.Context, d *harness.Deployment, size Size) error {
-	const perJob = 10
+	const tasksPerJob = 10
 	c := d.Nodes()[0].Cluster()
-	for i := 0; i*perJob < size.Tasks; i++ {
+	for i := 0; i*tasksPerJob < size.Tasks; i++ {
 		team := fmt.Sprintf("team%03d", i%size.Teams)
 		spec := model.JobSpec{
-			ID: fmt.Sprintf("job%d", i), Team: team, Tasks: perJob, DurationMS: longTaskMS,
+			ID: fmt.Sprintf("job%d", i), Team: team, Tasks: tasksPerJob, DurationMS: longTaskMS,
 			PerTask: model.Resources{MilliCPU: 1_000, MemoryMB: 2_000},
 		}
 		if _, err := c.Job(ctx, team, "submit", spec); err != nil {
@@ -217,29 +218,29 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Newf("%d of %d tasks run", running, size.Tasks)
+			return errors.Newf("only %d of %d tasks are running", running, size.Tasks)
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-// measureAtRest measures a deployment at rest.
+// measureAtRest measures a deployment for measureDuration.
 func measureAtRest(d *harness.Deployment, c *counters, size Size) Sample {
 	bytes, calls, cpu, started := c.snapshot(), d.Platform.Calls(), cpuTime(), time.Now()
 	time.Sleep(measureDuration)
 	elapsed := time.Since(started).Seconds()
 	s := Sample{Size: size, Seconds: elapsed, BytesPerNode: map[Kind]float64{}, CallsPerNode: map[string]float64{}}
-	perNode := elapsed * float64(size.Nodes)
-	s.CPUPerNode = (cpuTime() - cpu).Seconds() / perNode
+	nodeSeconds := elapsed * float64(size.Nodes)
+	s.CPUPerNode = (cpuTime() - cpu).Seconds() / nodeSeconds
 	for k, n := range c.snapshot() {
 		if k == KindPeer {
-			// Each exchange is traffic of both nodes.
+			// An exchange between peers is traffic of both nodes.
 			n, bytes[k] = 2*n, 2*bytes[k]
 		}
-		s.BytesPerNode[k] = float64(n-bytes[k]) / perNode
+		s.BytesPerNode[k] = float64(n-bytes[k]) / nodeSeconds
 	}
 	for k, n := range d.Platform.Calls() {
-		s.CallsPerNode[k] = float64(n-calls[k]) / perNode
+		s.CallsPerNode[k] = float64(n-calls[k]) / nodeSeconds
 	}
 	runtime.GC()
 	var mem runtime.MemStats
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -14,7 +14,7 @@
 	"github.com/rattanwall/rattanwall/internal/cluster"
 )
 
-// The target of the users' letter, and the budgets per node.
+// The target size that users require, and the budgets per node.
 const (
 	targetVMs      = 750
 	targetTasks    = 1_700 + 9_200
@@ -27,10 +27,10 @@
 	budgetHeap  = 32e6
 )
 
-// targetNodes are the numbers of entry VMs that the page shows.
+// targetNodes are the numbers of nodes for which the report shows the cost.
 var targetNodes = []int{36, 72, 140}
 
-// Read reads a measurement.
+// Read reads a measurement from a JSON file.
 func Read(file string) (Measurement, error) {
 	var m Measurement
 	raw, err := os.ReadFile(file)
@@ -40,8 +40,8 @@
 	return m, errors.Wrap(json.Unmarshal(raw, &m), "decode measurement")
 }
 
-// termCount is how many parts a node's cost is a sum of: a fixed one, one for each
-// VM owned, each task held, and each exchange that it begins a second.
+// termCount is the number of terms of a node's cost: a fixed one, and one each proportional to
+// the VMs it owns, the tasks it holds and the exchanges it begins per second.
 const termCount = 4
 
 func (s Size) termValues() []float64 {
@@ -49,62 +49,62 @@
 	return []float64{1, float64(s.VMs) / n, float64(s.Tasks) / n, cluster.ExchangesPerSecond(s.Nodes)}
 }
 
-// Coefficients is a cost per term.
+// Coefficients holds the cost per unit of each term.
 type Coefficients []float64
 
-// CostAt returns the cost at a size.
-func (s Coefficients) CostAt(size Size) float64 {
+// CostAt returns the cost of a node at a size, at least 0.
+func (c Coefficients) CostAt(size Size) float64 {
 	sum := 0.0
 	for i, v := range size.termValues() {
-		sum += s[i] * v
+		sum += c[i] * v
 	}
 	return max(sum, 0)
 }
 
-// Fit fits a cost to the samples by least squares and returns it with the root
-// mean square of what it misses by. Nothing costs less than nothing, so a term
-// that comes out negative is left out and the rest fitted again.
+// Fit fits the terms of a cost to the samples by least squares and returns their coefficients and
+// the root mean square of the residuals. Since costs are not negative, the term with the most
+// negative coefficient is removed and the others are fitted again until none is negative.
 func Fit(samples []Sample, cost func(Sample) float64) (Coefficients, float64) {
-	use := []int{0, 1, 2, 3}
+	terms := []int{0, 1, 2, 3}
 	for {
-		a := mat.NewDense(len(samples), len(use), nil)
-		b := mat.NewVecDense(len(samples), nil)
+		design := mat.NewDense(len(samples), len(terms), nil)
+		costs := mat.NewVecDense(len(samples), nil)
 		for i, s := range samples {
 			row := s.termValues()
-			for j, term := range use {
-				a.Set(i, j, row[term])
+			for j, term := range terms {
+				design.Set(i, j, row[term])
 			}
-			b.SetVec(i, cost(s))
+			costs.SetVec(i, cost(s))
 		}
-		var x mat.VecDense
-		if err := x.SolveVec(a, b); err != nil {
+		var solution mat.VecDense
+		if err := solution.SolveVec(design, costs); err != nil {
 			return make(Coefficients, termCount), math.NaN()
 		}
-		slope := make(Coefficients, termCount)
-		worst := -1
-		for j, term := range use {
-			slope[term] = x.AtVec(j)
-			if slope[term] < 0 && (worst < 0 || slope[term] < slope[use[worst]]) {
-				worst = j
+		coefficients := make(Coefficients, termCount)
+		lowest := -1
+		for j, term := range terms {
+			coefficients[term] = solution.AtVec(j)
+			if coefficients[term] < 0 && (lowest < 0 || coefficients[term] < coefficients[terms[lowest]]) {
+				lowest = j
 			}
 		}
-		if worst < 0 {
-			return slope, rmsError(samples, cost, slope)
+		if lowest < 0 {
+			return coefficients, rmsError(samples, cost, coefficients)
 		}
-		use = append(use[:worst:worst], use[worst+1:]...)
+		terms = append(terms[:lowest:lowest], terms[lowest+1:]...)
 	}
 }
 
-func rmsError(samples []Sample, cost func(Sample) float64, slope Coefficients) float64 {
+func rmsError(samples []Sample, cost func(Sample) float64, coefficients Coefficients) float64 {
 	sum := 0.0
 	for _, s := range samples {
-		d := cost(s) - slope.CostAt(s.Size)
-		sum += d * d
+		residual := cost(s) - coefficients.CostAt(s.Size)
+		sum += residual * residual
 	}
 	return math.Sqrt(sum / float64(len(samples)))
 }
 
-// metric is one cost of the report.
+// metric is one kind of cost in the report, with its number format.
 type metric struct {
 	name   string
 	cost   func(Sample) float64
@@ -135,12 +135,12 @@
 		metric{"live heap, bytes (with stand-ins)", func(s Sample) float64 { return s.HeapPerNode }, "%.0f"})
 }
 
-// targetSize is the target size with a number of entry VMs.
+// targetSize returns the target size with the given number of nodes.
 func targetSize(nodes int) Size {
 	return Size{Nodes: nodes, Zones: targetZones, VMs: targetVMs, Tasks: targetTasks, Teams: targetTeams, Services: targetServices}
 }
 
-// Report writes the page's tables.
+// Report returns the tables of docs/CAPACITY.md, in Markdown.
 func Report(m Measurement) string {
 	var b strings.Builder
 	writeSlopes(&b, m)
@@ -151,10 +151,10 @@
 	return b.String()
 }
 
-// peakStartsPerSecond is the target's peak of task starts a second.
+// peakStartsPerSecond is the peak rate of task starts at the target size.
 const peakStartsPerSecond = 50.0
 
-// writeChurn writes what starts cost and what the peak adds to a node.
+// writeChurn writes the cost per task start and the additional cost of a node at the peak rate.
 func writeChurn(b *strings.Builder, m Measurement) {
 	c := m.Churn
 	fmt.Fprintf(b, "### Task starts, each with its end, beyond rest (measured at %.0f starts/s, %d starts, %d nodes)\n\n| cost | per start |", c.StartsPerSecond, c.Starts, m.HeldOut.Nodes)
@@ -185,10 +185,10 @@
 func writeSlopes(b *strings.Builder, m Measurement) {
 	b.WriteString("### Measured slopes, per node at rest\n\n| cost | fixed | per VM owned | per task held | per exchange begun/s | fit misses by (rms) |\n|---|---|---|---|---|---|\n")
 	for _, x := range metrics(m) {
-		slope, rms := Fit(m.Samples, x.cost)
+		coefficients, rms := Fit(m.Samples, x.cost)
 		fmt.Fprintf(b, "| %s |", x.name)
-		for _, v := range slope {
-			// Adding zero takes the sign off a zero that is negative.
+		for _, v := range coefficients {
+			// Adding 0 turns a negative zero into a positive one.
 			fmt.Fprintf(b, " "+x.format+" |", math.Round(v*1e9)/1e9+0)
 		}
 		fmt.Fprintf(b, " "+x.format+" |\n", rms)
@@ -202,24 +202,24 @@
 		fmt.Fprintf(b, " %d nodes |", n)
 	}
 	b.WriteString(" budget |\n|---|" + strings.Repeat("---|", len(targetNodes)+1) + "\n")
-	line := func(name, format string, budget string, at func(Size) float64) {
+	line := func(name, format string, budget string, costAt func(Size) float64) {
 		fmt.Fprintf(b, "| %s |", name)
 		for _, n := range targetNodes {
-			fmt.Fprintf(b, " "+format+" |", at(targetSize(n)))
+			fmt.Fprintf(b, " "+format+" |", costAt(targetSize(n)))
 		}
 		fmt.Fprintf(b, " %s |\n", budget)
 	}
 	sum := func(s Size) float64 {
 		bytes := 0.0
 		for _, k := range Kinds {
-			slope, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
-			bytes += slope.CostAt(s)
+			coefficients, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
+			bytes += coefficients.CostAt(s)
 		}
 		return bytes
 	}
 	for _, k := range Kinds {
-		slope, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
-		line("bytes/s, "+string(k), "%.0f", "", slope.CostAt)
+		coefficients, _ := Fit(m.Samples, func(x Sample) float64 { return x.BytesPerNode[k] })
+		line("bytes/s, "+string(k), "%.0f", "", coefficients.CostAt)
 	}
 	line("bytes/s, sum", "%.0f", fmt.Sprintf("%.0f", budgetBytes), sum)
 	cpu, _ := Fit(m.Samples, func(x Sample) float64 { return x.CPUPerNode })
@@ -229,7 +229,7 @@
 	b.WriteString("\n")
 }
 
-// isWriteCall says which calls of the store count as writes.
+// isWriteCall contains the kinds of store calls that are writes.
 var isWriteCall = map[string]bool{"put": true, "delete": true, "grant": true, "renew": true, "revoke": true}
 
 func writeStore(b *strings.Builder, m Measurement) {
@@ -244,10 +244,10 @@
 		if !ok {
 			continue
 		}
-		slope, _ := Fit(m.Samples, x.cost)
+		coefficients, _ := Fit(m.Samples, x.cost)
 		fmt.Fprintf(b, "| %s |", call)
 		for i, n := range targetNodes {
-			v := slope.CostAt(targetSize(n)) * float64(n)
+			v := coefficients.CostAt(targetSize(n)) * float64(n)
 			sums[isWriteCall[call]][i] += v
 			fmt.Fprintf(b, " %.1f |", v)
 		}
@@ -270,12 +270,12 @@
 func writeCheck(b *strings.Builder, m Measurement) {
 	fmt.Fprintf(b, "### Check of the fit: a size that it does not use (%d nodes, %d VMs, %d tasks)\n\n| cost | predicted | measured | off by |\n|---|---|---|---|\n", m.HeldOut.Nodes, m.HeldOut.VMs, m.HeldOut.Tasks)
 	for _, x := range metrics(m) {
-		slope, _ := Fit(m.Samples, x.cost)
-		predicted, measured := slope.CostAt(m.HeldOut.Size), x.cost(m.HeldOut)
-		off := "-"
+		coefficients, _ := Fit(m.Samples, x.cost)
+		predicted, measured := coefficients.CostAt(m.HeldOut.Size), x.cost(m.HeldOut)
+		deviation := "-"
 		if measured != 0 {
-			off = fmt.Sprintf("%+.0f %%", 100*(predicted-measured)/measured)
+			deviation = fmt.Sprintf("%+.0f %%", 100*(predicted-measured)/measured)
 		}
-		fmt.Fprintf(b, "| %s | "+x.format+" | "+x.format+" | %s |\n", x.name, predicted, measured, off)
+		fmt.Fprintf(b, "| %s | "+x.format+" | "+x.format+" | %s |\n", x.name, predicted, measured, deviation)
 	}
 }
--- a/internal/capacity/report_test.go
+++ b/internal/capacity/report_test.go
@@ -13,7 +13,8 @@
 	tablesEnd   = "<!-- end of tables -->"
 )
 
-// The page's tables are those that the committed measurement gives.
+// The tables in docs/CAPACITY.md must be those of the committed measurement; they differ if the
+// report or the measurement changes without the page.
 func TestPageShowsTheMeasurement(t *testing.T) {
 	m, err := Read("../../docs/capacity/measured.json")
 	require.NoError(t, err)
@@ -26,28 +27,28 @@
 	require.Equal(t, Report(m), tables, "run: rattanwall capacity report")
 }
 
-// A cost that is the sum of known parts is found again.
-func TestFitFindsKnownSlopes(t *testing.T) {
-	sizes, held := Sizes()
+// A fit of costs computed from known coefficients must find them, and predict the held-out size.
+func TestFitFindsKnownCoefficients(t *testing.T) {
+	sizes, heldOut := Sizes()
 	known := Coefficients{100, 7, 3, 40}
 	var samples []Sample
 	for _, s := range sizes {
 		samples = append(samples, Sample{Size: s, CPUPerNode: known.CostAt(s)})
 	}
-	slope, rms := Fit(samples, func(s Sample) float64 { return s.CPUPerNode })
+	fitted, rms := Fit(samples, func(s Sample) float64 { return s.CPUPerNode })
 	require.InDelta(t, 0, rms, 1e-6)
-	require.InDelta(t, known.CostAt(held), slope.CostAt(held), 1e-6)
+	require.InDelta(t, known.CostAt(heldOut), fitted.CostAt(heldOut), 1e-6)
 }
 
-// A part that would come out negative is left out rather than believed.
-func TestFitHasNoNegativeParts(t *testing.T) {
+// A fit must not return negative coefficients, even if the least-squares solution has one.
+func TestFitHasNoNegativeCoefficients(t *testing.T) {
 	sizes, _ := Sizes()
 	var samples []Sample
 	for _, s := range sizes {
 		samples = append(samples, Sample{Size: s, CPUPerNode: Coefficients{100, 7, 3, -4}.CostAt(s)})
 	}
-	slope, _ := Fit(samples, func(s Sample) float64 { return s.CPUPerNode })
-	for _, v := range slope {
+	fitted, _ := Fit(samples, func(s Sample) float64 { return s.CPUPerNode })
+	for _, v := range fitted {
 		require.GreaterOrEqual(t, v, 0.0)
 	}
 }
