--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -54,7 +54,7 @@
 	objective  time.Duration
 }
 
-// world holds what the scheduler does not know: the future load, and the interference between
+// world holds what is hidden from the scheduler: the future load, and the interference between
 // images.
 type world struct {
 	jobs []*job
