--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -16,10 +16,10 @@
 const (
 	// leavingGrace is how long after the list says so a leaving VM may get new work.
 	leavingGrace = 3 * time.Second
-	// inForceWithin is how long an accepted configuration may take to be in force.
-	inForceWithin = 10 * time.Second
-	// maxBroken bounds the examples kept of each broken invariant.
-	maxBroken = 5
+	// maxConfigDelay is how long an accepted configuration may take to be in force.
+	maxConfigDelay = 10 * time.Second
+	// maxExamples bounds the examples kept of each broken invariant.
+	maxExamples = 5
 )
 
 // Reason values of record.CallerAnswer that the checks look at.
@@ -41,7 +41,7 @@
 
 func (r *Result) fail(e record.Event, format string, args ...any) {
 	r.Broken++
-	if len(r.Examples) < maxBroken {
+	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, fmt.Sprintf("event %d: ", e.Sequence)+fmt.Sprintf(format, args...))
 	}
 }
@@ -51,7 +51,7 @@
 	events = append([]record.Event(nil), events...)
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
 	return []Result{
-		checkCapacity(events), checkOnePlace(events), checkResume(events), checkWholeAnswer(events),
+		checkCapacity(events), checkSinglePlacement(events), checkResume(events), checkAnswerIntegrity(events),
 		checkNotRun(events), checkAtMostOnce(events), checkLeaving(events), checkPlannedStop(events), checkConfig(events),
 	}
 }
@@ -83,7 +83,7 @@
 		if l == nil {
 			continue
 		}
-		change, sign := effect(e)
+		change, sign := loadChange(e)
 		switch sign {
 		case 1:
 			r.Checked++
@@ -101,8 +101,8 @@
 	return r
 }
 
-// effect is what an event adds to (1) or takes from (-1) a VM's load.
-func effect(e record.Event) (model.Resources, int) {
+// loadChange is what an event adds to (1) or takes from (-1) a VM's load.
+func loadChange(e record.Event) (model.Resources, int) {
 	slot := model.Resources{}
 	if e.Class != model.Standing {
 		slot.Slots = 1
@@ -124,7 +124,7 @@
 	return slot, 0
 }
 
-func checkOnePlace(events []record.Event) Result {
+func checkSinglePlacement(events []record.Event) Result {
 	r := Result{ID: "I2", Title: "no task runs in two places"}
 	running := map[string]record.Event{}
 	for _, e := range events {
@@ -150,8 +150,8 @@
 	return r
 }
 
-// history is what became of one task.
-type history struct {
+// taskHistory is what became of one task.
+type taskHistory struct {
 	attempt    int64
 	ended      bool
 	finished   bool
@@ -161,18 +161,18 @@
 
 func checkResume(events []record.Event) Result {
 	r := Result{ID: "I3", Title: "evicted work resumes exactly once"}
-	tasks := map[string]*history{}
+	tasks := map[string]*taskHistory{}
 	for _, e := range events {
 		switch e.Kind {
 		case record.TaskStart:
 			h := tasks[e.ID]
 			if h == nil {
-				tasks[e.ID] = &history{attempt: e.Attempt}
+				tasks[e.ID] = &taskHistory{attempt: e.Attempt}
 				continue
 			}
 			r.Checked++
 			checkStart(&r, e, h)
-			*h = history{attempt: e.Attempt}
+			*h = taskHistory{attempt: e.Attempt}
 		case record.TaskEnd:
 			if h := tasks[e.ID]; h != nil && h.attempt == e.Attempt {
 				h.ended, h.finished = true, e.Reason == string(worker.Finished)
@@ -186,7 +186,7 @@
 }
 
 // checkStart checks a later start of a task against how it last ended.
-func checkStart(r *Result, e record.Event, h *history) {
+func checkStart(r *Result, e record.Event, h *taskHistory) {
 	switch {
 	case h.finished:
 		r.fail(e, "%s starts again after it finished", e.ID)
@@ -198,7 +198,7 @@
 }
 
 // checkJobDone checks that each task of a job that is said to be done finished.
-func checkJobDone(r *Result, e record.Event, tasks map[string]*history) {
+func checkJobDone(r *Result, e record.Event, tasks map[string]*taskHistory) {
 	for i := range e.Version {
 		r.Checked++
 		id := fmt.Sprintf("%s:%d", e.ID, i)
@@ -208,7 +208,7 @@
 	}
 }
 
-func checkWholeAnswer(events []record.Event) Result {
+func checkAnswerIntegrity(events []record.Event) Result {
 	r := Result{ID: "I4", Title: "the caller gets the whole answer to its own request"}
 	for _, e := range events {
 		if e.Kind != record.CallerAnswer || e.Outcome != string(errkind.Ran) {
@@ -358,7 +358,7 @@
 				// A node that nothing reaches cannot know; its time begins when it
 				// is reached again.
 				since := later(a.At, reachedAt[e.Node])
-				if !cutOff[e.Node] && e.At.Sub(since) > inForceWithin && e.Version < a.Version {
+				if !cutOff[e.Node] && e.At.Sub(since) > maxConfigDelay && e.Version < a.Version {
 					r.fail(e, "%s uses version %d, %v after %d was accepted", e.Node, e.Version, e.At.Sub(a.At), a.Version)
 				}
 			}
--- a/internal/fakenet/conn.go
+++ b/internal/fakenet/conn.go
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// window is how much may wait at a receiver before the sender has to wait.
-const window = 256 << 10
+// receiveBufferSize is how much may wait at a receiver before the sender has to wait.
+const receiveBufferSize = 256 << 10
 
-// end is one end of a connection: what was sent to it and not yet read.
-type end struct {
+// endpoint is one end of a connection: what was sent to it and not yet read.
+type endpoint struct {
 	network *Network
 	ip      string
 	port    int
-	peer    *end
+	peer    *endpoint
 
 	mu   sync.Mutex
 	cond *sync.Cond
-	// in arrived; held was sent by this end and waits for the network to heal.
-	in   []byte
-	held []byte
-	// heldClose: this end was closed while its bytes were held.
-	heldClose bool
-	err       error
-	closed    bool
-	silent    bool
-	readBy    time.Time
-	timer     *time.Timer
+	// received arrived; held was sent by this end and waits for the network to heal.
+	received    []byte
+	undelivered []byte
+	// closePending: this end was closed while its bytes were held.
+	closePending bool
+	err          error
+	closed       bool
+	blackholed   bool
+	readDeadline time.Time
+	timer        *time.Timer
 }
 
-func newEnd(n *Network, ip string, port int) *end {
-	e := &end{network: n, ip: ip, port: port}
+func newEndpoint(n *Network, ip string, port int) *endpoint {
+	e := &endpoint{network: n, ip: ip, port: port}
 	e.cond = sync.NewCond(&e.mu)
 	return e
 }
 
 // Read implements net.Conn.
-func (e *end) Read(b []byte) (int, error) {
+func (e *endpoint) Read(b []byte) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for {
 		switch {
 		case e.closed:
 			return 0, net.ErrClosed
-		case !e.readBy.IsZero() && !time.Now().Before(e.readBy):
+		case !e.readDeadline.IsZero() && !time.Now().Before(e.readDeadline):
 			return 0, os.ErrDeadlineExceeded
-		case len(e.in) > 0:
-			n := copy(b, e.in)
-			e.in = e.in[n:]
+		case len(e.received) > 0:
+			n := copy(b, e.received)
+			e.received = e.received[n:]
 			e.cond.Broadcast()
 			return n, nil
 		case e.err != nil:
@@ -64,19 +64,19 @@
 }
 
 // Write implements net.Conn.
-func (e *end) Write(b []byte) (int, error) {
-	cut := e.network.isCut(e.ip, e.peer.ip)
+func (e *endpoint) Write(b []byte) (int, error) {
+	cut := e.network.isBlocked(e.ip, e.peer.ip)
 	e.mu.Lock()
 	if e.closed || e.err != nil && !errors.Is(e.err, io.EOF) {
 		e.mu.Unlock()
 		return 0, syscall.EPIPE
 	}
-	if e.silent {
+	if e.blackholed {
 		e.mu.Unlock()
 		return len(b), nil
 	}
-	if cut || len(e.held) > 0 {
-		e.held = append(e.held, b...)
+	if cut || len(e.undelivered) > 0 {
+		e.undelivered = append(e.undelivered, b...)
 		e.mu.Unlock()
 		return len(b), nil
 	}
@@ -84,26 +84,26 @@
 	return e.peer.receive(b)
 }
 
-func (e *end) receive(b []byte) (int, error) {
+func (e *endpoint) receive(b []byte) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.in) > window && !e.closed && e.err == nil {
+	for len(e.received) > receiveBufferSize && !e.closed && e.err == nil {
 		e.cond.Wait()
 	}
 	if e.closed {
 		return 0, syscall.ECONNRESET
 	}
-	e.in = append(e.in, b...)
+	e.received = append(e.received, b...)
 	e.cond.Broadcast()
 	return len(b), nil
 }
 
 // deliver sends what was held while the network was cut.
-func (e *end) deliver() {
+func (e *endpoint) deliver() {
 	e.mu.Lock()
-	held, closing := e.held, e.heldClose
-	e.held, e.heldClose = nil, false
-	silent := e.silent
+	held, closing := e.undelivered, e.closePending
+	e.undelivered, e.closePending = nil, false
+	silent := e.blackholed
 	e.mu.Unlock()
 	if len(held) > 0 && !silent {
 		_, _ = e.peer.receive(held)
@@ -114,7 +114,7 @@
 }
 
 // fail ends reading at this end, after what has arrived.
-func (e *end) fail(err error) {
+func (e *endpoint) fail(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.err == nil {
@@ -124,16 +124,16 @@
 }
 
 // abort closes this end and resets the other.
-func (e *end) abort(err error) {
-	e.shut()
-	if !e.network.isCut(e.ip, e.peer.ip) {
+func (e *endpoint) abort(err error) {
+	e.markClosed()
+	if !e.network.isBlocked(e.ip, e.peer.ip) {
 		e.peer.fail(err)
 	}
 }
 
-func (e *end) shut() {
+func (e *endpoint) markClosed() {
 	e.network.mu.Lock()
-	delete(e.network.ends, e)
+	delete(e.network.endpoints, e)
 	e.network.mu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,23 +145,23 @@
 }
 
 // Close implements net.Conn.
-func (e *end) Close() error {
-	cut := e.network.isCut(e.ip, e.peer.ip)
+func (e *endpoint) Close() error {
+	cut := e.network.isBlocked(e.ip, e.peer.ip)
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return net.ErrClosed
 	}
-	silent := e.silent
-	if cut || len(e.held) > 0 {
+	silent := e.blackholed
+	if cut || len(e.undelivered) > 0 {
 		// The end stays known, so that what it holds arrives later.
-		e.heldClose, e.closed = true, true
+		e.closePending, e.closed = true, true
 		e.cond.Broadcast()
 		e.mu.Unlock()
 		return nil
 	}
 	e.mu.Unlock()
-	e.shut()
+	e.markClosed()
 	if !silent {
 		e.peer.fail(io.EOF)
 	}
@@ -169,25 +169,25 @@
 }
 
 // SetLinger makes Close send a reset, as (*net.TCPConn).SetLinger(0) does.
-func (e *end) SetLinger(int) error {
+func (e *endpoint) SetLinger(int) error {
 	e.abort(syscall.ECONNRESET)
 	return nil
 }
 
 // LocalAddr implements net.Conn.
-func (e *end) LocalAddr() net.Addr { return addr(net.JoinHostPort(e.ip, strconv.Itoa(e.port))) }
+func (e *endpoint) LocalAddr() net.Addr { return addr(net.JoinHostPort(e.ip, strconv.Itoa(e.port))) }
 
 // RemoteAddr implements net.Conn.
-func (e *end) RemoteAddr() net.Addr { return e.peer.LocalAddr() }
+func (e *endpoint) RemoteAddr() net.Addr { return e.peer.LocalAddr() }
 
 // SetDeadline implements net.Conn.
-func (e *end) SetDeadline(t time.Time) error { return e.SetReadDeadline(t) }
+func (e *endpoint) SetDeadline(t time.Time) error { return e.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn.
-func (e *end) SetReadDeadline(t time.Time) error {
+func (e *endpoint) SetReadDeadline(t time.Time) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.readBy = t
+	e.readDeadline = t
 	if e.timer != nil {
 		e.timer.Stop()
 		e.timer = nil
@@ -204,4 +204,4 @@
 }
 
 // SetWriteDeadline implements net.Conn. Writes do not wait for long.
-func (e *end) SetWriteDeadline(time.Time) error { return nil }
+func (e *endpoint) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -22,8 +22,8 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	ends      map[*end]struct{}
-	cut       func(from, to string) bool
+	endpoints map[*endpoint]struct{}
+	blocked   func(from, to string) bool
 	healed    chan struct{}
 	nextPort  int
 }
@@ -31,8 +31,8 @@
 // New returns a network without hosts.
 func New() *Network {
 	return &Network{
-		listeners: map[string]*listener{}, ends: map[*end]struct{}{},
-		cut: func(string, string) bool { return false }, healed: make(chan struct{}), nextPort: firstPort,
+		listeners: map[string]*listener{}, endpoints: map[*endpoint]struct{}{},
+		blocked: func(string, string) bool { return false }, healed: make(chan struct{}), nextPort: firstPort,
 	}
 }
 
@@ -43,11 +43,11 @@
 // it arrives when a later SetCut lets it. Cutting one direction only is allowed.
 func (n *Network) SetCut(cut func(from, to string) bool) {
 	n.mu.Lock()
-	n.cut = cut
+	n.blocked = cut
 	close(n.healed)
 	n.healed = make(chan struct{})
-	var deliver []*end
-	for e := range n.ends {
+	var deliver []*endpoint
+	for e := range n.endpoints {
 		if !cut(e.ip, e.peer.ip) {
 			deliver = append(deliver, e)
 		}
@@ -63,10 +63,10 @@
 func (n *Network) Silence(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for e := range n.ends {
+	for e := range n.endpoints {
 		if e.ip == a && e.peer.ip == b || e.ip == b && e.peer.ip == a {
 			e.mu.Lock()
-			e.silent = true
+			e.blackholed = true
 			e.mu.Unlock()
 		}
 	}
@@ -76,8 +76,8 @@
 // process dies.
 func (n *Network) Kill(ip string) {
 	n.mu.Lock()
-	var reset []*end
-	for e := range n.ends {
+	var reset []*endpoint
+	for e := range n.endpoints {
 		if e.ip == ip {
 			reset = append(reset, e)
 		}
@@ -85,7 +85,7 @@
 	for address, l := range n.listeners {
 		if l.ip == ip {
 			delete(n.listeners, address)
-			l.shut()
+			l.markClosed()
 		}
 	}
 	n.mu.Unlock()
@@ -94,10 +94,10 @@
 	}
 }
 
-func (n *Network) isCut(from, to string) bool {
+func (n *Network) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut(from, to)
+	return n.blocked(from, to)
 }
 
 // host is a Network seen from one IP number.
@@ -137,7 +137,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	for n.isCut(h.ip, to) || n.isCut(to, h.ip) {
+	for n.isBlocked(h.ip, to) || n.isBlocked(to, h.ip) {
 		n.mu.Lock()
 		healed := n.healed
 		n.mu.Unlock()
@@ -153,7 +153,7 @@
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	client, server := n.pair(h.ip, to)
+	client, server := n.newConnPair(h.ip, to)
 	select {
 	case l.queue <- server:
 		return client, nil
@@ -162,15 +162,15 @@
 	}
 }
 
-// pair makes the two ends of a connection.
-func (n *Network) pair(a, b string) (client, server *end) {
+// newConnPair makes the two ends of a connection.
+func (n *Network) newConnPair(a, b string) (client, server *endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nextPort++
-	client = newEnd(n, a, n.nextPort)
-	server = newEnd(n, b, n.nextPort)
+	client = newEndpoint(n, a, n.nextPort)
+	server = newEndpoint(n, b, n.nextPort)
 	client.peer, server.peer = server, client
-	n.ends[client], n.ends[server] = struct{}{}, struct{}{}
+	n.endpoints[client], n.endpoints[server] = struct{}{}, struct{}{}
 	return client, server
 }
 
@@ -194,7 +194,7 @@
 	}
 }
 
-func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
+func (l *listener) markClosed() { l.once.Do(func() { close(l.closed) }) }
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
@@ -203,7 +203,7 @@
 		delete(l.network.listeners, l.address)
 	}
 	l.network.mu.Unlock()
-	l.shut()
+	l.markClosed()
 	for {
 		select {
 		case c := <-l.queue:
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	before = 3 * time.Second
-	after  = 6 * time.Second
+	warmUpDuration   = 3 * time.Second
+	recoveryDuration = 6 * time.Second
 )
 
-type row struct {
-	name string
-	do   func(w *world)
+type faultCase struct {
+	name   string
+	inject func(w *testDeployment)
 }
 
-func rows() []row {
-	storeDown := func(w *world, d time.Duration) {
+func faultCases() []faultCase {
+	storeDown := func(w *testDeployment, d time.Duration) {
 		w.storeFaults(hosting.Faults{Down: true})
 		time.Sleep(d)
 		w.storeFaults(hosting.Faults{})
@@ -48,45 +48,45 @@
 		}
 		wg.Wait()
 	}
-	return []row{
-		{"node killed and replaced", func(w *world) {
+	return []faultCase{
+		{"node killed and replaced", func(w *testDeployment) {
 			w.kill("cardiff-n1")
-			took := w.await(30*time.Second, func() bool { return w.owned() == w.shape.Workers })
+			took := w.await(30*time.Second, func() bool { return w.ownedVMs() == w.shape.Workers })
 			w.t.Logf("all VMs owned again %v after the kill", took)
 			w.startNode("cardiff-n1")
 		}},
-		{"zone's nodes killed and replaced", func(w *world) {
+		{"zone's nodes killed and replaced", func(w *testDeployment) {
 			for _, n := range []string{"newport-n1", "newport-n2", "newport-n3"} {
 				w.kill(n)
 			}
 			for _, n := range []string{"newport-n1", "newport-n2", "newport-n3"} {
 				w.startNode(n)
 			}
-			took := w.await(30*time.Second, func() bool { return w.owned() == w.shape.Workers })
+			took := w.await(30*time.Second, func() bool { return w.ownedVMs() == w.shape.Workers })
 			w.t.Logf("all VMs owned again %v after the restart", took)
 		}},
-		{"node paused 1s", func(w *world) { w.pause("cardiff-n2", time.Second) }},
-		{"node paused 8s", func(w *world) { w.pause("cardiff-n2", 8*time.Second) }},
-		{"node paused 20s", func(w *world) { w.pause("cardiff-n2", 20*time.Second) }},
-		{"two nodes of a zone paused in turn", func(w *world) {
+		{"node paused 1s", func(w *testDeployment) { w.pause("cardiff-n2", time.Second) }},
+		{"node paused 8s", func(w *testDeployment) { w.pause("cardiff-n2", 8*time.Second) }},
+		{"node paused 20s", func(w *testDeployment) { w.pause("cardiff-n2", 20*time.Second) }},
+		{"two nodes of a zone paused in turn", func(w *testDeployment) {
 			w.pause("cardiff-n1", 7*time.Second)
 			w.pause("cardiff-n2", 7*time.Second)
 		}},
-		{"workers paused 3s", func(w *world) { w.pause("workers-swansea", 3*time.Second) }},
-		{"workers paused 20s", func(w *world) { w.pause("workers-swansea", 20*time.Second) }},
-		{"platform paused 10s", func(w *world) { w.pause("platform", 10*time.Second) }},
-		{"store down 15s, node paused 8s", func(w *world) {
+		{"workers paused 3s", func(w *testDeployment) { w.pause("workers-swansea", 3*time.Second) }},
+		{"workers paused 20s", func(w *testDeployment) { w.pause("workers-swansea", 20*time.Second) }},
+		{"platform paused 10s", func(w *testDeployment) { w.pause("platform", 10*time.Second) }},
+		{"store down 15s, node paused 8s", func(w *testDeployment) {
 			both(func() { storeDown(w, 15*time.Second) }, func() { time.Sleep(2 * time.Second); w.pause("cardiff-n2", 8*time.Second) })
 		}},
-		{"store down 15s, node killed", func(w *world) {
+		{"store down 15s, node killed", func(w *testDeployment) {
 			both(func() { storeDown(w, 15*time.Second) }, func() { time.Sleep(2 * time.Second); w.kill("cardiff-n2"); w.startNode("cardiff-n2") })
 		}},
-		{"answers lost, node killed", func(w *world) {
+		{"answers lost, node killed", func(w *testDeployment) {
 			w.storeFaults(hosting.Faults{LoseAnswers: 60})
 			w.kill("swansea-n1")
 			w.startNode("swansea-n1")
 		}},
-		{"rolling planned stop of all nodes", func(w *world) {
+		{"rolling planned stop of all nodes", func(w *testDeployment) {
 			for _, n := range w.shape.Nodes() {
 				w.stopNode(n.Name)
 				w.startNode(n.Name)
@@ -97,9 +97,9 @@
 }
 
 func TestRealProcesses(t *testing.T) {
-	for _, r := range rows() {
+	for _, r := range faultCases() {
 		t.Run(r.name, func(t *testing.T) {
-			w := newWorld(t, deployment.Shapes()["cofnod-criw"])
+			w := newTestDeployment(t, deployment.Shapes()["cofnod-criw"])
 			g := load.New(load.Options{
 				Recorder: w.recorder, Balancer: w.balancer, Network: netio.TCP{}, Service: w.shape.Service,
 				Team: w.shape.Team, Token: teamToken, BatchTeam: "batch", BatchToken: batchToken, OperatorToken: operatorToken,
@@ -114,9 +114,9 @@
 				g.Run(ctx)
 			}()
 			started := time.Now()
-			time.Sleep(before)
-			r.do(w)
-			time.Sleep(after)
+			time.Sleep(warmUpDuration)
+			r.inject(w)
+			time.Sleep(recoveryDuration)
 			cancel()
 			wg.Wait()
 			jobsCtx, stop := context.WithTimeout(t.Context(), 3*time.Minute)
--- a/internal/faults/processes_test.go
+++ b/internal/faults/processes_test.go
@@ -58,8 +58,8 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// world is a deployment of processes on loopback.
-type world struct {
+// testDeployment is a deployment of processes on loopback.
+type testDeployment struct {
 	t        *testing.T
 	dir      string
 	shape    deployment.Shape
@@ -68,25 +68,25 @@
 	load     *load.Generator
 	platform string
 	// ports are claimed for the deployment, used of the last of them given out.
-	ports []*ports.Block
-	used  int
+	ports     []*ports.Block
+	usedPorts int
 
 	mu    sync.Mutex
 	procs map[string]*process
 	nodes map[string]settings.Node
 }
 
-func (w *world) port() string {
-	if len(w.ports) == 0 || w.used == ports.MaxPorts {
+func (w *testDeployment) port() string {
+	if len(w.ports) == 0 || w.usedPorts == ports.MaxPorts {
 		b, err := ports.Claim()
 		require.NoError(w.t, err)
-		w.ports, w.used = append(w.ports, b), 0
+		w.ports, w.usedPorts = append(w.ports, b), 0
 	}
-	w.used++
-	return w.ports[len(w.ports)-1].Address(w.used - 1)
+	w.usedPorts++
+	return w.ports[len(w.ports)-1].Address(w.usedPorts - 1)
 }
 
-func (w *world) start(name string, args ...string) {
+func (w *testDeployment) start(name string, args ...string) {
 	path, err := binary()
 	require.NoError(w.t, err)
 	cmd := exec.Command(path, args...)
@@ -105,16 +105,16 @@
 	w.mu.Unlock()
 }
 
-func (w *world) proc(name string) *process {
+func (w *testDeployment) proc(name string) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.procs[name]
 }
 
-// newWorld starts a platform, a process of workers for each availability zone,
+// newTestDeployment starts a platform, a process of workers for each availability zone,
 // and the nodes, and waits until every VM has an owner.
-func newWorld(t *testing.T, shape deployment.Shape) *world {
-	w := &world{
+func newTestDeployment(t *testing.T, shape deployment.Shape) *testDeployment {
+	w := &testDeployment{
 		t: t, dir: t.TempDir(), shape: shape, recorder: &record.Recorder{}, balancer: load.NewBalancer(netio.TCP{}),
 		procs: map[string]*process{}, nodes: map[string]settings.Node{},
 	}
@@ -140,13 +140,13 @@
 	go w.balancer.Run(ctx)
 	w.await(20*time.Second, func() bool { return w.balancer.Ready() == len(shape.Nodes()) })
 	w.seed()
-	w.await(30*time.Second, func() bool { return w.owned() == shape.Workers })
+	w.await(30*time.Second, func() bool { return w.ownedVMs() == shape.Workers })
 	return w
 }
 
-func (w *world) record(name string) string { return filepath.Join(w.dir, name+".record") }
+func (w *testDeployment) record(name string) string { return filepath.Join(w.dir, name+".record") }
 
-func (w *world) configureNode(n deployment.Node) {
+func (w *testDeployment) configureNode(n deployment.Node) {
 	w.nodes[n.Name] = settings.Node{
 		Name: n.Name, Zone: n.Zone,
 		Listen:                  settings.Listen{Callers: w.port(), Admin: w.port(), Peers: w.port(), Operations: w.port()},
@@ -157,7 +157,7 @@
 	}
 }
 
-func (w *world) startNode(name string) {
+func (w *testDeployment) startNode(name string) {
 	s := w.nodes[name]
 	raw, err := json.Marshal(s)
 	require.NoError(w.t, err)
@@ -167,7 +167,7 @@
 	w.balancer.Set(load.NodeAddress{Name: name, Callers: s.Listen.Callers, Admin: s.Listen.Admin})
 }
 
-func (w *world) seed() {
+func (w *testDeployment) seed() {
 	doc, err := json.Marshal(w.shape.Document(operatorToken, teamToken, batchToken))
 	require.NoError(w.t, err)
 	n, _ := w.balancer.Pick()
@@ -181,8 +181,8 @@
 	_ = resp.Body.Close()
 }
 
-// owned counts the VMs that some node owns and has read.
-func (w *world) owned() int {
+// ownedVMs counts the VMs that some node owns and has read.
+func (w *testDeployment) ownedVMs() int {
 	client := http.Client{Timeout: 300 * time.Millisecond}
 	total := 0
 	for _, s := range w.nodes {
@@ -198,7 +198,7 @@
 	return total
 }
 
-func (w *world) await(limit time.Duration, done func() bool) time.Duration {
+func (w *testDeployment) await(limit time.Duration, done func() bool) time.Duration {
 	started := time.Now()
 	for !done() {
 		require.Less(w.t, time.Since(started), limit, "waited in vain")
@@ -208,7 +208,7 @@
 }
 
 // kill ends a process as a crash does.
-func (w *world) kill(name string) {
+func (w *testDeployment) kill(name string) {
 	p := w.proc(name)
 	p.signal(syscall.SIGKILL)
 	<-p.done
@@ -217,7 +217,7 @@
 
 // pause stops a process for a time, as a frozen VM does. Nothing reaches it
 // meanwhile, which the record says for I9.
-func (w *world) pause(name string, d time.Duration) {
+func (w *testDeployment) pause(name string, d time.Duration) {
 	p := w.proc(name)
 	w.recorder.Add(record.Event{Kind: record.NodeCutOff, Node: name})
 	p.signal(syscall.SIGSTOP)
@@ -227,7 +227,7 @@
 }
 
 // stopNode is a planned stop.
-func (w *world) stopNode(name string) {
+func (w *testDeployment) stopNode(name string) {
 	w.recorder.Add(record.Event{Kind: record.NodeStopping, Node: name})
 	p := w.proc(name)
 	p.signal(syscall.SIGTERM)
@@ -235,7 +235,7 @@
 	w.recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
 }
 
-func (w *world) storeFaults(f hosting.Faults) {
+func (w *testDeployment) storeFaults(f hosting.Faults) {
 	raw, _ := json.Marshal(f)
 	req, _ := http.NewRequest(http.MethodPut, "http://"+w.platform+"/faults", bytes.NewReader(raw))
 	resp, err := http.DefaultClient.Do(req)
@@ -245,7 +245,7 @@
 
 // events merges the record of the stand-ins with that of the callers. All are
 // of one machine and so of one clock.
-func (w *world) events() []record.Event {
+func (w *testDeployment) events() []record.Event {
 	events := w.recorder.Events()
 	files, err := filepath.Glob(filepath.Join(w.dir, "*.record"))
 	require.NoError(w.t, err)
@@ -260,7 +260,7 @@
 	return events
 }
 
-func (w *world) close() {
+func (w *testDeployment) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.procs {
--- a/internal/harness/faults_test.go
+++ b/internal/harness/faults_test.go
@@ -20,8 +20,8 @@
 	"github.com/rattanwall/rattanwall/internal/standin/worker"
 )
 
-// small is a deployment of two availability zones, two nodes and four VMs each.
-func small() deployment.Shape {
+// smallShape is a deployment of two availability zones, two nodes and four VMs each.
+func smallShape() deployment.Shape {
 	shape := deployment.Shapes()["cofnod-criw"]
 	shape.Zones = map[string]int{"east": 2, "west": 2}
 	shape.Workers, shape.WorkersPerRack = 8, 2
@@ -58,15 +58,15 @@
 	calls    map[string]int64
 }
 
-// underLoad runs a small deployment with load in virtual time, brings about the
+// runUnderLoad runs a small deployment with load in virtual time, brings about the
 // faults at the same time, heals the network, and waits for all jobs.
-func underLoad(t *testing.T, lasts time.Duration, faults ...fault) (o outcome) {
+func runUnderLoad(t *testing.T, lasts time.Duration, faults ...fault) (o outcome) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		hosts := NewFake()
-		d, err := Start(t.Context(), Options{Shape: small(), Hosts: hosts, Log: log})
+		d, err := Start(t.Context(), Options{Shape: smallShape(), Hosts: hosts, Log: log})
 		require.NoError(t, err)
 		callers, _ := hosts.Host(CallerHost)
 		g := load.New(load.Options{
@@ -106,8 +106,8 @@
 	}
 }
 
-// storeFor sets faults of the whole store for a time.
-func storeFor(d time.Duration, f hosting.Faults) fault {
+// storeFaultsFor sets faults of the whole store for a time.
+func storeFaultsFor(d time.Duration, f hosting.Faults) fault {
 	return func(_ context.Context, r *run) {
 		r.storeFaults(f)
 		time.Sleep(d)
@@ -115,8 +115,8 @@
 	}
 }
 
-// cutFor cuts two groups of hosts off from each other for a time.
-func cutFor(d time.Duration, a, b []string) fault {
+// partitionFor cuts two groups of hosts off from each other for a time.
+func partitionFor(d time.Duration, a, b []string) fault {
 	return func(_ context.Context, r *run) {
 		r.hosts.CutGroups(a, b)
 		time.Sleep(d)
@@ -130,14 +130,14 @@
 		for _, n := range eastNodes {
 			r.Recorder.Add(record.Event{Kind: record.NodeCutOff, Node: n})
 		}
-		cutFor(d, east, append(append([]string{}, west...), platforms...))(ctx, r)
+		partitionFor(d, east, append(append([]string{}, west...), platforms...))(ctx, r)
 		for _, n := range eastNodes {
 			r.Recorder.Add(record.Event{Kind: record.NodeReached, Node: n})
 		}
 	}
 }
 
-func oneWay(d time.Duration, from, to []string) fault {
+func oneWayLoss(d time.Duration, from, to []string) fault {
 	return func(_ context.Context, r *run) {
 		lost := map[string]bool{}
 		for _, a := range from {
@@ -151,7 +151,7 @@
 	}
 }
 
-func kill(names ...string) fault {
+func killNodes(names ...string) fault {
 	return func(_ context.Context, r *run) {
 		for _, name := range names {
 			r.hosts.Kill(r.hosts.IP(name))
@@ -160,10 +160,10 @@
 	}
 }
 
-// replace kills nodes of the east and starts empty ones in their place after a time.
-func replace(after time.Duration, names ...string) fault {
+// killAndReplace kills nodes of the east and starts empty ones in their place after a time.
+func killAndReplace(after time.Duration, names ...string) fault {
 	return func(ctx context.Context, r *run) {
-		kill(names...)(ctx, r)
+		killNodes(names...)(ctx, r)
 		time.Sleep(after)
 		for _, name := range names {
 			require.NoError(r.t, r.StartNode(name, "east"))
@@ -171,8 +171,8 @@
 	}
 }
 
-// rolling stops and replaces nodes one after the other, as planned.
-func rolling(names ...string) fault {
+// replaceInTurn stops and replaces nodes one after the other, as planned.
+func replaceInTurn(names ...string) fault {
 	return func(_ context.Context, r *run) {
 		for _, name := range names {
 			require.NoError(r.t, r.ReplaceNode(name))
@@ -181,8 +181,8 @@
 	}
 }
 
-// silence makes the open connections between groups of hosts go silent.
-func silence(a, b []string) fault {
+// blackholeConnections makes the open connections between groups of hosts go silent.
+func blackholeConnections(a, b []string) fault {
 	return func(_ context.Context, r *run) {
 		for _, x := range a {
 			for _, y := range b {
@@ -192,7 +192,7 @@
 	}
 }
 
-func vmFaults(d time.Duration, name string, f worker.Faults) fault {
+func vmFaultsFor(d time.Duration, name string, f worker.Faults) fault {
 	return func(_ context.Context, r *run) {
 		r.Worker(name).SetFaults(f)
 		time.Sleep(d)
@@ -200,20 +200,20 @@
 	}
 }
 
-// listLag is how long the platform's list still shows a VM that died.
-const listLag = 20 * time.Second
+// vmListLag is how long the platform's list still shows a VM that died.
+const vmListLag = 20 * time.Second
 
-func vmDies(name string) fault {
+func crashVM(name string) fault {
 	return func(_ context.Context, r *run) {
 		r.Worker(name).Close()
 		r.hosts.Kill(r.hosts.IP(name))
-		time.Sleep(listLag)
+		time.Sleep(vmListLag)
 		r.Platform.RemoveVM(name)
 	}
 }
 
-// vmRestarts ends a VM with all it holds and starts it anew, at other ports.
-func vmRestarts(name string) fault {
+// restartVM ends a VM with all it holds and starts it anew, at other ports.
+func restartVM(name string) fault {
 	return func(_ context.Context, r *run) {
 		r.Worker(name).Close()
 		r.hosts.Kill(r.hosts.IP(name))
@@ -222,16 +222,16 @@
 	}
 }
 
-func vmLeaves(name string) fault {
+func markVMLeaving(name string) fault {
 	return func(_ context.Context, r *run) { r.Platform.SetVMState(name, model.VMLeaving) }
 }
 
-func burst(n int) fault {
+func burstOfRequests(n int) fault {
 	return func(ctx context.Context, r *run) { r.load.Burst(context.WithoutCancel(ctx), model.Quick, n) }
 }
 
 // all is a fault of one part after the other.
-func then(faults ...fault) fault {
+func inSequence(faults ...fault) fault {
 	return func(ctx context.Context, r *run) {
 		for _, f := range faults {
 			f(ctx, r)
@@ -254,65 +254,65 @@
 func singleFaults() []faultCase {
 	return []faultCase{
 		{"quiet", nil, 0, 0},
-		{"store down 30s", []fault{storeFor(30*time.Second, hosting.Faults{Down: true, ListDown: true})}, 0, 0},
-		{"store hangs 30s", []fault{storeFor(30*time.Second, hosting.Faults{Cut: true})}, 0, 0},
-		{"store slow 900ms", []fault{storeFor(20*time.Second, hosting.Faults{SlowMS: 900})}, 0, 0},
-		{"store slow 5s", []fault{storeFor(20*time.Second, hosting.Faults{SlowMS: 5000})}, 0, 0},
-		{"store loses answers", []fault{storeFor(20*time.Second, hosting.Faults{LoseAnswers: 40})}, 0, 0},
-		{"store watch silent", []fault{storeFor(25*time.Second, hosting.Faults{WatchSilent: true})}, 0, 0},
-		{"store watch replays", []fault{storeFor(20*time.Second, hosting.Faults{WatchReplay: true})}, 0, 0},
-		{"node killed", []fault{kill("east-n1")}, 0.02, 0.3},
-		{"node killed and replaced", []fault{replace(2*time.Second, "east-n1")}, 0.02, 0.3},
-		{"zone's nodes killed and replaced", []fault{replace(5*time.Second, eastNodes...)}, 0.02, 0.3},
-		{"rolling planned stop", []fault{rolling("east-n1", "east-n2", "west-n1", "west-n2")}, 0, 0},
-		{"zone cut off from platform", []fault{cutFor(25*time.Second, east, platforms)}, 0, 0},
-		{"zones cut off from each other", []fault{cutFor(25*time.Second, east, west)}, 0, 0},
+		{"store down 30s", []fault{storeFaultsFor(30*time.Second, hosting.Faults{Down: true, ListDown: true})}, 0, 0},
+		{"store hangs 30s", []fault{storeFaultsFor(30*time.Second, hosting.Faults{Cut: true})}, 0, 0},
+		{"store slow 900ms", []fault{storeFaultsFor(20*time.Second, hosting.Faults{SlowMS: 900})}, 0, 0},
+		{"store slow 5s", []fault{storeFaultsFor(20*time.Second, hosting.Faults{SlowMS: 5000})}, 0, 0},
+		{"store loses answers", []fault{storeFaultsFor(20*time.Second, hosting.Faults{LoseAnswers: 40})}, 0, 0},
+		{"store watch silent", []fault{storeFaultsFor(25*time.Second, hosting.Faults{WatchSilent: true})}, 0, 0},
+		{"store watch replays", []fault{storeFaultsFor(20*time.Second, hosting.Faults{WatchReplay: true})}, 0, 0},
+		{"node killed", []fault{killNodes("east-n1")}, 0.02, 0.3},
+		{"node killed and replaced", []fault{killAndReplace(2*time.Second, "east-n1")}, 0.02, 0.3},
+		{"zone's nodes killed and replaced", []fault{killAndReplace(5*time.Second, eastNodes...)}, 0.02, 0.3},
+		{"rolling planned stop", []fault{replaceInTurn("east-n1", "east-n2", "west-n1", "west-n2")}, 0, 0},
+		{"zone cut off from platform", []fault{partitionFor(25*time.Second, east, platforms)}, 0, 0},
+		{"zones cut off from each other", []fault{partitionFor(25*time.Second, east, west)}, 0, 0},
 		{"zone cut off from both", []fault{isolateEast(25 * time.Second)}, 0, 0},
-		{"one-way loss between nodes", []fault{oneWay(20*time.Second, []string{"east-n1"}, []string{"east-n2"})}, 0.05, 0.1},
-		{"one-way loss to platform", []fault{oneWay(20*time.Second, []string{"east-n1"}, platforms)}, 0.05, 0.1},
-		{"connections to targets go silent", []fault{silence(eastNodes, eastVMs)}, 0, 0},
-		{"connections between nodes go silent", []fault{silence(eastNodes, append(append([]string{}, westNodes...), "east-n2"))}, 0, 0},
-		{"connections to platform go silent", []fault{silence(append(append([]string{}, eastNodes...), westNodes...), platforms)}, 0, 0},
-		{"VM dies", []fault{vmDies("east-w01")}, 0.02, 0.02},
-		{"VM restarts", []fault{vmRestarts("east-w01")}, 0.02, 0.02},
-		{"VM restarts twice", []fault{then(vmRestarts("east-w01"), func(context.Context, *run) { time.Sleep(5 * time.Second) }, vmRestarts("east-w01"))}, 0.02, 0.02},
-		{"VM cut off 40s and back", []fault{cutFor(40*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...))}, 0.02, 0.02},
-		{"VM cut off 8s and back", []fault{cutFor(8*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...))}, 0.02, 0.02},
-		{"VM fails all tasks", []fault{vmFaults(20*time.Second, "east-w01", worker.Faults{FailTasks: true})}, 0, 0},
-		{"VM loses answers to starts", []fault{vmFaults(20*time.Second, "east-w01", worker.Faults{LoseStartAnswers: 20})}, 0, 0},
-		{"VM leaves", []fault{vmLeaves("east-w01")}, 0, 0},
-		{"burst of callers", []fault{burst(2000)}, 0, 1},
+		{"one-way loss between nodes", []fault{oneWayLoss(20*time.Second, []string{"east-n1"}, []string{"east-n2"})}, 0.05, 0.1},
+		{"one-way loss to platform", []fault{oneWayLoss(20*time.Second, []string{"east-n1"}, platforms)}, 0.05, 0.1},
+		{"connections to targets go silent", []fault{blackholeConnections(eastNodes, eastVMs)}, 0, 0},
+		{"connections between nodes go silent", []fault{blackholeConnections(eastNodes, append(append([]string{}, westNodes...), "east-n2"))}, 0, 0},
+		{"connections to platform go silent", []fault{blackholeConnections(append(append([]string{}, eastNodes...), westNodes...), platforms)}, 0, 0},
+		{"VM dies", []fault{crashVM("east-w01")}, 0.02, 0.02},
+		{"VM restarts", []fault{restartVM("east-w01")}, 0.02, 0.02},
+		{"VM restarts twice", []fault{inSequence(restartVM("east-w01"), func(context.Context, *run) { time.Sleep(5 * time.Second) }, restartVM("east-w01"))}, 0.02, 0.02},
+		{"VM cut off 40s and back", []fault{partitionFor(40*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...))}, 0.02, 0.02},
+		{"VM cut off 8s and back", []fault{partitionFor(8*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...))}, 0.02, 0.02},
+		{"VM fails all tasks", []fault{vmFaultsFor(20*time.Second, "east-w01", worker.Faults{FailTasks: true})}, 0, 0},
+		{"VM loses answers to starts", []fault{vmFaultsFor(20*time.Second, "east-w01", worker.Faults{LoseStartAnswers: 20})}, 0, 0},
+		{"VM leaves", []fault{markVMLeaving("east-w01")}, 0, 0},
+		{"burst of callers", []fault{burstOfRequests(2000)}, 0, 1},
 	}
 }
 
-func TestSingleFaults(t *testing.T) { runTable(t, singleFaults()) }
+func TestSingleFaults(t *testing.T) { runFaultCases(t, singleFaults()) }
 
 // Any two together, and some twice.
 func TestPairsOfFaults(t *testing.T) {
-	storeDown := storeFor(20*time.Second, hosting.Faults{Down: true})
-	lost := storeFor(20*time.Second, hosting.Faults{LoseAnswers: 60})
-	runTable(t, []faultCase{
-		{"node killed while store down", []fault{storeDown, kill("east-n1")}, 0.05, 0.5},
-		{"node killed twice", []fault{then(replace(3*time.Second, "east-n1"), func(context.Context, *run) { time.Sleep(8 * time.Second) }, replace(3*time.Second, "east-n1"))}, 0.05, 0.5},
-		{"both nodes killed in turn", []fault{then(replace(2*time.Second, "east-n1"), replace(2*time.Second, "east-n2"))}, 0.05, 0.5},
-		{"node killed, answers lost", []fault{lost, replace(3*time.Second, "east-n1")}, 0.05, 0.5},
-		{"VM dies, its owner too", []fault{vmDies("east-w01"), kill("east-n1")}, 0.05, 0.5},
-		{"VM dies while store down", []fault{vmDies("east-w01"), storeDown}, 0.05, 0.05},
-		{"VM leaves while store down", []fault{vmLeaves("east-w01"), storeDown}, 0.05, 0.05},
-		{"zone cut off, node killed", []fault{isolateEast(25 * time.Second), kill("east-n1")}, 0.05, 0.5},
-		{"rolling stop while answers lost", []fault{lost, rolling("east-n1", "west-n1")}, 0.01, 0.05},
-		{"rolling stop while store slow", []fault{storeFor(20*time.Second, hosting.Faults{SlowMS: 700}), rolling("east-n1", "west-n1")}, 0.01, 0.05},
-		{"store down twice", []fault{then(storeDown, func(context.Context, *run) { time.Sleep(4 * time.Second) }, storeDown)}, 0, 0},
-		{"burst while node killed", []fault{burst(1000), kill("west-n2")}, 0.2, 1},
-		{"VM cut off, node replaced", []fault{cutFor(20*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...)), replace(3*time.Second, "east-n2")}, 0.05, 0.5},
-		{"starts' answers lost, node killed", []fault{vmFaults(20*time.Second, "east-w02", worker.Faults{LoseStartAnswers: 20}), kill("east-n2")}, 0.05, 0.5},
+	storeDown := storeFaultsFor(20*time.Second, hosting.Faults{Down: true})
+	lost := storeFaultsFor(20*time.Second, hosting.Faults{LoseAnswers: 60})
+	runFaultCases(t, []faultCase{
+		{"node killed while store down", []fault{storeDown, killNodes("east-n1")}, 0.05, 0.5},
+		{"node killed twice", []fault{inSequence(killAndReplace(3*time.Second, "east-n1"), func(context.Context, *run) { time.Sleep(8 * time.Second) }, killAndReplace(3*time.Second, "east-n1"))}, 0.05, 0.5},
+		{"both nodes killed in turn", []fault{inSequence(killAndReplace(2*time.Second, "east-n1"), killAndReplace(2*time.Second, "east-n2"))}, 0.05, 0.5},
+		{"node killed, answers lost", []fault{lost, killAndReplace(3*time.Second, "east-n1")}, 0.05, 0.5},
+		{"VM dies, its owner too", []fault{crashVM("east-w01"), killNodes("east-n1")}, 0.05, 0.5},
+		{"VM dies while store down", []fault{crashVM("east-w01"), storeDown}, 0.05, 0.05},
+		{"VM leaves while store down", []fault{markVMLeaving("east-w01"), storeDown}, 0.05, 0.05},
+		{"zone cut off, node killed", []fault{isolateEast(25 * time.Second), killNodes("east-n1")}, 0.05, 0.5},
+		{"rolling stop while answers lost", []fault{lost, replaceInTurn("east-n1", "west-n1")}, 0.01, 0.05},
+		{"rolling stop while store slow", []fault{storeFaultsFor(20*time.Second, hosting.Faults{SlowMS: 700}), replaceInTurn("east-n1", "west-n1")}, 0.01, 0.05},
+		{"store down twice", []fault{inSequence(storeDown, func(context.Context, *run) { time.Sleep(4 * time.Second) }, storeDown)}, 0, 0},
+		{"burst while node killed", []fault{burstOfRequests(1000), killNodes("west-n2")}, 0.2, 1},
+		{"VM cut off, node replaced", []fault{partitionFor(20*time.Second, []string{"east-w01"}, append(append([]string{}, eastNodes...), westNodes...)), killAndReplace(3*time.Second, "east-n2")}, 0.05, 0.5},
+		{"starts' answers lost, node killed", []fault{vmFaultsFor(20*time.Second, "east-w02", worker.Faults{LoseStartAnswers: 20}), killNodes("east-n2")}, 0.05, 0.5},
 	})
 }
 
-func runTable(t *testing.T, cases []faultCase) {
+func runFaultCases(t *testing.T, cases []faultCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o := underLoad(t, 50*time.Second, c.faults...)
+			o := runUnderLoad(t, 50*time.Second, c.faults...)
 			total := 0
 			for _, r := range o.results {
 				require.Zerof(t, r.Broken, "%s %s: %v", r.ID, r.Title, r.Examples)
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -33,7 +33,7 @@
 const (
 	// startTimeout bounds the time until all VMs have an owner.
 	startTimeout = 30 * time.Second
-	settlePause  = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 	// drainNotice of the nodes is several probes of the balancer.
 	drainNotice = time.Second
 	drainLimit  = 20 * time.Second
@@ -180,8 +180,8 @@
 
 func anyPort(ip string) string { return net.JoinHostPort(ip, "0") }
 
-// take removes a running node from the deployment; nil if there is none.
-func (d *Deployment) take(name string) *runningNode {
+// removeNode removes a running node from the deployment; nil if there is none.
+func (d *Deployment) removeNode(name string) *runningNode {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := d.nodes[name]
@@ -191,7 +191,7 @@
 
 // KillNode ends a node as a crash does: nothing is handed over or said.
 func (d *Deployment) KillNode(name string) {
-	r := d.take(name)
+	r := d.removeNode(name)
 	if r == nil {
 		return
 	}
@@ -202,7 +202,7 @@
 
 // StopNode stops a node as planned and returns when it has ended.
 func (d *Deployment) StopNode(name string) {
-	r := d.take(name)
+	r := d.removeNode(name)
 	if r == nil {
 		return
 	}
@@ -293,7 +293,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(settlePause):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/internal/harness/kinds_test.go
+++ b/internal/harness/kinds_test.go
@@ -26,32 +26,32 @@
 	"github.com/rattanwall/rattanwall/internal/standin/worker"
 )
 
-// kindRun is a deployment in which errors are brought about.
-type kindRun struct {
+// errorKindTest is a deployment in which errors are brought about.
+type errorKindTest struct {
 	*run
 	caller *Caller
 	client *http.Client
-	next   int
+	lastID int
 }
 
-func (k *kindRun) id() string {
-	k.next++
-	return fmt.Sprintf("k%d", k.next)
+func (k *errorKindTest) nextID() string {
+	k.lastID++
+	return fmt.Sprintf("k%d", k.lastID)
 }
 
 // request sends a caller's request and returns the kind that it was told.
-func (k *kindRun) request(method, path string, header http.Header, body io.Reader) errkind.Kind {
+func (k *errorKindTest) request(method, path string, header http.Header, body io.Reader) errkind.Kind {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	return errkind.Kind(k.caller.Send(ctx, method, path, k.id(), body, header).Kind)
+	return errkind.Kind(k.caller.Send(ctx, method, path, k.nextID(), body, header).Kind)
 }
 
-func (k *kindRun) post(query string, header http.Header) errkind.Kind {
+func (k *errorKindTest) post(query string, header http.Header) errkind.Kind {
 	return k.request(http.MethodPost, "crewbook/work?"+query, header, strings.NewReader("{}"))
 }
 
 // admin makes a call of the administration API and returns the kind of its error.
-func (k *kindRun) admin(method, path, token, version, body string) errkind.Kind {
+func (k *errorKindTest) admin(method, path, token, version, body string) errkind.Kind {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+k.Balancer.All()[0].Admin+path, strings.NewReader(body))
 	require.NoError(k.t, err)
 	req.Header.Set("Authorization", "Bearer "+token)
@@ -70,19 +70,19 @@
 	return answer.Error
 }
 
-func job(id string, tasks int) string {
+func jobBody(id string, tasks int) string {
 	return fmt.Sprintf(`{"id":%q,"tasks":%d,"per_task":{"milli_cpu":1000},"duration_ms":60000}`, id, tasks)
 }
 
 const batchJobs = "/v1/teams/batch/jobs"
 
-// hold keeps requests or watches under way and returns what ends them.
-func (k *kindRun) hold(n int, path string, header http.Header) (release func()) {
+// holdRequests keeps requests or watches under way and returns what ends them.
+func (k *errorKindTest) holdRequests(n int, path string, header http.Header) (release func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for range n {
 		wg.Add(1)
-		id := k.id()
+		id := k.nextID()
 		go func() {
 			defer wg.Done()
 			k.caller.Send(ctx, http.MethodGet, path, id, nil, header)
@@ -96,99 +96,99 @@
 	}
 }
 
-var standing = http.Header{route.HeaderClass: {string(model.Standing)}}
+var standingHeader = http.Header{route.HeaderClass: {string(model.Standing)}}
 
-// kindWays brings each kind about, as a caller, team, operator or peer meets it.
-var kindWays = []struct {
+// errorKindCases brings each kind about, as a caller, team, operator or peer meets it.
+var errorKindCases = []struct {
 	kind errkind.Kind
-	way  func(k *kindRun) errkind.Kind
+	way  func(k *errorKindTest) errkind.Kind
 }{
-	{errkind.InvalidRequest, func(k *kindRun) errkind.Kind {
+	{errkind.InvalidRequest, func(k *errorKindTest) errkind.Kind {
 		return k.post("", http.Header{route.HeaderTimeoutMS: {"soon"}})
 	}},
-	{errkind.InvalidRequest, func(k *kindRun) errkind.Kind {
+	{errkind.InvalidRequest, func(k *errorKindTest) errkind.Kind {
 		return k.admin(http.MethodPost, batchJobs, k.Batch, "", `{"id":"big","tasks":1,"per_task":{"milli_cpu":99000000}}`)
 	}},
-	{errkind.Unauthorized, func(k *kindRun) errkind.Kind { return k.admin(http.MethodGet, "/v1/config", "wrong", "", "") }},
-	{errkind.Forbidden, func(k *kindRun) errkind.Kind { return k.admin(http.MethodGet, "/v1/config", k.Batch, "", "") }},
-	{errkind.NotFound, func(k *kindRun) errkind.Kind {
+	{errkind.Unauthorized, func(k *errorKindTest) errkind.Kind { return k.admin(http.MethodGet, "/v1/config", "wrong", "", "") }},
+	{errkind.Forbidden, func(k *errorKindTest) errkind.Kind { return k.admin(http.MethodGet, "/v1/config", k.Batch, "", "") }},
+	{errkind.NotFound, func(k *errorKindTest) errkind.Kind {
 		return k.request(http.MethodGet, "nowhere/work", nil, nil)
 	}},
-	{errkind.AlreadyExists, func(k *kindRun) errkind.Kind {
-		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", job("a", 1)))
-		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", job("a", 1)), "a repeat is recognised")
-		return k.admin(http.MethodPost, batchJobs, k.Batch, "", job("a", 2))
+	{errkind.AlreadyExists, func(k *errorKindTest) errkind.Kind {
+		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 1)))
+		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 1)), "a repeat is recognised")
+		return k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 2))
 	}},
-	{errkind.BodyTooLarge, func(k *kindRun) errkind.Kind {
+	{errkind.BodyTooLarge, func(k *errorKindTest) errkind.Kind {
 		return k.request(http.MethodPost, "crewbook/work", nil, strings.NewReader(strings.Repeat("x", 2<<20)))
 	}},
-	{errkind.BodyTooLarge, func(k *kindRun) errkind.Kind {
+	{errkind.BodyTooLarge, func(k *errorKindTest) errkind.Kind {
 		// Without a length the limit is found while the body is passed on.
 		return k.request(http.MethodPost, "crewbook/work", nil, io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<20))))
 	}},
-	{errkind.VersionConflict, func(k *kindRun) errkind.Kind {
+	{errkind.VersionConflict, func(k *errorKindTest) errkind.Kind {
 		return k.admin(http.MethodPatch, "/v1/config", k.Operator, `"0"`, `{"weights":{"tail":3}}`)
 	}},
-	{errkind.VersionRequired, func(k *kindRun) errkind.Kind {
+	{errkind.VersionRequired, func(k *errorKindTest) errkind.Kind {
 		return k.admin(http.MethodPatch, "/v1/config", k.Operator, "", `{"weights":{"tail":3}}`)
 	}},
-	{errkind.QuotaExceeded, func(k *kindRun) errkind.Kind {
+	{errkind.QuotaExceeded, func(k *errorKindTest) errkind.Kind {
 		var kind errkind.Kind
 		for i := range 3 {
-			kind = k.admin(http.MethodPost, batchJobs, k.Batch, "", job(fmt.Sprintf("many%d", i), 10_000))
+			kind = k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody(fmt.Sprintf("many%d", i), 10_000))
 		}
 		return kind
 	}},
-	{errkind.TeamLimit, func(k *kindRun) errkind.Kind {
+	{errkind.TeamLimit, func(k *errorKindTest) errkind.Kind {
 		require.NoError(k.t, k.Patch(k.t.Context(), `{"teams":{"rostering":{"max_in_flight":2}}}`))
-		release := k.hold(2, "crewbook/work?ms=8000", nil)
+		release := k.holdRequests(2, "crewbook/work?ms=8000", nil)
 		kind := k.post("", nil)
 		release()
 		require.NoError(k.t, k.Patch(k.t.Context(), `{"teams":{"rostering":{"max_in_flight":null}}}`))
 		return kind
 	}},
-	{errkind.Overloaded, func(k *kindRun) errkind.Kind {
+	{errkind.Overloaded, func(k *errorKindTest) errkind.Kind {
 		require.NoError(k.t, k.Patch(k.t.Context(), `{"services":{"crewbook":{"max_in_flight":2}}}`))
-		release := k.hold(2, "crewbook/work?ms=8000", nil)
+		release := k.holdRequests(2, "crewbook/work?ms=8000", nil)
 		kind := k.post("", nil)
 		release()
 		require.NoError(k.t, k.Patch(k.t.Context(), `{"services":{"crewbook":{"max_in_flight":null}}}`))
 		return kind
 	}},
-	{errkind.NoCapacity, func(k *kindRun) errkind.Kind {
+	{errkind.NoCapacity, func(k *errorKindTest) errkind.Kind {
 		// 8 VMs hold at most 48 watches each; those beyond are refused.
-		release := k.hold(8*48+100, "crewbook/watch?interval_ms=500", standing)
-		kind := k.request(http.MethodGet, "crewbook/watch", standing, nil)
+		release := k.holdRequests(8*48+100, "crewbook/watch?interval_ms=500", standingHeader)
+		kind := k.request(http.MethodGet, "crewbook/watch", standingHeader, nil)
 		release()
 		return kind
 	}},
-	{errkind.DeadlineNotRun, func(k *kindRun) errkind.Kind {
+	{errkind.DeadlineNotRun, func(k *errorKindTest) errkind.Kind {
 		// Twice: far nodes' room is known only after their next exchange.
-		first := k.hold(300, "crewbook/work?ms=9000", nil)
-		second := k.hold(300, "crewbook/work?ms=9000", nil)
+		first := k.holdRequests(300, "crewbook/work?ms=9000", nil)
+		second := k.holdRequests(300, "crewbook/work?ms=9000", nil)
 		kind := k.post("", http.Header{route.HeaderTimeoutMS: {"50"}})
 		first()
 		second()
 		return kind
 	}},
-	{errkind.TargetUnreached, func(k *kindRun) errkind.Kind { return k.post("fault="+worker.FaultResetEarly, nil) }},
-	{errkind.NoOwner, func(k *kindRun) errkind.Kind {
+	{errkind.TargetUnreached, func(k *errorKindTest) errkind.Kind { return k.post("fault="+worker.FaultResetEarly, nil) }},
+	{errkind.NoOwner, func(k *errorKindTest) errkind.Kind {
 		require.NoError(k.t, k.Patch(k.t.Context(), `{"services":{"lost":{"team":"rostering","zones":["atlantis"]}}}`))
 		return k.request(http.MethodGet, "lost/work", nil, nil)
 	}},
-	{errkind.Timeout, func(k *kindRun) errkind.Kind {
+	{errkind.Timeout, func(k *errorKindTest) errkind.Kind {
 		return k.post("ms=4000&fault="+worker.FaultLate, http.Header{route.HeaderTimeoutMS: {"100"}})
 	}},
-	{errkind.ConnectionLost, func(k *kindRun) errkind.Kind { return k.post("fault="+worker.FaultResetAfter, nil) }},
-	{errkind.AnswerMismatch, func(k *kindRun) errkind.Kind { return k.post("fault="+worker.FaultWrongID, nil) }},
-	{errkind.AnswerUnbounded, func(k *kindRun) errkind.Kind { return k.post("fault="+worker.FaultCloseDelimited, nil) }},
-	{errkind.StoreUnavailable, func(k *kindRun) errkind.Kind {
+	{errkind.ConnectionLost, func(k *errorKindTest) errkind.Kind { return k.post("fault="+worker.FaultResetAfter, nil) }},
+	{errkind.AnswerMismatch, func(k *errorKindTest) errkind.Kind { return k.post("fault="+worker.FaultWrongID, nil) }},
+	{errkind.AnswerUnbounded, func(k *errorKindTest) errkind.Kind { return k.post("fault="+worker.FaultCloseDelimited, nil) }},
+	{errkind.StoreUnavailable, func(k *errorKindTest) errkind.Kind {
 		k.storeFaults(hosting.Faults{Down: true})
 		defer k.storeFaults(hosting.Faults{})
 		version := fmt.Sprintf("%q", fmt.Sprint(k.Nodes()[0].Keeper().Current().Head.Version))
 		return k.admin(http.MethodPatch, "/v1/config", k.Operator, version, `{"weights":{"tail":3}}`)
 	}},
-	{errkind.StoreUnknown, func(k *kindRun) errkind.Kind {
+	{errkind.StoreUnknown, func(k *errorKindTest) errkind.Kind {
 		// The write takes effect, its answer is lost, and then nothing can be read.
 		time.Sleep(2 * time.Second)
 		version := fmt.Sprintf("%q", fmt.Sprint(k.Nodes()[0].Keeper().Current().Head.Version))
@@ -197,12 +197,12 @@
 		defer k.storeFaults(hosting.Faults{})
 		return k.admin(http.MethodPatch, "/v1/config", k.Operator, version, `{"weights":{"tail":4}}`)
 	}},
-	{errkind.NotOwner, func(k *kindRun) errkind.Kind { return k.askWrongNode() }},
-	{errkind.Draining, func(k *kindRun) errkind.Kind { return k.watchWhileStopping() }},
+	{errkind.NotOwner, func(k *errorKindTest) errkind.Kind { return k.requestFromNonLeader() }},
+	{errkind.Draining, func(k *errorKindTest) errkind.Kind { return k.watchWhileStopping() }},
 }
 
-// askWrongNode calls a peer for a job shard that it does not lead.
-func (k *kindRun) askWrongNode() errkind.Kind {
+// requestFromNonLeader calls a peer for a job shard that it does not lead.
+func (k *errorKindTest) requestFromNonLeader() errkind.Kind {
 	for _, n := range k.Nodes() {
 		if _, err := (cluster.Server{Cluster: n.Cluster()}).Job(k.t.Context(), &peer.JobRequest{Shard: "jobs/none"}); err != nil {
 			return errkind.NotOwner
@@ -213,46 +213,46 @@
 
 // watchWhileStopping asks a node for a watch after its notice, while a long
 // request still holds it up.
-func (k *kindRun) watchWhileStopping() errkind.Kind {
-	release := k.hold(1, "crewbook/work?ms=6000", nil)
+func (k *errorKindTest) watchWhileStopping() errkind.Kind {
+	release := k.holdRequests(1, "crewbook/work?ms=6000", nil)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		k.StopNode(k.Balancer.All()[0].Name)
 	}()
 	time.Sleep(drainNotice + 500*time.Millisecond)
-	kind := k.request(http.MethodGet, "crewbook/watch", standing, nil)
+	kind := k.request(http.MethodGet, "crewbook/watch", standingHeader, nil)
 	release()
 	<-stopped
 	return kind
 }
 
-// notSeen are the kinds that no caller is there to be told of: CallerGone is
+// unobservableKinds are the kinds that no caller is there to be told of: CallerGone is
 // for a caller that left, Internal for a fault of our own.
-var notSeen = []errkind.Kind{errkind.CallerGone, errkind.Internal}
+var unobservableKinds = []errkind.Kind{errkind.CallerGone, errkind.Internal}
 
 // Symptom: a caller is told a kind that the table does not explain, or the table
 // promises one that never comes. Each row brings its kind about for real.
 func TestEachKindIsReached(t *testing.T) {
 	reached := map[errkind.Kind]bool{}
-	for _, k := range notSeen {
+	for _, k := range unobservableKinds {
 		reached[k] = true
 	}
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		hosts := NewFake()
-		d, err := Start(t.Context(), Options{Shape: small(), Hosts: hosts, Log: log})
+		d, err := Start(t.Context(), Options{Shape: smallShape(), Hosts: hosts, Log: log})
 		require.NoError(t, err)
 		callers, _ := hosts.Host(CallerHost)
-		k := &kindRun{run: &run{Deployment: d, t: t, hosts: hosts}, caller: d.Caller("east-n1"), client: netio.Client(callers, 1)}
+		k := &errorKindTest{run: &run{Deployment: d, t: t, hosts: hosts}, caller: d.Caller("east-n1"), client: netio.Client(callers, 1)}
 		defer func() {
 			k.caller.Close()
 			k.client.CloseIdleConnections()
 			d.Close()
 		}()
 		time.Sleep(3 * time.Second)
-		for _, w := range kindWays {
+		for _, w := range errorKindCases {
 			got := w.way(k)
 			require.Equal(t, w.kind, got)
 			reached[got] = true
--- a/internal/hosting/httphosting/client.go
+++ b/internal/hosting/httphosting/client.go
@@ -77,8 +77,8 @@
 	// callTimeout bounds one call other than a watch. Past it the outcome of a
 	// write is unknown and the caller has to read back.
 	callTimeout = 3 * time.Second
-	// idleConnections is how many connections to the platform are kept.
-	idleConnections = 8
+	// maxIdleConnections is how many connections to the platform are kept.
+	maxIdleConnections = 8
 	// watchGrace is added to a watch's waiting time, so that only a watch gone
 	// silent runs into its timeout.
 	watchGrace = time.Second
@@ -86,7 +86,7 @@
 
 // New returns a client of the platform at address (ip:port).
 func New(network netio.Network, address string) *Client {
-	hc := netio.Client(network, idleConnections)
+	hc := netio.Client(network, maxIdleConnections)
 	return &Client{base: sling.New().Client(hc).Base("http://" + address + "/v1/"), http: hc}
 }
 
@@ -118,13 +118,13 @@
 	if resp.ContentLength == 0 {
 		// Decoding passes over it; taken for an answer it would tell of a store
 		// without keys.
-		return errNoContent
+		return errEmptyResponse
 	}
 	return nil
 }
 
-// errNoContent: the platform answered with success and nothing of what was asked.
-var errNoContent = errors.Mark(errors.New("the answer has no content"), hosting.ErrUnknown)
+// errEmptyResponse: the platform answered with success and nothing of what was asked.
+var errEmptyResponse = errors.Mark(errors.New("the answer has no content"), hosting.ErrUnknown)
 
 // statusError maps the published status codes of the platform.
 func statusError(status int) error {
@@ -220,7 +220,7 @@
 	err := c.do(ctx, c.base.New().Get("vms").QueryStruct(keyQuery{Known: known}), callTimeout, &w)
 	if err == nil && w.Version == "" {
 		// A list without VMs has all tasks evicted.
-		err = errNoContent
+		err = errEmptyResponse
 	}
 	return w.VMs, w.Version, err
 }
--- a/internal/standin/hosting/contract_test.go
+++ b/internal/standin/hosting/contract_test.go
@@ -15,36 +15,36 @@
 	"github.com/rattanwall/rattanwall/internal/standin/record"
 )
 
-var listed = model.VM{Name: "a", Zone: "east", Rack: "r", State: model.VMLive, Capacity: model.Resources{MilliCPU: 1}}
+var listedVM = model.VM{Name: "a", Zone: "east", Rack: "r", State: model.VMLive, Capacity: model.Resources{MilliCPU: 1}}
 
-func TestStandinKeepsTheContract(t *testing.T) {
+func TestStandinContract(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(&record.Recorder{})
-		p.SetVM(listed)
+		p.SetVM(listedVM)
 		hostingtest.Store(t, Direct{p})
-		hostingtest.VMList(t, Direct{p}, []model.VM{listed})
+		hostingtest.VMList(t, Direct{p}, []model.VM{listedVM})
 	})
 }
 
-func TestAdapterKeepsTheContract(t *testing.T) {
+func TestAdapterContract(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := fakenet.New()
 		p := New(&record.Recorder{})
-		p.SetVM(listed)
+		p.SetVM(listedVM)
 		l, err := p.Listen(net.Host("10.0.0.1"), "10.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
 		client := httphosting.New(net.Host("10.0.0.2"), l.Address())
 		defer client.Close()
 		hostingtest.Store(t, client)
-		hostingtest.VMList(t, client, []model.VM{listed})
+		hostingtest.VMList(t, client, []model.VM{listedVM})
 	})
 }
 
 // Symptom: a write that took effect is reported as refused, and made again.
 // Sequence: the store applies the write and its answer is lost; or the store is
 // away and applies nothing. Cause: both look like a failed call.
-func TestAdapterTellsLostAnswersFromRefusals(t *testing.T) {
+func TestAdapterDistinguishesLostAnswersFromRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := fakenet.New()
 		p := New(&record.Recorder{})
--- a/internal/standin/hosting/direct.go
+++ b/internal/standin/hosting/direct.go
@@ -85,7 +85,7 @@
 
 // Watch implements hosting.Store.
 func (d Direct) Watch(ctx context.Context, prefix string, after hosting.Revision, wait time.Duration) ([]hosting.Event, hosting.Revision, error) {
-	l := d.await(ctx, prefix, int64(after), wait)
+	l := d.awaitChanges(ctx, prefix, int64(after), wait)
 	events := make([]hosting.Event, len(l.Entries))
 	for i, e := range l.Entries {
 		events[i] = hosting.Event{Entry: entry(e), Deleted: e.Deleted}
--- a/internal/standin/hosting/platform.go
+++ b/internal/standin/hosting/platform.go
@@ -248,9 +248,9 @@
 	return wire.WireLease{ID: id}, statusOK
 }
 
-// since returns the changes under prefix after a revision, and a channel that
+// changesSince returns the changes under prefix after a revision, and a channel that
 // closes at the next change.
-func (p *Platform) since(prefix string, after int64) (wire.WireList, <-chan struct{}) {
+func (p *Platform) changesSince(prefix string, after int64) (wire.WireList, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expire(time.Now())
--- a/internal/standin/hosting/server.go
+++ b/internal/standin/hosting/server.go
@@ -21,10 +21,10 @@
 	statusConflict = http.StatusPreconditionFailed
 	statusGone     = http.StatusGone
 
-	// listCall is the kind under which reads of the list of VMs are counted.
-	listCall = "vms"
-	// expiryTick is how often a waiting watch looks for lapsed leases.
-	expiryTick = 100 * time.Millisecond
+	// vmListCall is the kind under which reads of the list of VMs are counted.
+	vmListCall = "vms"
+	// leaseExpiryInterval is how often a waiting watch looks for lapsed leases.
+	leaseExpiryInterval = 100 * time.Millisecond
 )
 
 // Faults are switched per listener, so that one availability zone can be cut
@@ -90,26 +90,26 @@
 		})
 	}
 	p := l.platform
-	handle("GET /v1/key", "get", false, func(r *http.Request) (any, int) { return two(p.get(r.FormValue("key"))) })
+	handle("GET /v1/key", "get", false, func(r *http.Request) (any, int) { return withStatus(p.get(r.FormValue("key"))) })
 	handle("GET /v1/keys", "list", false, func(r *http.Request) (any, int) { return p.list(r.FormValue("prefix")), statusOK })
 	handle("PUT /v1/key", "put", true, func(r *http.Request) (any, int) {
 		var body wire.WirePut
 		if json.NewDecoder(r.Body).Decode(&body) != nil {
 			return nil, http.StatusBadRequest
 		}
-		return two(p.put(r.URL.Query().Get("key"), body))
+		return withStatus(p.put(r.URL.Query().Get("key"), body))
 	})
 	handle("DELETE /v1/key", "delete", true, func(r *http.Request) (any, int) {
 		expect, _ := strconv.ParseInt(r.URL.Query().Get("expect"), 10, 64)
-		return two(p.remove(r.URL.Query().Get("key"), expect))
+		return withStatus(p.remove(r.URL.Query().Get("key"), expect))
 	})
 	handle("POST /v1/leases", "grant", true, func(r *http.Request) (any, int) {
 		return p.grant(time.Duration(leaseBody(r).TTLMS) * time.Millisecond), statusOK
 	})
-	handle("POST /v1/leases/renew", "renew", true, func(r *http.Request) (any, int) { return two(p.renew(leaseBody(r).ID)) })
-	handle("POST /v1/leases/revoke", "revoke", true, func(r *http.Request) (any, int) { return two(p.revoke(leaseBody(r).ID)) })
+	handle("POST /v1/leases/renew", "renew", true, func(r *http.Request) (any, int) { return withStatus(p.renew(leaseBody(r).ID)) })
+	handle("POST /v1/leases/revoke", "revoke", true, func(r *http.Request) (any, int) { return withStatus(p.revoke(leaseBody(r).ID)) })
 	handle("GET /v1/watch", "watch", false, l.watch)
-	handle("GET /v1/vms", listCall, false, func(r *http.Request) (any, int) { return p.vmList(r.FormValue("known")), statusOK })
+	handle("GET /v1/vms", vmListCall, false, func(r *http.Request) (any, int) { return p.vmList(r.FormValue("known")), statusOK })
 
 	// What follows is for tests and the demo, not part of the published protocol.
 	mux.HandleFunc("PUT /faults", func(_ http.ResponseWriter, r *http.Request) {
@@ -129,7 +129,7 @@
 	return mux
 }
 
-func two[T any](v T, status int) (any, int) { return v, status }
+func withStatus[T any](v T, status int) (any, int) { return v, status }
 
 func leaseBody(r *http.Request) wire.WireLease {
 	var body wire.WireLease
@@ -160,7 +160,7 @@
 	if faults.SlowMS > 0 {
 		time.Sleep(time.Duration(faults.SlowMS) * time.Millisecond)
 	}
-	if kind == listCall && faults.ListDown || kind != listCall && faults.Down {
+	if kind == vmListCall && faults.ListDown || kind != vmListCall && faults.Down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -184,18 +184,18 @@
 		after = 0
 	}
 	waitMS, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
-	return l.platform.await(r.Context(), r.FormValue("prefix"), after, time.Duration(waitMS)*time.Millisecond), statusOK
+	return l.platform.awaitChanges(r.Context(), r.FormValue("prefix"), after, time.Duration(waitMS)*time.Millisecond), statusOK
 }
 
-// await returns the changes under prefix after a revision as soon as there are
+// awaitChanges returns the changes under prefix after a revision as soon as there are
 // any, or none after wait.
-func (p *Platform) await(ctx context.Context, prefix string, after int64, wait time.Duration) wire.WireList {
+func (p *Platform) awaitChanges(ctx context.Context, prefix string, after int64, wait time.Duration) wire.WireList {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	tick := time.NewTicker(expiryTick)
+	tick := time.NewTicker(leaseExpiryInterval)
 	defer tick.Stop()
 	for {
-		answer, changed := p.since(prefix, after)
+		answer, changed := p.changesSince(prefix, after)
 		if len(answer.Entries) > 0 {
 			return answer
 		}
--- a/internal/standin/worker/agent.go
+++ b/internal/standin/worker/agent.go
@@ -47,14 +47,14 @@
 	})
 	mux.HandleFunc("POST /silence", func(http.ResponseWriter, *http.Request) { w.Silence() })
 	mux.HandleFunc("GET /record", func(rw http.ResponseWriter, _ *http.Request) { _ = w.recorder.Dump(rw) })
-	server := &http.Server{Handler: w.agentFaults(mux), ReadHeaderTimeout: time.Minute}
+	server := &http.Server{Handler: w.withAgentFaults(mux), ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(ln) }()
 	w.closers = append(w.closers, func() { _ = server.Close() })
 	return nil
 }
 
-// agentFaults cuts calls off while the agent is down.
-func (w *Worker) agentFaults(next http.Handler) http.Handler {
+// withAgentFaults cuts calls off while the agent is down.
+func (w *Worker) withAgentFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
 		down := w.faults.AgentDown && r.URL.Path != "/faults"
@@ -87,12 +87,12 @@
 func (w *Worker) handleStatus(rw http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	waitMS, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
-	writeJSON(rw, w.await(r.Context(), after, time.Duration(waitMS)*time.Millisecond), http.StatusOK)
+	writeJSON(rw, w.awaitChange(r.Context(), after, time.Duration(waitMS)*time.Millisecond), http.StatusOK)
 }
 
-// await returns what changed since a sequence once there is anything, or after
+// awaitChange returns what changed since a sequence once there is anything, or after
 // wait.
-func (w *Worker) await(ctx context.Context, after int64, wait time.Duration) worker.Status {
+func (w *Worker) awaitChange(ctx context.Context, after int64, wait time.Duration) worker.Status {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -112,8 +112,8 @@
 
 // usage measures the VM as it was a lag ago. w.mu is held.
 func (w *Worker) usage() worker.Usage {
-	held := w.heldAt(time.Now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond))
-	return worker.Usage{AgeMS: w.faults.UsageLagMS, InUse: held, Slowdown: w.slowdownBy(held)}
+	held := w.usedResourcesAt(time.Now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond))
+	return worker.Usage{AgeMS: w.faults.UsageLagMS, InUse: held, Slowdown: w.slowdownFor(held)}
 }
 
 // handle serves one call whose body is a B.
--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -15,8 +15,8 @@
 	"github.com/rattanwall/rattanwall/internal/worker/workertest"
 )
 
-// startAlone starts a stand-in VM on a network of its own.
-func startAlone(t *testing.T) (*Worker, *fakenet.Network) {
+// startTestWorker starts a stand-in VM on a network of its own.
+func startTestWorker(t *testing.T) (*Worker, *fakenet.Network) {
 	net := fakenet.New()
 	vm := model.VM{Name: "w", Capacity: model.Resources{MilliCPU: 32_000, Slots: 8, Connections: 64}}
 	w, err := Start(vm, net.Host("10.0.0.1"), "10.0.0.1", &record.Recorder{})
@@ -24,17 +24,17 @@
 	return w, net
 }
 
-func TestStandinAgentKeepsTheContract(t *testing.T) {
+func TestStandinAgentContract(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _ := startAlone(t)
+		w, _ := startTestWorker(t)
 		defer w.Close()
 		workertest.Agent(t, Direct{w})
 	})
 }
 
-func TestAgentAdapterKeepsTheContract(t *testing.T) {
+func TestAgentAdapterContract(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, net := startAlone(t)
+		w, net := startTestWorker(t)
 		defer w.Close()
 		client := httpworker.New(net.Host("10.0.0.2"), w.VM().AgentAddress)
 		defer client.Close()
@@ -42,9 +42,9 @@
 	})
 }
 
-func TestTargetAdapterKeepsTheContract(t *testing.T) {
+func TestTargetAdapterContract(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, net := startAlone(t)
+		w, net := startTestWorker(t)
 		defer w.Close()
 		client := httptarget.New(net.Host("10.0.0.2"), w.VM().TargetAddress, 4)
 		defer client.CloseIdle()
--- a/internal/standin/worker/direct.go
+++ b/internal/standin/worker/direct.go
@@ -16,7 +16,7 @@
 
 // Status implements worker.Agent.
 func (d Direct) Status(ctx context.Context, after int64, wait time.Duration) (worker.Status, error) {
-	return d.await(ctx, after, wait), ctx.Err()
+	return d.awaitChange(ctx, after, wait), ctx.Err()
 }
 
 // Start implements worker.Agent.
@@ -36,7 +36,7 @@
 // Stop implements worker.Agent.
 func (d Direct) Stop(_ context.Context, ref worker.Ref, checkpoint bool) (worker.Task, error) {
 	t, ok := d.stop(ref, checkpoint)
-	return t, known(ok)
+	return t, noTaskError(ok)
 }
 
 // CheckpointAll implements worker.Agent.
@@ -44,7 +44,7 @@
 
 // Throttle implements worker.Agent.
 func (d Direct) Throttle(_ context.Context, ref worker.Ref, share float64) error {
-	return known(d.throttle(ref, share))
+	return noTaskError(d.throttle(ref, share))
 }
 
 // Forget implements worker.Agent.
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func known(ok bool) error {
+func noTaskError(ok bool) error {
 	if !ok {
 		return worker.ErrNoTask
 	}
--- a/internal/standin/worker/target.go
+++ b/internal/standin/worker/target.go
@@ -46,7 +46,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", w.handleRequest)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(&silentListener{Listener: ln, worker: w}) }()
+	go func() { _ = server.Serve(&trackingListener{Listener: ln, worker: w}) }()
 	w.closers = append(w.closers, func() { _ = server.Close() })
 	return nil
 }
@@ -81,10 +81,10 @@
 	}
 	rw.Header().Set(wire.HeaderRequestID, hop)
 	if class == model.Standing {
-		end(w.watch(rw, r))
+		end(w.serveWatch(rw, r))
 		return
 	}
-	w.work(rw, r, fault, origin, end)
+	w.serveWork(rw, r, fault, origin, end)
 }
 
 func (w *Worker) setInFlight(hop string, on bool) {
@@ -97,9 +97,9 @@
 	}
 }
 
-// work takes the time asked for in "ms", slowed by the VM's tasks, and answers
+// serveWork takes the time asked for in "ms", slowed by the VM's tasks, and answers
 // with "size" bytes.
-func (w *Worker) work(rw http.ResponseWriter, r *http.Request, fault, origin string, end func(string)) {
+func (w *Worker) serveWork(rw http.ResponseWriter, r *http.Request, fault, origin string, end func(string)) {
 	ms, _ := strconv.ParseFloat(r.URL.Query().Get("ms"), 64)
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 	timer := time.NewTimer(time.Duration(ms * w.slowdown() * float64(time.Millisecond)))
@@ -123,11 +123,11 @@
 		return
 	}
 	end("done")
-	answer(rw, fault, origin, AnswerBody(origin, size))
+	writeAnswer(rw, fault, origin, AnswerBody(origin, size))
 }
 
-// answer writes the body, misbehaving as fault asks.
-func answer(rw http.ResponseWriter, fault, origin string, body []byte) {
+// writeAnswer writes the body, misbehaving as fault asks.
+func writeAnswer(rw http.ResponseWriter, fault, origin string, body []byte) {
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	switch fault {
 	case FaultResetAfter:
@@ -137,7 +137,7 @@
 		_ = http.NewResponseController(rw).Flush()
 		panic(http.ErrAbortHandler)
 	case FaultDuplicate, FaultCloseDelimited:
-		raw(rw, fault, body)
+		writeRawAnswer(rw, fault, body)
 	case FaultWrongID:
 		rw.Header().Set(wire.HeaderRequestID, "not-"+origin)
 		_, _ = rw.Write(body)
@@ -146,8 +146,8 @@
 	}
 }
 
-// raw writes the answer by hand, twice for FaultDuplicate.
-func raw(rw http.ResponseWriter, fault string, body []byte) {
+// writeRawAnswer writes the answer by hand, twice for FaultDuplicate.
+func writeRawAnswer(rw http.ResponseWriter, fault string, body []byte) {
 	id := rw.Header().Get(wire.HeaderRequestID)
 	conn, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return
 	}
-	if s, ok := conn.(*silentConn); ok {
+	if s, ok := conn.(*trackedConn); ok {
 		if lingers, ok := s.Conn.(interface{ SetLinger(sec int) error }); ok {
 			_ = lingers.SetLinger(0)
 		}
@@ -178,9 +178,9 @@
 	_ = conn.Close()
 }
 
-// watch sends one line an interval until the caller leaves: "event N\n", with
+// serveWatch sends one line an interval until the caller leaves: "event N\n", with
 // N going on from the resume point.
-func (w *Worker) watch(rw http.ResponseWriter, r *http.Request) string {
+func (w *Worker) serveWatch(rw http.ResponseWriter, r *http.Request) string {
 	interval, _ := strconv.Atoi(r.URL.Query().Get("interval_ms"))
 	next, _ := strconv.ParseInt(r.Header.Get(wire.HeaderResume), 10, 64)
 	rc := http.NewResponseController(rw)
@@ -201,23 +201,23 @@
 	}
 }
 
-// silentListener hands out connections that can be made to go silent, and
+// trackingListener hands out connections that can be made to go silent, and
 // counts those that are open.
-type silentListener struct {
+type trackingListener struct {
 	net.Listener
 	worker *Worker
 }
 
-var connNumber atomic.Int64
+var lastConnID atomic.Int64
 
 // Accept implements net.Listener.
-func (l *silentListener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	s := &silentConn{Conn: c, worker: l.worker, closed: make(chan struct{})}
-	s.id = strconv.FormatInt(connNumber.Add(1), 10)
+	s := &trackedConn{Conn: c, worker: l.worker, closed: make(chan struct{})}
+	s.id = strconv.FormatInt(lastConnID.Add(1), 10)
 	l.worker.mu.Lock()
 	l.worker.conns[s] = struct{}{}
 	l.worker.mu.Unlock()
@@ -225,23 +225,23 @@
 	return s, nil
 }
 
-// silentConn is a connection that loses track of its other end when silenced:
+// trackedConn is a connection that loses track of its other end when silenced:
 // what is written vanishes and nothing more is read.
-type silentConn struct {
+type trackedConn struct {
 	net.Conn
-	worker *Worker
-	id     string
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	worker     *Worker
+	id         string
+	blackholed atomic.Bool
+	once       sync.Once
+	closed     chan struct{}
 }
 
-func (c *silentConn) silence() { c.silent.Store(true) }
+func (c *trackedConn) blackhole() { c.blackholed.Store(true) }
 
 // Read implements net.Conn.
-func (c *silentConn) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -249,15 +249,15 @@
 }
 
 // Write implements net.Conn.
-func (c *silentConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+func (c *trackedConn) Write(b []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 // Close implements net.Conn.
-func (c *silentConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
 		c.worker.mu.Lock()
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -34,15 +34,15 @@
 // task is one attempt at the agent.
 type task struct {
 	worker.Task
-	total   time.Duration // true run time at full share
-	done    time.Duration // work done up to since
-	since   time.Time
-	share   float64
-	finish  *time.Timer
-	lapse   *time.Timer
-	leaseMS int64
-	// changed is the sequence of the task's last change.
-	changed int64
+	duration    time.Duration // true run time at full share
+	workDone    time.Duration // work done up to since
+	since       time.Time
+	share       float64
+	finishTimer *time.Timer
+	leaseTimer  *time.Timer
+	leaseMS     int64
+	// changeSequence is the sequence of the task's last change.
+	changeSequence int64
 }
 
 // Worker is one stand-in VM.
@@ -51,14 +51,14 @@
 	recorder *record.Recorder
 	boot     string
 
-	mu       sync.Mutex
-	faults   Faults
-	tasks    map[worker.Ref]*task
-	sequence int64
-	changed  chan struct{}
-	inFlight map[string]struct{}
-	conns    map[*silentConn]struct{}
-	held     model.Resources
+	mu            sync.Mutex
+	faults        Faults
+	tasks         map[worker.Ref]*task
+	sequence      int64
+	changed       chan struct{}
+	inFlight      map[string]struct{}
+	conns         map[*trackedConn]struct{}
+	usedResources model.Resources
 	// samples tell what was held since when, oldest first: usage lags.
 	samples []sample
 	closers []func()
@@ -67,29 +67,29 @@
 // sample is what tasks held from a moment on.
 type sample struct {
 	since time.Time
-	held  model.Resources
+	used  model.Resources
 }
 
-// keepSamples is how long samples are kept; no lag is longer.
-const keepSamples = 2 * time.Minute
+// sampleRetention is how long samples are kept; no lag is longer.
+const sampleRetention = 2 * time.Minute
 
-// sampleHeld notes a change of held. w.mu is held.
-func (w *Worker) sampleHeld() {
+// sampleUsedResources notes a change of held. w.mu is held.
+func (w *Worker) sampleUsedResources() {
 	now := time.Now()
-	w.samples = append(w.samples, sample{now, w.held})
-	for len(w.samples) > 1 && now.Sub(w.samples[1].since) > keepSamples {
+	w.samples = append(w.samples, sample{now, w.usedResources})
+	for len(w.samples) > 1 && now.Sub(w.samples[1].since) > sampleRetention {
 		w.samples = w.samples[1:]
 	}
 }
 
-// heldAt is what tasks held at a moment. w.mu is held.
-func (w *Worker) heldAt(at time.Time) model.Resources {
+// usedResourcesAt is what tasks held at a moment. w.mu is held.
+func (w *Worker) usedResourcesAt(at time.Time) model.Resources {
 	var held model.Resources
 	for _, s := range w.samples {
 		if s.since.After(at) {
 			break
 		}
-		held = s.held
+		held = s.used
 	}
 	return held
 }
@@ -103,7 +103,7 @@
 	w := &Worker{
 		vm: vm, recorder: r, boot: strconv.FormatInt(time.Now().UnixNano(), 36),
 		tasks: map[worker.Ref]*task{}, changed: make(chan struct{}),
-		inFlight: map[string]struct{}{}, conns: map[*silentConn]struct{}{},
+		inFlight: map[string]struct{}{}, conns: map[*trackedConn]struct{}{},
 		// A later boot counts on above an earlier one.
 		sequence: time.Now().UnixMicro(),
 	}
@@ -133,7 +133,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
-		c.silence()
+		c.blackhole()
 	}
 }
 
@@ -156,17 +156,17 @@
 	}
 }
 
-// bump tells waiting status calls of a change of t. w.mu is held.
-func (w *Worker) bump(t *task) {
+// signalChange tells waiting status calls of a change of t. w.mu is held.
+func (w *Worker) signalChange(t *task) {
 	w.sequence++
-	t.changed = w.sequence
+	t.changeSequence = w.sequence
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// trueDuration is what a task really takes: half to twice its declaration, the
+// actualDuration is what a task really takes: half to twice its declaration, the
 // same for each attempt at it.
-func trueDuration(ref string, declaredMS int64) time.Duration {
+func actualDuration(ref string, declaredMS int64) time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(ref))
 	factor := 0.5 + 1.5*float64(h.Sum32()%1000)/1000
@@ -183,80 +183,80 @@
 	}
 	resumed, _ := strconv.ParseInt(req.Resume, 10, 64)
 	t := &task{
-		Task:  worker.Task{Ref: req.Ref, State: worker.Running, Resources: req.Resources, Checkpoint: req.Resume},
-		total: trueDuration(req.Task, req.DurationMS), done: time.Duration(resumed) * time.Millisecond,
+		Task:     worker.Task{Ref: req.Ref, State: worker.Running, Resources: req.Resources, Checkpoint: req.Resume},
+		duration: actualDuration(req.Task, req.DurationMS), workDone: time.Duration(resumed) * time.Millisecond,
 		since: time.Now(), share: 1, leaseMS: req.LeaseMS,
 	}
 	w.tasks[req.Ref] = t
-	w.held = w.held.Add(req.Resources)
-	w.sampleHeld()
+	w.usedResources = w.usedResources.Add(req.Resources)
+	w.sampleUsedResources()
 	w.recorder.Add(record.Event{
 		Kind: record.TaskStart, VM: w.vm.Name, ID: req.Task, Attempt: req.Attempt,
 		Resources: &t.Resources, Checkpoint: req.Resume,
 	})
 	if w.faults.FailTasks {
-		t.finish = time.AfterFunc(minRunTime, func() { w.end(t, worker.Failed) })
+		t.finishTimer = time.AfterFunc(minRunTime, func() { w.endTask(t, worker.Failed) })
 	} else {
 		w.reschedule(t)
 	}
-	t.lapse = time.AfterFunc(time.Duration(t.leaseMS)*time.Millisecond, func() { w.end(t, worker.Lapsed) })
-	w.bump(t)
+	t.leaseTimer = time.AfterFunc(time.Duration(t.leaseMS)*time.Millisecond, func() { w.endTask(t, worker.Lapsed) })
+	w.signalChange(t)
 }
 
 // reschedule sets the timer of t's end from its progress and share. w.mu is held.
 func (w *Worker) reschedule(t *task) {
-	if t.finish != nil {
-		t.finish.Stop()
+	if t.finishTimer != nil {
+		t.finishTimer.Stop()
 	}
 	if t.share <= 0 {
 		return
 	}
-	left := max(t.total-t.done, 0)
+	left := max(t.duration-t.workDone, 0)
 	wait := max(time.Duration(float64(left)/t.share), minRunTime)
-	t.finish = time.AfterFunc(wait, func() { w.end(t, worker.Finished) })
+	t.finishTimer = time.AfterFunc(wait, func() { w.endTask(t, worker.Finished) })
 }
 
-// progress brings t.done up to now. w.mu is held.
-func (t *task) progress() {
+// updateProgress brings t.done up to now. w.mu is held.
+func (t *task) updateProgress() {
 	now := time.Now()
-	t.done += time.Duration(float64(now.Sub(t.since)) * t.share)
+	t.workDone += time.Duration(float64(now.Sub(t.since)) * t.share)
 	t.since = now
 }
 
 func (t *task) stopTimers() {
-	if t.finish != nil {
-		t.finish.Stop()
+	if t.finishTimer != nil {
+		t.finishTimer.Stop()
 	}
-	if t.lapse != nil {
-		t.lapse.Stop()
+	if t.leaseTimer != nil {
+		t.leaseTimer.Stop()
 	}
 }
 
-func (t *task) checkpoint() {
-	t.progress()
-	t.Checkpoint = strconv.FormatInt(t.done.Milliseconds(), 10)
+func (t *task) takeCheckpoint() {
+	t.updateProgress()
+	t.Checkpoint = strconv.FormatInt(t.workDone.Milliseconds(), 10)
 }
 
-// end moves a running attempt to a final state.
-func (w *Worker) end(t *task, state worker.State) {
+// endTask moves a running attempt to a final state.
+func (w *Worker) endTask(t *task, state worker.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.endLocked(t, state)
+	w.endTaskLocked(t, state)
 }
 
-func (w *Worker) endLocked(t *task, state worker.State) {
+func (w *Worker) endTaskLocked(t *task, state worker.State) {
 	if t.State != worker.Running || w.tasks[t.Ref] != t {
 		return
 	}
 	t.State = state
 	t.stopTimers()
-	w.held = w.held.Sub(t.Resources)
-	w.sampleHeld()
+	w.usedResources = w.usedResources.Sub(t.Resources)
+	w.sampleUsedResources()
 	w.recorder.Add(record.Event{
 		Kind: record.TaskEnd, VM: w.vm.Name, ID: t.Ref.Task, Attempt: t.Attempt,
 		Reason: string(state), Checkpoint: t.Checkpoint, Resources: &t.Resources,
 	})
-	w.bump(t)
+	w.signalChange(t)
 }
 
 func (w *Worker) renew(lease time.Duration) {
@@ -264,7 +264,7 @@
 	defer w.mu.Unlock()
 	for _, t := range w.tasks {
 		if t.State == worker.Running {
-			t.lapse.Reset(lease)
+			t.leaseTimer.Reset(lease)
 		}
 	}
 }
@@ -277,9 +277,9 @@
 		return worker.Task{}, false
 	}
 	if checkpoint && t.State == worker.Running {
-		t.checkpoint()
+		t.takeCheckpoint()
 	}
-	w.endLocked(t, worker.Stopped)
+	w.endTaskLocked(t, worker.Stopped)
 	return t.Task, true
 }
 
@@ -289,7 +289,7 @@
 	saved := []worker.Task{}
 	for _, t := range w.tasks {
 		if t.State == worker.Running {
-			t.checkpoint()
+			t.takeCheckpoint()
 			saved = append(saved, t.Task)
 		}
 	}
@@ -303,7 +303,7 @@
 	if t == nil || t.State != worker.Running {
 		return false
 	}
-	t.progress()
+	t.updateProgress()
 	t.share = share
 	w.reschedule(t)
 	return true
@@ -326,7 +326,7 @@
 	defer w.mu.Unlock()
 	s := worker.Status{Sequence: w.sequence, Boot: w.boot, Connections: len(w.conns), Usage: w.usage()}
 	for _, t := range w.tasks {
-		if t.changed > after {
+		if t.changeSequence > after {
 			s.Tasks = append(s.Tasks, t.Task)
 		}
 	}
@@ -340,12 +340,12 @@
 func (w *Worker) slowdown() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.slowdownBy(w.held)
+	return w.slowdownFor(w.usedResources)
 }
 
-// slowdownBy is the factor by which tasks that hold so much slow requests.
+// slowdownFor is the factor by which tasks that hold so much slow requests.
 // w.mu is held.
-func (w *Worker) slowdownBy(held model.Resources) float64 {
+func (w *Worker) slowdownFor(held model.Resources) float64 {
 	factor := max(w.faults.SlowFactor, 1)
 	if w.vm.Capacity.MilliCPU == 0 {
 		return factor
