--- a/internal/jobs/leader.go
+++ b/internal/jobs/leader.go
@@ -241,7 +241,7 @@
 		return errkind.New(errkind.NotOwner, "", nil)
 	case <-ctx.Done():
 		// The command was not accepted, so it is certainly not executed.
-		return errkind.New(errkind.StoreUnavailable, "the job shard is waiting for the store", ctx.Err())
+		return errkind.New(errkind.StoreUnavailable, "the job shard waits for the store", ctx.Err())
 	}
 	select {
 	case err := <-result:
@@ -251,10 +251,10 @@
 		case err := <-result:
 			return commandError(err)
 		default:
-			return errkind.New(errkind.StoreUnknown, "the leader of the job shard changed during the call", nil)
+			return errkind.New(errkind.StoreUnknown, "the job shard changed hands meanwhile", nil)
 		}
 	case <-ctx.Done():
-		return errkind.New(errkind.StoreUnknown, "the outcome is unknown; the call is idempotent, repeat it", ctx.Err())
+		return errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", ctx.Err())
 	}
 }
 
@@ -271,7 +271,7 @@
 	case errors.Is(err, ErrSuperseded):
 		return errkind.New(errkind.NotOwner, "", err)
 	}
-	return errkind.New(errkind.StoreUnknown, "the outcome is unknown; the call is idempotent, repeat it", err)
+	return errkind.New(errkind.StoreUnknown, "repeat the call, it is recognised", err)
 }
 
 // Submit accepts a job. It is idempotent: submitting an identical job again succeeds.
@@ -284,7 +284,7 @@
 			if reflect.DeepEqual(j.Spec, spec) {
 				return nil, nil
 			}
-			return nil, errkind.New(errkind.AlreadyExists, "the team already has a different job with this id", nil)
+			return nil, errkind.New(errkind.AlreadyExists, "the team has another job of that id", nil)
 		}
 		open := spec.Tasks
 		for _, j := range s.Jobs {
--- a/internal/vms/requests.go
+++ b/internal/vms/requests.go
@@ -197,7 +197,7 @@
 func (m *Manager) await(ctx context.Context, w *waiter, wait time.Duration) (*Grant, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	err := errkind.New(errkind.Overloaded, "no slot became free in time", nil)
+	err := errkind.New(errkind.Overloaded, "no slot came free in time", nil)
 	select {
 	case g := <-w.grant:
 		return g, nil
