--- a/internal/scheduler/endclassification.go
+++ b/internal/scheduler/endclassification.go
@@ -76,7 +76,7 @@
 		return nil
 	}
 	e := &vmEndRecord{inc: inc, end: end, classifyBy: end.noticedAt + classifyDelay, trials: map[int64]endInTrial{}}
-	s.classifiedVMEnds = append(s.classifiedVMEnds, e)
+	s.vmEndRecords = append(s.vmEndRecords, e)
 	return e
 }
 
@@ -129,7 +129,7 @@
 }
 
 func (s *Scheduler) isUnclassified(inc vmIncarnation) bool {
-	return slices.ContainsFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return e.inc == inc && !e.classified })
+	return slices.ContainsFunc(s.vmEndRecords, func(e *vmEndRecord) bool { return e.inc == inc && !e.classified })
 }
 
 // awaitsClassification reports whether the task's next start has to wait until the ends of its
@@ -143,10 +143,10 @@
 // classifyEnds classifies the ends that are due, and those for which it is already known whether
 // many VMs ended together, so that recent tasks needn't wait.
 func (s *Scheduler) classifyEnds(now Time) {
-	if len(s.classifiedVMEnds) == 0 {
+	if len(s.vmEndRecords) == 0 {
 		return
 	}
-	for _, e := range s.classifiedVMEnds {
+	for _, e := range s.vmEndRecords {
 		if e.classified {
 			continue
 		}
@@ -155,7 +155,7 @@
 			s.classifyEnd(now, e)
 		}
 	}
-	s.classifiedVMEnds = slices.DeleteFunc(s.classifiedVMEnds, func(e *vmEndRecord) bool { return now-e.classifyBy > endRetention })
+	s.vmEndRecords = slices.DeleteFunc(s.vmEndRecords, func(e *vmEndRecord) bool { return now-e.classifyBy > endRetention })
 }
 
 // othersReportedSince reports whether all other VMs have reported since the end.
@@ -193,7 +193,7 @@
 	if !found {
 		return
 	}
-	for _, e := range slices.Clone(s.classifiedVMEnds) {
+	for _, e := range slices.Clone(s.vmEndRecords) {
 		if !e.classified || e.withRecentStart == 0 {
 			continue
 		}
@@ -207,7 +207,7 @@
 // reclassifyBeside reclassifies the ends of VMs where a task had just begun beside another task's
 // trial, after the task has run on a VM without ending it: it didn't end that VM either.
 func (s *Scheduler) reclassifyBeside(now Time, t *task) {
-	for _, e := range slices.Clone(s.classifiedVMEnds) {
+	for _, e := range slices.Clone(s.vmEndRecords) {
 		if e.removeBeside(t) && e.classified {
 			s.reclassifyEnd(now, e)
 		}
@@ -227,7 +227,7 @@
 // confirmAlive corrects the ends that counted an unresponsive incarnation as ended with them,
 // after it has responded again.
 func (s *Scheduler) confirmAlive(now Time, inc vmIncarnation) {
-	for _, e := range slices.Clone(s.classifiedVMEnds) {
+	for _, e := range slices.Clone(s.vmEndRecords) {
 		if i := slices.Index(e.unconfirmed, inc); e.classified && i >= 0 {
 			e.unconfirmed = slices.Delete(e.unconfirmed, i, i+1)
 			e.simultaneous--
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -29,7 +29,7 @@
 	if rep.Born != 0 {
 		v.born = rep.Born
 	}
-	s.recordGuarded(v)
+	s.recordFenced(v)
 	v.setClock(sentAt, now, rep.Clock)
 	v.otherIncarnation = false
 	if !v.hasReported {
--- a/internal/scheduler/restarts.go
+++ b/internal/scheduler/restarts.go
@@ -150,8 +150,8 @@
 	return s.fence
 }
 
-// recordGuarded sets fenced once the VM has answered a hold with its current token.
-func (s *Scheduler) recordGuarded(v *vm) {
+// recordFenced sets fenced once the VM has answered a hold with its current token.
+func (s *Scheduler) recordFenced(v *vm) {
 	if !v.fenced && !v.needsToken && v.lastHoldToken == v.token {
 		v.fenced, s.planNeeded = true, true
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -359,11 +359,11 @@
 	// listReadAt is when the VM list was last read.
 	listReadAt Time
 	// recentVMEnds are the incarnations that ended recently, unconfirmedCrashes the runs
-	// that may have ended an incarnation. classifiedVMEnds are the VM ends that are being
+	// that may have ended an incarnation. vmEndRecords are the VM ends that are being
 	// classified or were recently.
 	recentVMEnds       map[vmIncarnation]vmEnd
 	unconfirmedCrashes map[vmIncarnation]map[*task]int64
-	classifiedVMEnds   []*vmEndRecord
+	vmEndRecords       []*vmEndRecord
 	startLog           startLog
 	// endedUnreported is set once a VM that an earlier leader may have used ended before
 	// its first report to this leader, or the wait for that report timed out.
