--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker reads the stand-ins' record of what really happened and says
-// whether the nine invariants held, and on how many events each was checked.
+// Package checker verifies nine invariants against the events recorded by the
+// stand-ins and the callers, and counts the events that each was checked on.
 package checker
 
 import (
@@ -14,27 +14,29 @@
 )
 
 const (
-	// leavingGrace is how long after the list says so a leaving VM may get new work.
+	// leavingGrace is how long after the platform's list first shows a VM as
+	// leaving the VM may still receive new work.
 	leavingGrace = 3 * time.Second
-	// maxConfigDelay is how long an accepted configuration may take to be in force.
+	// maxConfigDelay is the maximum time from the acceptance of a configuration
+	// until every reachable node uses it.
 	maxConfigDelay = 10 * time.Second
-	// maxExamples bounds the examples kept of each broken invariant.
+	// maxExamples limits the examples kept of each violated invariant.
 	maxExamples = 5
 )
 
-// Reason values of record.CallerAnswer that the checks look at.
+// Reason values of record.CallerAnswer events that the checks use.
 const (
-	// ReasonCut: the connection broke off under the caller.
+	// ReasonCut means that the caller's connection broke.
 	ReasonCut = "cut"
 )
 
-// Result is the verdict on one invariant.
+// Result is the outcome of checking one invariant.
 type Result struct {
 	ID    string `json:"id"`
 	Title string `json:"title"`
-	// Checked counts the events that could have broken it.
+	// Checked counts the events that could have violated it.
 	Checked int `json:"checked"`
-	// Broken counts the breaks; Examples tells of the first ones.
+	// Broken counts the violations; Examples describes the first ones.
 	Broken   int      `json:"broken"`
 	Examples []string `json:"examples,omitempty"`
 }
@@ -46,7 +48,8 @@
 	}
 }
 
-// Check returns the verdict on I1 to I9, in that order.
+// Check verifies I1 to I9 against events, which it orders by time, and returns
+// their results in that order.
 func Check(events []record.Event) []Result {
 	events = append([]record.Event(nil), events...)
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
@@ -56,7 +59,7 @@
 	}
 }
 
-// Broken reports whether any invariant was broken.
+// Broken reports whether any invariant was violated.
 func Broken(results []Result) bool {
 	for _, r := range results {
 		if r.Broken > 0 {
@@ -101,7 +104,8 @@
 	return r
 }
 
-// loadChange is what an event adds to (1) or takes from (-1) a VM's load.
+// loadChange returns the resources that an event concerns and whether it adds
+// them to a VM's load (1), removes them (-1) or leaves it unchanged (0).
 func loadChange(e record.Event) (model.Resources, int) {
 	slot := model.Resources{}
 	if e.Class != model.Standing {
@@ -150,7 +154,7 @@
 	return r
 }
 
-// taskHistory is what became of one task.
+// taskHistory holds the latest attempt of a task and how it ended.
 type taskHistory struct {
 	attempt    int64
 	ended      bool
@@ -185,7 +189,7 @@
 	return r
 }
 
-// checkStart checks a later start of a task against how it last ended.
+// checkStart checks a restart of a task against the end of its last attempt.
 func checkStart(r *Result, e record.Event, h *taskHistory) {
 	switch {
 	case h.finished:
@@ -197,7 +201,7 @@
 	}
 }
 
-// checkJobDone checks that each task of a job that is said to be done finished.
+// checkJobDone checks that each task of a job reported as done has finished.
 func checkJobDone(r *Result, e record.Event, tasks map[string]*taskHistory) {
 	for i := range e.Version {
 		r.Checked++
@@ -287,9 +291,9 @@
 
 func checkPlannedStop(events []record.Event) Result {
 	r := Result{ID: "I8", Title: "a planned stop cuts off no request"}
-	// open holds the requests under way at each node.
+	// open holds the IDs of the requests in progress, by node.
 	open := map[string]map[string]bool{}
-	watched := map[string]bool{}
+	duringStop := map[string]bool{}
 	stopping := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
@@ -299,18 +303,18 @@
 			}
 			open[e.Node][e.ID] = true
 			if stopping[e.Node] {
-				watched[e.ID] = true
+				duringStop[e.ID] = true
 			}
 		case record.NodeStopping:
 			stopping[e.Node] = true
 			for id := range open[e.Node] {
-				watched[id] = true
+				duringStop[id] = true
 			}
 		case record.NodeStopped:
 			delete(stopping, e.Node)
 		case record.CallerAnswer:
 			delete(open[e.Node], e.ID)
-			if watched[e.ID] {
+			if duringStop[e.ID] {
 				r.Checked++
 				if e.Reason == ReasonCut {
 					r.fail(e, "request %s was cut off while %s stopped", e.ID, e.Node)
@@ -355,8 +359,8 @@
 			}
 			seen[e.Node] = e.Version
 			for _, a := range accepted {
-				// A node that nothing reaches cannot know; its time begins when it
-				// is reached again.
+				// An unreachable node cannot receive a new version; its time limit
+				// starts when it is reachable again.
 				since := later(a.At, reachedAt[e.Node])
 				if !cutOff[e.Node] && e.At.Sub(since) > maxConfigDelay && e.Version < a.Version {
 					r.fail(e, "%s uses version %d, %v after %d was accepted", e.Node, e.Version, e.At.Sub(a.At), a.Version)
