--- a/internal/fakenet/conn.go
+++ b/internal/fakenet/conn.go
@@ -11,10 +11,12 @@
 	"time"
 )
 
-// receiveBufferSize is how much may wait at a receiver before the sender has to wait.
+// receiveBufferSize is the number of unread bytes at a receiver above which
+// the sender blocks.
 const receiveBufferSize = 256 << 10
 
-// endpoint is one end of a connection: what was sent to it and not yet read.
+// endpoint is one end of a connection, with the data sent to it and not yet
+// read.
 type endpoint struct {
 	network *Network
 	ip      string
@@ -23,10 +25,11 @@
 
 	mu   sync.Mutex
 	cond *sync.Cond
-	// received arrived; held was sent by this end and waits for the network to heal.
+	// received has arrived and is not yet read; undelivered was sent by this
+	// endpoint while the network blocked it.
 	received    []byte
 	undelivered []byte
-	// closePending: this end was closed while its bytes were held.
+	// closePending is set when this endpoint was closed with undelivered data.
 	closePending bool
 	err          error
 	closed       bool
@@ -65,7 +68,7 @@
 
 // Write implements net.Conn.
 func (e *endpoint) Write(b []byte) (int, error) {
-	cut := e.network.isBlocked(e.ip, e.peer.ip)
+	blocked := e.network.isBlocked(e.ip, e.peer.ip)
 	e.mu.Lock()
 	if e.closed || e.err != nil && !errors.Is(e.err, io.EOF) {
 		e.mu.Unlock()
@@ -75,7 +78,7 @@
 		e.mu.Unlock()
 		return len(b), nil
 	}
-	if cut || len(e.undelivered) > 0 {
+	if blocked || len(e.undelivered) > 0 {
 		e.undelivered = append(e.undelivered, b...)
 		e.mu.Unlock()
 		return len(b), nil
@@ -98,22 +101,22 @@
 	return len(b), nil
 }
 
-// deliver sends what was held while the network was cut.
+// deliver sends the data that was written while the network blocked it.
 func (e *endpoint) deliver() {
 	e.mu.Lock()
-	held, closing := e.undelivered, e.closePending
+	undelivered, closing := e.undelivered, e.closePending
 	e.undelivered, e.closePending = nil, false
-	silent := e.blackholed
+	blackholed := e.blackholed
 	e.mu.Unlock()
-	if len(held) > 0 && !silent {
-		_, _ = e.peer.receive(held)
+	if len(undelivered) > 0 && !blackholed {
+		_, _ = e.peer.receive(undelivered)
 	}
-	if closing && !silent {
+	if closing && !blackholed {
 		e.peer.fail(io.EOF)
 	}
 }
 
-// fail ends reading at this end, after what has arrived.
+// fail makes reads at this endpoint return err after the received data.
 func (e *endpoint) fail(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,7 +126,7 @@
 	e.cond.Broadcast()
 }
 
-// abort closes this end and resets the other.
+// abort closes this endpoint and resets the other.
 func (e *endpoint) abort(err error) {
 	e.markClosed()
 	if !e.network.isBlocked(e.ip, e.peer.ip) {
@@ -146,15 +149,15 @@
 
 // Close implements net.Conn.
 func (e *endpoint) Close() error {
-	cut := e.network.isBlocked(e.ip, e.peer.ip)
+	blocked := e.network.isBlocked(e.ip, e.peer.ip)
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return net.ErrClosed
 	}
-	silent := e.blackholed
-	if cut || len(e.undelivered) > 0 {
-		// The end stays known, so that what it holds arrives later.
+	blackholed := e.blackholed
+	if blocked || len(e.undelivered) > 0 {
+		// The endpoint stays registered so that its data is delivered later.
 		e.closePending, e.closed = true, true
 		e.cond.Broadcast()
 		e.mu.Unlock()
@@ -162,13 +165,14 @@
 	}
 	e.mu.Unlock()
 	e.markClosed()
-	if !silent {
+	if !blackholed {
 		e.peer.fail(io.EOF)
 	}
 	return nil
 }
 
-// SetLinger makes Close send a reset, as (*net.TCPConn).SetLinger(0) does.
+// SetLinger resets the connection, as (*net.TCPConn).SetLinger(0) makes Close
+// do.
 func (e *endpoint) SetLinger(int) error {
 	e.abort(syscall.ECONNRESET)
 	return nil
@@ -203,5 +207,6 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.Conn. Writes do not wait for long.
+// SetWriteDeadline implements net.Conn. It has no effect: writes block only
+// while the receiver's buffer is full.
 func (e *endpoint) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -1,6 +1,6 @@
-// Package fakenet is a network in memory for tests under testing/synctest: hosts
-// listen and connect by ip:port, and a test can kill a host, cut two hosts off
-// from each other, or make open connections go silent.
+// Package fakenet is an in-memory network for tests under testing/synctest.
+// Hosts listen and connect by ip:port; a test can kill a host, partition hosts
+// from each other, or make open connections drop all data.
 package fakenet
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// firstPort is the first port given out for port 0.
+// firstPort is one below the first port assigned to a listener on port 0 or to a
+// connection.
 const firstPort = 10000
 
-// Network connects hosts.
+// Network connects hosts by IP address. Its hosts need no registration.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -36,11 +37,12 @@
 	}
 }
 
-// Host returns the network as the host of that IP number sees it.
+// Host returns the network as the host with that IP address sees it.
 func (n *Network) Host(ip string) netio.Network { return &host{network: n, ip: ip} }
 
-// SetCut makes what goes from one IP number to another wait while cut says so;
-// it arrives when a later SetCut lets it. Cutting one direction only is allowed.
+// SetCut holds back the data from one IP address to another for which cut
+// returns true, until a later SetCut allows it. cut may block one direction
+// only.
 func (n *Network) SetCut(cut func(from, to string) bool) {
 	n.mu.Lock()
 	n.blocked = cut
@@ -58,8 +60,8 @@
 	}
 }
 
-// Silence makes all connections now open between two hosts lose, for good, what
-// is sent on them in either direction. New connections work.
+// Silence makes all connections now open between two hosts drop all further
+// data in both directions, permanently. New connections work.
 func (n *Network) Silence(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,8 +74,8 @@
 	}
 }
 
-// Kill resets all connections of a host and closes its listeners, as when its
-// process dies.
+// Kill resets all connections of a host and closes its listeners, as a crash
+// of its process does.
 func (n *Network) Kill(ip string) {
 	n.mu.Lock()
 	var reset []*endpoint
@@ -100,7 +102,7 @@
 	return n.blocked(from, to)
 }
 
-// host is a Network seen from one IP number.
+// host is a Network as seen from one IP address.
 type host struct {
 	network *Network
 	ip      string
@@ -162,7 +164,7 @@
 	}
 }
 
-// newConnPair makes the two ends of a connection.
+// newConnPair returns the two endpoints of a new connection.
 func (n *Network) newConnPair(a, b string) (client, server *endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
