--- a/internal/hosting/hosting.go
+++ b/internal/hosting/hosting.go
@@ -1,6 +1,6 @@
-// Package hosting says what rattanwall needs of the platform it runs on: a
-// small key-value service (Store) and a lagging list of VMs (VMList). The wire
-// format lives in an adapter package; nothing here knows it.
+// Package hosting defines what rattanwall needs of the platform it runs on: a
+// small key-value service (Store) and a list of VMs that may lag (VMList). The
+// wire format is left to an adapter package.
 package hosting
 
 import (
@@ -12,50 +12,53 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Revision numbers the writes of the whole store; each write gets a higher one.
-// Zero stands for "no such key".
+// Revision orders the writes of the whole store: each write gets a higher one.
+// Zero means that the key does not exist.
 type Revision int64
 
-// LeaseID names a lease that the store keeps by its own clock.
+// LeaseID identifies a lease, which the store expires by its own clock.
 type LeaseID string
 
-// Entry is a key with its value.
+// Entry is a key of the store with its value and last write.
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is that of the write that set the value.
+	// Revision is the revision of the write that set the value.
 	Revision Revision
-	// Lease is the lease that the key dies with; empty for none.
+	// Lease is the lease whose end deletes the key; empty for none.
 	Lease LeaseID
 }
 
-// Event tells of a change to a key under a watched prefix.
+// Event is a change to a key under a watched prefix.
 type Event struct {
 	Entry
-	// Deleted is set when the key is gone; Value is then empty.
+	// Deleted is set when the key was deleted; Value is then empty.
 	Deleted bool
 }
 
-// MaxValueBytes is the largest value that the store takes.
+// MaxValueBytes is the size of the largest value that the store accepts.
 const MaxValueBytes = 1 << 20
 
-// What a call to the store may return besides its result.
+// Errors returned by the methods of Store.
 var (
-	// ErrConflict: the key's revision was not the expected one; nothing was written.
+	// ErrConflict means that the key's revision was not the expected one and
+	// nothing was written.
 	ErrConflict = errors.New("the key has another revision")
-	// ErrNotFound: the key does not exist.
+	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("no such key")
-	// ErrLeaseGone: the lease expired or was revoked; nothing was written.
+	// ErrLeaseGone means that the lease expired or was revoked and nothing was
+	// written.
 	ErrLeaseGone = errors.New("the lease is gone")
-	// ErrUnavailable: the store refused or was not reached; nothing was written.
+	// ErrUnavailable means that the store refused the call or was not reached
+	// and nothing was written.
 	ErrUnavailable = errors.New("the store is unavailable")
-	// ErrUnknown: the answer was lost after the call may have taken effect. The
-	// caller must read back before it repeats or gives up.
+	// ErrUnknown means that the response was lost and the call may have taken
+	// effect. The caller must read the key back before it retries or gives up.
 	ErrUnknown = errors.New("the store's answer was lost")
 )
 
-// Store is the platform's key-value service. Each method is one call against
-// its rates, a waiting Watch included. All honour ctx.
+// Store is the platform's key-value service. Each method, a waiting Watch
+// included, counts as one call against its rate limits. All observe ctx.
 type Store interface {
 	// Get returns the entry of key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Entry, error)
@@ -63,7 +66,8 @@
 	// the store's revision at that moment.
 	List(ctx context.Context, prefix string) ([]Entry, Revision, error)
 	// Put writes value if the key's revision is expect (zero: the key must not
-	// exist), and returns the new revision. With a lease, the key dies with it.
+	// exist), and returns the new revision. The end of lease, if any, deletes
+	// the key.
 	Put(ctx context.Context, key string, value []byte, expect Revision, lease LeaseID) (Revision, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect Revision) error
@@ -79,9 +83,9 @@
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
 }
 
-// VMList is the platform's lagging list of live and leaving VMs.
+// VMList is the platform's list of live and leaving VMs, which may lag.
 type VMList interface {
-	// VMs returns the list as the platform has it now and its version. When that
-	// version is known, the list is nil: an unchanged list is not sent again.
+	// VMs returns the platform's current list and its version. If that version
+	// equals known, the list is nil: an unchanged list is not sent again.
 	VMs(ctx context.Context, known string) (list []model.VM, version string, err error)
 }
--- a/internal/hosting/hostingtest/contract.go
+++ b/internal/hosting/hostingtest/contract.go
@@ -1,5 +1,5 @@
-// Package hostingtest holds the contracts of package platform as tests. Every
-// implementation of its interfaces runs them.
+// Package hostingtest contains the contract tests of package hosting, which
+// every implementation of its interfaces must pass.
 package hostingtest
 
 import (
@@ -16,7 +16,7 @@
 )
 
 // Store checks an empty store against the contract. It must run in a bubble of
-// package testing/synctest: leases and watches take time.
+// package testing/synctest because it waits for leases and watches.
 func Store(t *testing.T, s hosting.Store) {
 	t.Helper()
 	for _, c := range []struct {
@@ -24,19 +24,19 @@
 		check func(t *testing.T, ctx context.Context, s hosting.Store)
 	}{
 		{"writes are conditional", conditionalWrites},
-		{"revisions grow", revisionsGrow},
+		{"revisions increase", revisionsGrow},
 		{"deletes are conditional", conditionalDeletes},
 		{"listing is by prefix and sorted", listing},
-		{"a lapsed lease takes its keys along", leases},
-		{"a revoked lease too", revoke},
-		{"of racing writers one wins", race},
-		{"a watch tells of each change once", watch},
+		{"an expired lease deletes its keys", leases},
+		{"a revoked lease deletes its keys", revoke},
+		{"one of several concurrent writers succeeds", race},
+		{"a watch returns each change once", watch},
 		{"a watch without changes ends", watchEnds},
 	} {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		c.check(t, ctx, s)
 		cancel()
-		t.Logf("%s: held", c.name)
+		t.Logf("%s: passed", c.name)
 	}
 }
 
@@ -76,7 +76,7 @@
 	require.ErrorIs(t, s.Delete(ctx, "cd/a", rev), hosting.ErrNotFound)
 	again, err := s.Put(ctx, "cd/a", []byte("2"), 0, "")
 	require.NoError(t, err)
-	require.Greater(t, again, rev, "a key made anew does not take up an old revision")
+	require.Greater(t, again, rev, "a recreated key does not reuse an old revision")
 }
 
 func listing(t *testing.T, ctx context.Context, s hosting.Store) {
@@ -101,7 +101,7 @@
 	require.NoError(t, s.Renew(ctx, id))
 	time.Sleep(1500 * time.Millisecond)
 	e, err := s.Get(ctx, "le/a")
-	require.NoError(t, err, "renewed, it lives on")
+	require.NoError(t, err, "a renewed lease keeps its keys")
 	require.Equal(t, id, e.Lease)
 	time.Sleep(time.Second)
 	_, err = s.Get(ctx, "le/a")
@@ -110,7 +110,7 @@
 	_, err = s.Put(ctx, "le/b", nil, 0, id)
 	require.ErrorIs(t, err, hosting.ErrLeaseGone)
 	_, err = s.Put(ctx, "le/a", []byte("2"), rev, "")
-	require.ErrorIs(t, err, hosting.ErrConflict, "a lapsed key has no revision any more")
+	require.ErrorIs(t, err, hosting.ErrConflict, "an expired key has no revision")
 }
 
 func revoke(t *testing.T, ctx context.Context, s hosting.Store) {
@@ -182,7 +182,8 @@
 	require.InDelta(t, 2.0, time.Since(started).Seconds(), 0.5)
 }
 
-// VMList checks a list that holds the given VMs against the contract.
+// VMList checks a list that contains exactly the VMs of want against the
+// contract.
 func VMList(t *testing.T, l hosting.VMList, want []model.VM) {
 	t.Helper()
 	list, version, err := l.VMs(t.Context(), "")
--- a/internal/hosting/httphosting/client.go
+++ b/internal/hosting/httphosting/client.go
@@ -1,6 +1,6 @@
-// Package httphosting is the adapter to the platform's HTTP interface. It is
-// the only package that knows the wire format of the store and the VM list;
-// the stand-in platform imports the same message types.
+// Package httphosting is the adapter to the platform's HTTP interface. It alone
+// defines the wire format of the store and the VM list; the stand-in platform
+// imports the same message types.
 package httphosting
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// WireEntry is a key on the wire. Value travels as base64.
+// WireEntry is an entry of the store in a message. Value is encoded as base64.
 type WireEntry struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -26,26 +26,28 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// WireList answers a listing, a watch or a put (then Entries is empty).
+// WireList is the response to a listing, a watch or a put (then Entries is
+// empty).
 type WireList struct {
 	Entries  []WireEntry `json:"entries,omitempty"`
 	Revision int64       `json:"revision"`
 }
 
-// WirePut asks for a conditional write.
+// WirePut is the body of a conditional write, made if the key's revision is
+// Expect.
 type WirePut struct {
 	Value  []byte `json:"value"`
 	Expect int64  `json:"expect"`
 	Lease  string `json:"lease,omitempty"`
 }
 
-// WireLease asks for a lease (TTLMS, milliseconds) or answers with one (ID).
+// WireLease requests a lease (TTLMS, in milliseconds) or returns one (ID).
 type WireLease struct {
 	ID    string `json:"id,omitempty"`
 	TTLMS int64  `json:"ttl_ms,omitempty"`
 }
 
-// WireVMs is the list of VMs; VMs is absent when the version is known.
+// WireVMs is the list of VMs; VMs is absent when the client has this version.
 type WireVMs struct {
 	Version string     `json:"version"`
 	VMs     []model.VM `json:"vms,omitempty"`
@@ -74,13 +76,13 @@
 )
 
 const (
-	// callTimeout bounds one call other than a watch. Past it the outcome of a
+	// callTimeout limits one call other than a watch. After it the outcome of a
 	// write is unknown and the caller has to read back.
 	callTimeout = 3 * time.Second
-	// maxIdleConnections is how many connections to the platform are kept.
+	// maxIdleConnections is how many idle connections to the platform are kept.
 	maxIdleConnections = 8
-	// watchGrace is added to a watch's waiting time, so that only a watch gone
-	// silent runs into its timeout.
+	// watchGrace is added to a watch's waiting time, so that only an
+	// unresponsive watch times out.
 	watchGrace = time.Second
 )
 
@@ -93,8 +95,8 @@
 // Close drops the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// do performs one call. A request that was certainly not applied comes back as
-// ErrUnavailable, one that may have been as ErrUnknown.
+// do performs one call. It returns ErrUnavailable for a request that was
+// certainly not applied and ErrUnknown for one that may have been.
 func (c *Client) do(ctx context.Context, s *sling.Sling, timeout time.Duration, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -113,20 +115,22 @@
 		return kind
 	}
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "read store answer"), hosting.ErrUnknown)
+		return errors.Mark(errors.Wrap(err, "read store response"), hosting.ErrUnknown)
 	}
 	if resp.ContentLength == 0 {
-		// Decoding passes over it; taken for an answer it would tell of a store
-		// without keys.
+		// The decoder ignores an empty body; the zero value would look like the
+		// response of a store without keys.
 		return errEmptyResponse
 	}
 	return nil
 }
 
-// errEmptyResponse: the platform answered with success and nothing of what was asked.
-var errEmptyResponse = errors.Mark(errors.New("the answer has no content"), hosting.ErrUnknown)
+// errEmptyResponse means that the platform reported success without the
+// requested content.
+var errEmptyResponse = errors.Mark(errors.New("the platform's response has no content"), hosting.ErrUnknown)
 
-// statusError maps the published status codes of the platform.
+// statusError maps the platform's documented status codes to errors; any other
+// code leaves the outcome unknown.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -140,7 +144,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return hosting.ErrUnavailable
 	}
-	return errors.Mark(errors.Newf("store answered %s", strconv.Itoa(status)), hosting.ErrUnknown)
+	return errors.Mark(errors.Newf("store responded with status %s", strconv.Itoa(status)), hosting.ErrUnknown)
 }
 
 // Get implements hosting.Store.
@@ -169,7 +173,7 @@
 // Put implements hosting.Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expect hosting.Revision, lease hosting.LeaseID) (hosting.Revision, error) {
 	if len(value) > hosting.MaxValueBytes {
-		return 0, errors.Newf("value of %s has %d bytes, the store takes %d", key, len(value), hosting.MaxValueBytes)
+		return 0, errors.Newf("value of %s has %d bytes, the store accepts at most %d", key, len(value), hosting.MaxValueBytes)
 	}
 	body := WirePut{Value: value, Expect: int64(expect), Lease: string(lease)}
 	var w WireList
@@ -219,7 +223,7 @@
 	var w WireVMs
 	err := c.do(ctx, c.base.New().Get("vms").QueryStruct(keyQuery{Known: known}), callTimeout, &w)
 	if err == nil && w.Version == "" {
-		// A list without VMs has all tasks evicted.
+		// Taken for a list without VMs, it would evict all tasks.
 		err = errEmptyResponse
 	}
 	return w.VMs, w.Version, err
--- a/internal/hosting/httphosting/client_test.go
+++ b/internal/hosting/httphosting/client_test.go
@@ -12,9 +12,9 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// What happened: all tasks of a deployment were evicted, and no VM was owned.
-// Sequence: the platform answers with success and nothing else.
-// Cause: an answer without its content was taken for a list without VMs.
+// Guards against evicting all tasks and owning no VM when the platform responds
+// with success but without content: an empty response is taken for a list
+// without VMs.
 func TestAnswerWithoutContentIsNoList(t *testing.T) {
 	for _, body := range []string{"", "{}", `{"vms":[]}`} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }))
@@ -26,8 +26,8 @@
 	}
 }
 
-// What happened: a node took all shards for free and all jobs for unknown until its
-// first write failed. Sequence and cause as above, for the store.
+// Guards against a node that considers all shards free and all jobs unknown until
+// its first write fails: an empty response is taken for a listing without keys.
 func TestAnswerWithoutContentIsNoListing(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
