--- a/internal/standin/hosting/contract_test.go
+++ b/internal/standin/hosting/contract_test.go
@@ -41,9 +41,9 @@
 	})
 }
 
-// Symptom: a write that took effect is reported as refused, and made again.
-// Sequence: the store applies the write and its answer is lost; or the store is
-// away and applies nothing. Cause: both look like a failed call.
+// Guards against reporting a write that took effect as refused, so that the caller
+// repeats it. Both a lost response to an applied write and an unavailable store,
+// which applies nothing, look like a failed call.
 func TestAdapterDistinguishesLostAnswersFromRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := fakenet.New()
--- a/internal/standin/hosting/direct.go
+++ b/internal/standin/hosting/direct.go
@@ -10,8 +10,8 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Direct is the stand-in without a wire between: for tests of what uses a store,
-// and to hold the stand-in itself to the contract.
+// Direct calls the stand-in without a network, for tests of code that uses a
+// store and for the contract tests of the stand-in itself.
 type Direct struct{ *Platform }
 
 var (
@@ -19,7 +19,7 @@
 	_ hosting.VMList = Direct{}
 )
 
-// statusError is what the adapter makes of a status.
+// statusError returns the error to which the adapter maps a status.
 func statusError(status int) error {
 	switch status {
 	case statusOK:
--- a/internal/standin/hosting/platform.go
+++ b/internal/standin/hosting/platform.go
@@ -1,7 +1,6 @@
 // Package hosting is the stand-in for the platform: the key-value service
 // with compare-and-swap, leases and watches, and the list of VMs. It keeps
-// everything in memory, counts each call by kind, and has faults that tests
-// switch on.
+// all data in memory, counts each call by kind, and injects faults for tests.
 package hosting
 
 import (
@@ -77,7 +76,7 @@
 	return ok
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes a VM from the list.
 func (p *Platform) RemoveVM(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +96,8 @@
 	return vms
 }
 
-// vmList answers with the list unless its version is known.
+// vmList returns the list and its version, without the VMs if the version is
+// the known one.
 func (p *Platform) vmList(known string) wire.WireVMs {
 	p.mu.Lock()
 	version := strconv.FormatInt(p.vmsVersion, 10)
@@ -108,7 +108,7 @@
 	return wire.WireVMs{Version: version, VMs: p.VMs()}
 }
 
-// Calls returns how many calls of each kind were taken since the start.
+// Calls returns the number of calls of each kind since the start.
 func (p *Platform) Calls() map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	p.calls[kind]++
 }
 
-// write applies a change of one key and wakes the watches. p.mu is held.
+// write applies a change to one key and wakes waiting watches. p.mu is held.
 func (p *Platform) write(e wire.WireEntry) int64 {
 	p.revision++
 	e.Revision = p.revision
@@ -143,7 +143,7 @@
 	return p.revision
 }
 
-// expire ends the leases that have run out. p.mu is held.
+// expire ends the leases that have expired. p.mu is held.
 func (p *Platform) expire(now time.Time) {
 	for id, l := range p.leases {
 		if now.After(l.expires) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// endLease deletes a lease and the keys that die with it. p.mu is held.
+// endLease deletes a lease and its keys. p.mu is held.
 func (p *Platform) endLease(id string) {
 	delete(p.leases, id)
 	for key, e := range p.entries {
@@ -248,8 +248,8 @@
 	return wire.WireLease{ID: id}, statusOK
 }
 
-// changesSince returns the changes under prefix after a revision, and a channel that
-// closes at the next change.
+// changesSince returns the changes under prefix after a revision, and a channel
+// that is closed at the next change.
 func (p *Platform) changesSince(prefix string, after int64) (wire.WireList, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/hosting/server.go
+++ b/internal/standin/hosting/server.go
@@ -23,15 +23,15 @@
 
 	// vmListCall is the kind under which reads of the list of VMs are counted.
 	vmListCall = "vms"
-	// leaseExpiryInterval is how often a waiting watch looks for lapsed leases.
+	// leaseExpiryInterval is how often a waiting watch checks for expired leases.
 	leaseExpiryInterval = 100 * time.Millisecond
 )
 
-// Faults are switched per listener, so that one availability zone can be cut
-// off while others are not.
+// Faults are set per listener, so that one availability zone can be affected
+// while others are not.
 type Faults struct {
 	// Down makes each call of the store fail with 503; nothing is applied. The
-	// list of VMs is another service of the platform and goes on.
+	// list of VMs is a separate service of the platform and stays available.
 	Down bool `json:"down"`
 	// ListDown makes each read of the list of VMs fail.
 	ListDown bool `json:"list_down"`
@@ -39,11 +39,12 @@
 	Cut bool `json:"cut"`
 	// SlowMS delays each call, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers cuts the connection after the next N writes took effect.
+	// LoseAnswers closes the connection instead of responding to the next N
+	// writes, after each took effect.
 	LoseAnswers int64 `json:"lose_answers"`
-	// WatchSilent makes watches wait for ever.
+	// WatchSilent makes watches block until the caller gives up.
 	WatchSilent bool `json:"watch_silent"`
-	// WatchReplay makes each watch answer with the whole history again.
+	// WatchReplay makes each watch return the whole history again.
 	WatchReplay bool `json:"watch_replay"`
 }
 
@@ -69,7 +70,7 @@
 	return l, nil
 }
 
-// Address is the ip:port served.
+// Address returns the ip:port that the listener serves.
 func (l *Listener) Address() string { return l.address }
 
 // SetFaults replaces the listener's faults.
@@ -79,7 +80,7 @@
 	l.faults = f
 }
 
-// Close stops serving and cuts the open connections.
+// Close stops serving and closes the open connections.
 func (l *Listener) Close() { _ = l.server.Close() }
 
 func (l *Listener) routes() http.Handler {
@@ -111,7 +112,7 @@
 	handle("GET /v1/watch", "watch", false, l.watch)
 	handle("GET /v1/vms", vmListCall, false, func(r *http.Request) (any, int) { return p.vmList(r.FormValue("known")), statusOK })
 
-	// What follows is for tests and the demo, not part of the published protocol.
+	// The routes below are for tests and the demo, not part of the published protocol.
 	mux.HandleFunc("PUT /faults", func(_ http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if json.NewDecoder(r.Body).Decode(&f) == nil {
@@ -137,7 +138,7 @@
 	return body
 }
 
-// serve applies the faults around one call.
+// serve handles one call with the listener's faults applied.
 func (l *Listener) serve(w http.ResponseWriter, r *http.Request, kind string, write bool, f func(*http.Request) (any, int)) {
 	l.platform.count(kind)
 	l.mu.Lock()
@@ -147,7 +148,8 @@
 		l.faults.LoseAnswers--
 	}
 	l.mu.Unlock()
-	// Read first: the server notices that a caller left only after the body.
+	// The body is read first because the server detects that a caller has
+	// disconnected only once the body is read.
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -171,7 +173,7 @@
 	writeJSON(w, answer, status)
 }
 
-// watch answers with the changes after a revision as soon as there are any.
+// watch returns the changes after a revision as soon as there are any.
 func (l *Listener) watch(r *http.Request) (any, int) {
 	after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	l.mu.Lock()
--- a/internal/standin/record/record.go
+++ b/internal/standin/record/record.go
@@ -1,7 +1,7 @@
-// Package record keeps what the stand-ins saw really happen: which requests
-// and tasks ran where and when, what callers were told, which VMs were said to
-// leave. It is the ground truth that the invariant checker reads; nothing in a
-// node writes to it.
+// Package record collects the events that the stand-ins and the callers observe:
+// which requests and tasks ran where and when, which outcomes callers received,
+// which VMs were listed as leaving. The invariant checker uses them as ground
+// truth; nodes never write to the record.
 package record
 
 import (
@@ -15,37 +15,37 @@
 	"github.com/rattanwall/rattanwall/internal/model"
 )
 
-// Kind says what an event is.
+// Kind is the type of an event.
 type Kind string
 
 // The kinds of event.
 const (
 	RequestStart Kind = "request_start" // a target began to execute a request
-	RequestEnd   Kind = "request_end"   // it ended, whole or not
+	RequestEnd   Kind = "request_end"   // the execution ended, complete or not
 	ConnOpen     Kind = "conn_open"     // a target accepted a connection
 	ConnClose    Kind = "conn_close"
 	TaskStart    Kind = "task_start"
 	TaskEnd      Kind = "task_end"
 	VMStarted    Kind = "vm_started" // with its capacity
-	VMGone       Kind = "vm_gone"    // the VM died with all it held
-	VMLeaving    Kind = "vm_leaving" // the platform's list says so from now on
+	VMGone       Kind = "vm_gone"    // the VM ended with all its tasks and connections
+	VMLeaving    Kind = "vm_leaving" // the platform's list shows the VM as leaving from now on
 	CallerSent   Kind = "caller_sent"
 	CallerAnswer Kind = "caller_answer"
 	NodeStopping Kind = "node_stopping" // a planned stop began
 	NodeStopped  Kind = "node_stopped"
-	// ConfigAccepted: an operator was told that a version was made.
+	// ConfigAccepted: an operator's change was confirmed as a new version.
 	ConfigAccepted Kind = "config_accepted"
-	// JobDone: a team was told that a job with Version tasks is done.
+	// JobDone: a job with Version tasks was reported to its team as done.
 	JobDone Kind = "job_done"
-	// NodeCutOff: nothing reaches the node, neither from the platform nor from
-	// any node that the platform reaches, until NodeReached.
+	// NodeCutOff: neither the platform nor any node that it reaches can reach
+	// the node, until NodeReached.
 	NodeCutOff    Kind = "node_cut_off"
 	NodeReached   Kind = "node_reached"
-	ConfigWrite   Kind = "config_write"    // the store took a configuration
-	ConfigInForce Kind = "config_in_force" // a node was seen to use a version
+	ConfigWrite   Kind = "config_write"    // the store accepted a configuration
+	ConfigInForce Kind = "config_in_force" // a node was observed to use a version
 )
 
-// Event is one thing that happened. Only the fields that its kind needs are set.
+// Event is one observation. Only the fields that its kind needs are set.
 type Event struct {
 	Sequence int64     `json:"sequence"`
 	At       time.Time `json:"at"`
@@ -56,19 +56,20 @@
 	ID      string `json:"id,omitempty"`
 	Hop     string `json:"hop,omitempty"`
 	Attempt int64  `json:"attempt,omitempty"`
-	// Reason says how a task or a request ended.
+	// Reason is how a task or a request ended.
 	Reason     string           `json:"reason,omitempty"`
 	Checkpoint string           `json:"checkpoint,omitempty"`
 	Class      model.Class      `json:"class,omitempty"`
 	Resources  *model.Resources `json:"resources,omitempty"`
-	// Outcome is what a caller was told: ran, not-run or unknown.
+	// Outcome is the outcome reported to a caller: ran, not-run or unknown.
 	Outcome string `json:"outcome,omitempty"`
-	// Whole is set when the caller holds the whole answer to its own request.
+	// Whole is set when the caller received the complete response to its own
+	// request.
 	Whole bool `json:"whole,omitempty"`
-	// Mixed is set when the caller holds an answer that is not to its request,
-	// or a part that was passed off as the whole.
+	// Mixed is set when the caller received the response to another request or a
+	// partial one presented as complete, or when a node uses a version in part.
 	Mixed bool `json:"mixed,omitempty"`
-	// Idempotent is whether the caller declared the request idempotent.
+	// Idempotent is set when the caller declared the request idempotent.
 	Idempotent bool          `json:"idempotent,omitempty"`
 	Version    int64         `json:"version,omitempty"`
 	Latency    time.Duration `json:"latency,omitempty"`
@@ -76,7 +77,7 @@
 
 // Recorder collects events from many goroutines, in one order.
 type Recorder struct {
-	// Sink, if set, is written each event as a line of JSON at once, so that the
+	// Sink, if set, receives each event at once as a line of JSON, so that the
 	// record outlives its process.
 	Sink io.Writer
 
@@ -103,8 +104,8 @@
 	return append([]Event(nil), r.events...)
 }
 
-// Read reads events as Dump and Sink write them. A line cut off at the end, by
-// the death of its writer, is left out.
+// Read reads events as written by Dump and to Sink. An incomplete last line,
+// left by a writer that was killed, is ignored.
 func Read(r io.Reader) ([]Event, error) {
 	dec := json.NewDecoder(r)
 	var events []Event
--- a/internal/standin/worker/agent.go
+++ b/internal/standin/worker/agent.go
@@ -13,7 +13,8 @@
 	wire "github.com/rattanwall/rattanwall/internal/worker/httpworker"
 )
 
-// serveAgent serves the agent's interface on a free port of host.
+// serveAgent serves the agent's interface at host, on the port of the VM's
+// agent address or any free one.
 func (w *Worker) serveAgent(network netio.Network, host string) error {
 	ln, err := network.Listen(net.JoinHostPort(host, portOf(w.vm.AgentAddress)))
 	if err != nil {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// withAgentFaults cuts calls off while the agent is down.
+// withAgentFaults aborts all calls but those that set faults while the agent is
+// down.
 func (w *Worker) withAgentFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
@@ -90,8 +92,8 @@
 	writeJSON(rw, w.awaitChange(r.Context(), after, time.Duration(waitMS)*time.Millisecond), http.StatusOK)
 }
 
-// awaitChange returns what changed since a sequence once there is anything, or after
-// wait.
+// awaitChange returns the status with the changes after a sequence number, once
+// there are any or after wait.
 func (w *Worker) awaitChange(ctx context.Context, after int64, wait time.Duration) worker.Status {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -110,13 +112,13 @@
 	}
 }
 
-// usage measures the VM as it was a lag ago. w.mu is held.
+// usage returns the VM's usage as it was UsageLagMS ago. w.mu is held.
 func (w *Worker) usage() worker.Usage {
-	held := w.usedResourcesAt(time.Now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond))
-	return worker.Usage{AgeMS: w.faults.UsageLagMS, InUse: held, Slowdown: w.slowdownFor(held)}
+	used := w.usedResourcesAt(time.Now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond))
+	return worker.Usage{AgeMS: w.faults.UsageLagMS, InUse: used, Slowdown: w.slowdownFor(used)}
 }
 
-// handle serves one call whose body is a B.
+// handle registers a handler of calls whose JSON body is a B.
 func handle[B any](mux *http.ServeMux, pattern string, f func(B) (any, int)) {
 	mux.HandleFunc(pattern, func(rw http.ResponseWriter, r *http.Request) {
 		var body B
@@ -142,7 +144,7 @@
 	_ = json.NewEncoder(rw).Encode(v)
 }
 
-// portOf returns the port asked for in an ip:port, or "0" for any free one.
+// portOf returns the port of an ip:port, or "0" (any free port) without one.
 func portOf(address string) string {
 	if _, port, err := net.SplitHostPort(address); err == nil {
 		return port
--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -15,7 +15,7 @@
 	"github.com/rattanwall/rattanwall/internal/worker/workertest"
 )
 
-// startTestWorker starts a stand-in VM on a network of its own.
+// startTestWorker starts a stand-in VM on a new fake network.
 func startTestWorker(t *testing.T) (*Worker, *fakenet.Network) {
 	net := fakenet.New()
 	vm := model.VM{Name: "w", Capacity: model.Resources{MilliCPU: 32_000, Slots: 8, Connections: 64}}
--- a/internal/standin/worker/direct.go
+++ b/internal/standin/worker/direct.go
@@ -8,8 +8,8 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// Direct is the stand-in's agent without a wire between: to hold the stand-in
-// itself to the contract.
+// Direct calls the stand-in's agent without a network, for the contract tests of
+// the stand-in itself.
 type Direct struct{ *Worker }
 
 var _ worker.Agent = Direct{}
--- a/internal/standin/worker/target.go
+++ b/internal/standin/worker/target.go
@@ -17,26 +17,28 @@
 	wire "github.com/rattanwall/rattanwall/internal/target/httptarget"
 )
 
-// The faults that a request asks for by its query parameter "fault". They make
-// the target misbehave for just that request.
+// Faults that a request selects with its query parameter "fault". They apply to
+// that request only.
 const (
-	// FaultResetEarly resets the connection before the body is read; nothing runs.
+	// FaultResetEarly resets the connection before the body is read; the request does not run.
 	FaultResetEarly = "reset-early"
-	// FaultResetAfter runs the request, then resets without an answer.
+	// FaultResetAfter runs the request, then resets without a response.
 	FaultResetAfter = "reset-after"
-	// FaultResetMid sends half of the answer, then resets.
+	// FaultResetMid sends half of the response, then resets.
 	FaultResetMid = "reset-mid"
-	// FaultLate ignores the deadline and answers after it.
+	// FaultLate ignores the deadline and responds after it.
 	FaultLate = "late"
-	// FaultDuplicate sends the answer twice on the connection.
+	// FaultDuplicate sends the response twice on the connection.
 	FaultDuplicate = "duplicate"
-	// FaultWrongID answers with another request's id.
+	// FaultWrongID responds with another request's ID.
 	FaultWrongID = "wrong-id"
-	// FaultCloseDelimited answers with no length, ended by closing.
+	// FaultCloseDelimited sends a response without a length, whose end is the
+	// close of the connection.
 	FaultCloseDelimited = "close-delimited"
 )
 
-// serveTarget serves requests on a free port of host.
+// serveTarget serves requests at host, on the port of the VM's target address or
+// any free one.
 func (w *Worker) serveTarget(network netio.Network, host string) error {
 	ln, err := network.Listen(net.JoinHostPort(host, portOf(w.vm.TargetAddress)))
 	if err != nil {
@@ -51,8 +53,8 @@
 	return nil
 }
 
-// handleRequest executes one request once its body has fully arrived. A body
-// that is cut off is not executed.
+// handleRequest executes one request once its body has fully arrived. A request
+// whose body is truncated is not executed.
 func (w *Worker) handleRequest(rw http.ResponseWriter, r *http.Request) {
 	fault := r.URL.Query().Get("fault")
 	if fault == FaultResetEarly {
@@ -97,8 +99,8 @@
 	}
 }
 
-// serveWork takes the time asked for in "ms", slowed by the VM's tasks, and answers
-// with "size" bytes.
+// serveWork takes the time given in "ms", slowed down by the VM's tasks, and
+// responds with "size" bytes.
 func (w *Worker) serveWork(rw http.ResponseWriter, r *http.Request, fault, origin string, end func(string)) {
 	ms, _ := strconv.ParseFloat(r.URL.Query().Get("ms"), 64)
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
@@ -126,7 +128,7 @@
 	writeAnswer(rw, fault, origin, AnswerBody(origin, size))
 }
 
-// writeAnswer writes the body, misbehaving as fault asks.
+// writeAnswer writes the response with the fault applied.
 func writeAnswer(rw http.ResponseWriter, fault, origin string, body []byte) {
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	switch fault {
@@ -146,7 +148,8 @@
 	}
 }
 
-// writeRawAnswer writes the answer by hand, twice for FaultDuplicate.
+// writeRawAnswer writes the response directly to the connection, twice for
+// FaultDuplicate.
 func writeRawAnswer(rw http.ResponseWriter, fault string, body []byte) {
 	id := rw.Header().Get(wire.HeaderRequestID)
 	conn, _, err := http.NewResponseController(rw).Hijack()
@@ -158,9 +161,9 @@
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n%s: %s\r\n\r\n%s", wire.HeaderRequestID, id, body)
 		return
 	}
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n\r\n%s", len(body), wire.HeaderRequestID, id, body)
-	_, _ = io.WriteString(conn, one+one)
-	// Kept open a while, so that the second answer waits on the connection.
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n\r\n%s", len(body), wire.HeaderRequestID, id, body)
+	_, _ = io.WriteString(conn, response+response)
+	// The connection stays open for a while so that the second response waits on it.
 	time.Sleep(200 * time.Millisecond)
 }
 
@@ -171,15 +174,15 @@
 		return
 	}
 	if s, ok := conn.(*trackedConn); ok {
-		if lingers, ok := s.Conn.(interface{ SetLinger(sec int) error }); ok {
-			_ = lingers.SetLinger(0)
+		if linger, ok := s.Conn.(interface{ SetLinger(sec int) error }); ok {
+			_ = linger.SetLinger(0)
 		}
 	}
 	_ = conn.Close()
 }
 
-// serveWatch sends one line an interval until the caller leaves: "event N\n", with
-// N going on from the resume point.
+// serveWatch sends one line "event N\n" per interval until the caller leaves,
+// with N continuing from the resume point, and returns why it ended.
 func (w *Worker) serveWatch(rw http.ResponseWriter, r *http.Request) string {
 	interval, _ := strconv.Atoi(r.URL.Query().Get("interval_ms"))
 	next, _ := strconv.ParseInt(r.Header.Get(wire.HeaderResume), 10, 64)
@@ -201,8 +204,8 @@
 	}
 }
 
-// trackingListener hands out connections that can be made to go silent, and
-// counts those that are open.
+// trackingListener tracks a worker's open connections, which Worker.Silence can
+// make drop all data.
 type trackingListener struct {
 	net.Listener
 	worker *Worker
@@ -225,8 +228,8 @@
 	return s, nil
 }
 
-// trackedConn is a connection that loses track of its other end when silenced:
-// what is written vanishes and nothing more is read.
+// trackedConn is a connection that, once blackholed, discards what is written
+// and reads nothing more.
 type trackedConn struct {
 	net.Conn
 	worker     *Worker
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,7 +1,7 @@
 // Package worker is the stand-in for one VM of the platform: its agent, which
 // runs tasks under leases, and its target, which serves requests. Tasks do no
-// work: a timer stands for the time they take. All that starts and ends is
-// recorded, and faults are switched by tests.
+// work: a timer simulates their run time. All starts and ends are recorded, and
+// tests can inject faults.
 package worker
 
 import (
@@ -17,31 +17,31 @@
 	"github.com/rattanwall/rattanwall/internal/worker"
 )
 
-// Faults of one VM.
+// Faults are the faults injected into one VM.
 type Faults struct {
-	// AgentDown makes the agent refuse connections' calls by cutting them off.
+	// AgentDown makes the agent abort all calls but those that set faults.
 	AgentDown bool `json:"agent_down"`
 	// FailTasks makes each task fail soon after its start.
 	FailTasks bool `json:"fail_tasks"`
-	// LoseStartAnswers cuts off the answer of the next N starts after they took effect.
+	// LoseStartAnswers aborts the next N start calls after each took effect.
 	LoseStartAnswers int `json:"lose_start_answers"`
-	// UsageLagMS is how old the usage reports are, in milliseconds.
+	// UsageLagMS is the age of the reported usage, in milliseconds.
 	UsageLagMS int64 `json:"usage_lag_ms"`
-	// SlowFactor multiplies the time that each request takes; 0 stands for 1.
+	// SlowFactor multiplies the time that each request takes; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// task is one attempt at the agent.
+// task is one attempt of a task at the agent.
 type task struct {
 	worker.Task
-	duration    time.Duration // true run time at full share
+	duration    time.Duration // actual run time at full share
 	workDone    time.Duration // work done up to since
 	since       time.Time
 	share       float64
 	finishTimer *time.Timer
 	leaseTimer  *time.Timer
 	leaseMS     int64
-	// changeSequence is the sequence of the task's last change.
+	// changeSequence is the sequence number of the task's last change.
 	changeSequence int64
 }
 
@@ -59,21 +59,22 @@
 	inFlight      map[string]struct{}
 	conns         map[*trackedConn]struct{}
 	usedResources model.Resources
-	// samples tell what was held since when, oldest first: usage lags.
+	// samples is the history of usedResources, oldest first, for delayed usage
+	// reports.
 	samples []sample
 	closers []func()
 }
 
-// sample is what tasks held from a moment on.
+// sample holds the resources that tasks used from a time on.
 type sample struct {
 	since time.Time
 	used  model.Resources
 }
 
-// sampleRetention is how long samples are kept; no lag is longer.
+// sampleRetention is how long samples are kept; no usage lag is longer.
 const sampleRetention = 2 * time.Minute
 
-// sampleUsedResources notes a change of held. w.mu is held.
+// sampleUsedResources records a change of usedResources. w.mu is held.
 func (w *Worker) sampleUsedResources() {
 	now := time.Now()
 	w.samples = append(w.samples, sample{now, w.usedResources})
@@ -82,29 +83,29 @@
 	}
 }
 
-// usedResourcesAt is what tasks held at a moment. w.mu is held.
+// usedResourcesAt returns the resources that tasks used at a time. w.mu is held.
 func (w *Worker) usedResourcesAt(at time.Time) model.Resources {
-	var held model.Resources
+	var used model.Resources
 	for _, s := range w.samples {
 		if s.since.After(at) {
 			break
 		}
-		held = s.used
+		used = s.used
 	}
-	return held
+	return used
 }
 
-// minRunTime keeps a stand-in task from ending before its start is answered.
+// minRunTime keeps a stand-in task from ending before the response to its start.
 const minRunTime = 20 * time.Millisecond
 
-// Start serves vm's agent and target at host, on ports of their own choice unless
-// vm names them, and returns the running stand-in; VM() tells the addresses.
+// Start serves vm's agent and target at host, on any free ports unless vm names
+// them, and returns the running stand-in, whose VM method returns the addresses.
 func Start(vm model.VM, network netio.Network, host string, r *record.Recorder) (*Worker, error) {
 	w := &Worker{
 		vm: vm, recorder: r, boot: strconv.FormatInt(time.Now().UnixNano(), 36),
 		tasks: map[worker.Ref]*task{}, changed: make(chan struct{}),
 		inFlight: map[string]struct{}{}, conns: map[*trackedConn]struct{}{},
-		// A later boot counts on above an earlier one.
+		// A later boot has higher sequence numbers than an earlier one.
 		sequence: time.Now().UnixMicro(),
 	}
 	if err := w.serveAgent(network, host); err != nil {
@@ -118,17 +119,18 @@
 	return w, nil
 }
 
-// VM describes the stand-in as the platform's list would.
+// VM returns the stand-in's description for the platform's list.
 func (w *Worker) VM() model.VM { return w.vm }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults of the VM; the zero value removes them.
 func (w *Worker) SetFaults(f Faults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
 }
 
-// Silence makes all connections now open go silent for good; new ones work.
+// Silence makes all connections now open drop all further data permanently; new
+// ones work.
 func (w *Worker) Silence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +139,7 @@
 	}
 }
 
-// Close ends the VM with all it holds, as a power cut would.
+// Close ends the VM with all its tasks and connections, as a power failure does.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	closers := w.closers
@@ -156,7 +158,7 @@
 	}
 }
 
-// signalChange tells waiting status calls of a change of t. w.mu is held.
+// signalChange records a change of t and wakes waiting status calls. w.mu is held.
 func (w *Worker) signalChange(t *task) {
 	w.sequence++
 	t.changeSequence = w.sequence
@@ -164,8 +166,8 @@
 	w.changed = make(chan struct{})
 }
 
-// actualDuration is what a task really takes: half to twice its declaration, the
-// same for each attempt at it.
+// actualDuration returns the run time of a task: half to twice the declared one,
+// the same for each attempt.
 func actualDuration(ref string, declaredMS int64) time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(ref))
@@ -174,7 +176,7 @@
 	return max(d, minRunTime)
 }
 
-// start runs an attempt unless it is already listed.
+// start runs an attempt unless the agent already has it.
 func (w *Worker) start(req worker.StartRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,7 +205,7 @@
 	w.signalChange(t)
 }
 
-// reschedule sets the timer of t's end from its progress and share. w.mu is held.
+// reschedule sets the timer for t's end from its work done and share. w.mu is held.
 func (w *Worker) reschedule(t *task) {
 	if t.finishTimer != nil {
 		t.finishTimer.Stop()
@@ -216,7 +218,7 @@
 	t.finishTimer = time.AfterFunc(wait, func() { w.endTask(t, worker.Finished) })
 }
 
-// updateProgress brings t.done up to now. w.mu is held.
+// updateProgress brings t.workDone up to now. w.mu is held.
 func (t *task) updateProgress() {
 	now := time.Now()
 	t.workDone += time.Duration(float64(now.Sub(t.since)) * t.share)
@@ -237,7 +239,7 @@
 	t.Checkpoint = strconv.FormatInt(t.workDone.Milliseconds(), 10)
 }
 
-// endTask moves a running attempt to a final state.
+// endTask moves a running attempt to a final state; it ignores one that has ended.
 func (w *Worker) endTask(t *task, state worker.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -319,8 +321,8 @@
 	}
 }
 
-// status returns the tasks that changed after a sequence, and a channel that
-// closes at the next change.
+// status returns the tasks that changed after a sequence number, and a channel
+// that is closed at the next change.
 func (w *Worker) status(after int64) (worker.Status, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -336,26 +338,26 @@
 	return s, w.changed
 }
 
-// slowdown is the factor by which batch tasks slow the VM's requests.
+// slowdown returns the factor by which batch tasks slow down the VM's requests.
 func (w *Worker) slowdown() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.slowdownFor(w.usedResources)
 }
 
-// slowdownFor is the factor by which tasks that hold so much slow requests.
-// w.mu is held.
-func (w *Worker) slowdownFor(held model.Resources) float64 {
+// slowdownFor returns the factor by which tasks that use the given resources slow
+// down requests. w.mu is held.
+func (w *Worker) slowdownFor(used model.Resources) float64 {
 	factor := max(w.faults.SlowFactor, 1)
 	if w.vm.Capacity.MilliCPU == 0 {
 		return factor
 	}
-	return factor * (1 + 0.5*float64(held.MilliCPU)/float64(w.vm.Capacity.MilliCPU))
+	return factor * (1 + 0.5*float64(used.MilliCPU)/float64(w.vm.Capacity.MilliCPU))
 }
 
-// AnswerBody is the body that a target answers the caller's request id with:
-// size bytes that no other id yields, so that a caller can tell its own whole
-// answer from a part or from another's.
+// AnswerBody returns the body of a target's response to the caller's request id:
+// size bytes that no other ID yields, so that a caller can distinguish its own
+// complete response from a partial one or that to another request.
 func AnswerBody(id string, size int) []byte {
 	line := []byte(fmt.Sprintf("answer to %s\n", id))
 	body := make([]byte, 0, size+len(line))
