--- a/internal/harness/fake.go
+++ b/internal/harness/fake.go
@@ -8,7 +8,7 @@
 	"github.com/rattanwall/rattanwall/internal/netio"
 )
 
-// Fake puts each host at an IP number of its own on a fake network.
+// Fake gives each host an IP address of its own on a fake network.
 type Fake struct {
 	*fakenet.Network
 
@@ -25,7 +25,7 @@
 	return f.Network.Host(ip), ip
 }
 
-// IP returns a host's IP number.
+// IP returns a host's IP address, which it assigns on the first call.
 func (f *Fake) IP(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,18 +36,19 @@
 	return f.ips[name]
 }
 
-// CutGroups cuts every host of one group off from every host of the other.
+// CutGroups blocks all traffic between the hosts of one group and those of the
+// other.
 func (f *Fake) CutGroups(a, b []string) {
-	in := func(names []string) map[string]bool {
+	addresses := func(names []string) map[string]bool {
 		set := map[string]bool{}
 		for _, n := range names {
 			set[f.IP(n)] = true
 		}
 		return set
 	}
-	left, right := in(a), in(b)
+	left, right := addresses(a), addresses(b)
 	f.SetCut(func(from, to string) bool { return left[from] && right[to] || right[from] && left[to] })
 }
 
-// Heal lets everything through again.
+// Heal removes all blocks, after which held-back data is delivered.
 func (f *Fake) Heal() { f.SetCut(func(string, string) bool { return false }) }
--- a/internal/harness/faults_test.go
+++ b/internal/harness/faults_test.go
@@ -39,7 +39,7 @@
 	platforms = []string{PlatformHost("east"), PlatformHost("west")}
 )
 
-// run is one deployment under load in a bubble of virtual time.
+// run is one deployment under load in a synctest bubble, in virtual time.
 type run struct {
 	*Deployment
 	t     *testing.T
@@ -47,10 +47,10 @@
 	load  *load.Generator
 }
 
-// fault brings about a failure and returns when it is over.
+// fault injects a failure and returns when it has ended.
 type fault func(ctx context.Context, r *run)
 
-// outcome is what became of a run.
+// outcome holds the results of a run.
 type outcome struct {
 	results  []checker.Result
 	load     load.Summary
@@ -58,8 +58,8 @@
 	calls    map[string]int64
 }
 
-// runUnderLoad runs a small deployment with load in virtual time, brings about the
-// faults at the same time, heals the network, and waits for all jobs.
+// runUnderLoad runs a small deployment under load in virtual time, injects the
+// faults concurrently, heals the network, and waits for all jobs.
 func runUnderLoad(t *testing.T, lasts time.Duration, faults ...fault) (o outcome) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// storeFaultsFor sets faults of the whole store for a time.
+// storeFaultsFor sets faults of the store in all zones for a duration.
 func storeFaultsFor(d time.Duration, f hosting.Faults) fault {
 	return func(_ context.Context, r *run) {
 		r.storeFaults(f)
@@ -115,7 +115,7 @@
 	}
 }
 
-// partitionFor cuts two groups of hosts off from each other for a time.
+// partitionFor partitions two groups of hosts from each other for a duration.
 func partitionFor(d time.Duration, a, b []string) fault {
 	return func(_ context.Context, r *run) {
 		r.hosts.CutGroups(a, b)
@@ -124,7 +124,8 @@
 	}
 }
 
-// isolateEast cuts the east's nodes and VMs off from all else for a time.
+// isolateEast partitions the east's nodes and VMs from the west and the platform
+// for a duration.
 func isolateEast(d time.Duration) fault {
 	return func(ctx context.Context, r *run) {
 		for _, n := range eastNodes {
@@ -160,7 +161,8 @@
 	}
 }
 
-// killAndReplace kills nodes of the east and starts empty ones in their place after a time.
+// killAndReplace kills nodes of the east and starts nodes without state in their
+// place after a delay.
 func killAndReplace(after time.Duration, names ...string) fault {
 	return func(ctx context.Context, r *run) {
 		killNodes(names...)(ctx, r)
@@ -171,7 +173,7 @@
 	}
 }
 
-// replaceInTurn stops and replaces nodes one after the other, as planned.
+// replaceInTurn stops nodes as planned and replaces them, one after the other.
 func replaceInTurn(names ...string) fault {
 	return func(_ context.Context, r *run) {
 		for _, name := range names {
@@ -181,7 +183,8 @@
 	}
 }
 
-// blackholeConnections makes the open connections between groups of hosts go silent.
+// blackholeConnections makes the open connections between two groups of hosts
+// drop all data.
 func blackholeConnections(a, b []string) fault {
 	return func(_ context.Context, r *run) {
 		for _, x := range a {
@@ -200,7 +203,7 @@
 	}
 }
 
-// vmListLag is how long the platform's list still shows a VM that died.
+// vmListLag is how long the platform's list still shows a VM after its crash.
 const vmListLag = 20 * time.Second
 
 func crashVM(name string) fault {
@@ -212,7 +215,8 @@
 	}
 }
 
-// restartVM ends a VM with all it holds and starts it anew, at other ports.
+// restartVM ends a VM with all its tasks and connections and starts an empty one
+// in its place, on other ports.
 func restartVM(name string) fault {
 	return func(_ context.Context, r *run) {
 		r.Worker(name).Close()
@@ -230,7 +234,7 @@
 	return func(ctx context.Context, r *run) { r.load.Burst(context.WithoutCancel(ctx), model.Quick, n) }
 }
 
-// all is a fault of one part after the other.
+// inSequence returns a fault that runs the given ones one after the other.
 func inSequence(faults ...fault) fault {
 	return func(ctx context.Context, r *run) {
 		for _, f := range faults {
@@ -239,18 +243,18 @@
 	}
 }
 
-// faultCase is one row of the table: what goes wrong, and what callers may see
-// of it besides late answers.
+// faultCase is one row of the table: the faults, and which effects callers may
+// see besides late responses.
 type faultCase struct {
 	name   string
 	faults []fault
-	// unknown is the largest share of quick requests whose outcome may be unknown
-	// to the caller, and notRun of those told not run.
+	// unknown is the maximum share of quick requests whose outcome is unknown to
+	// the caller, notRun that of requests reported as not run.
 	unknown, notRun float64
 }
 
-// The faults of the design brief's section 4, alone. Pauses of real processes
-// are in the failure runs (make faults).
+// singleFaults returns the faults of the design brief's section 4, one a case.
+// Pauses of real processes are tested by package faults (make faults).
 func singleFaults() []faultCase {
 	return []faultCase{
 		{"quiet", nil, 0, 0},
@@ -285,9 +289,12 @@
 	}
 }
 
+// Guards against violated invariants, unfinished jobs, gaps in watches and too
+// many failed requests when one fault occurs under load.
 func TestSingleFaults(t *testing.T) { runFaultCases(t, singleFaults()) }
 
-// Any two together, and some twice.
+// Guards against violated invariants, unfinished jobs, gaps in watches and too
+// many failed requests when two faults overlap or one occurs twice.
 func TestPairsOfFaults(t *testing.T) {
 	storeDown := storeFaultsFor(20*time.Second, hosting.Faults{Down: true})
 	lost := storeFaultsFor(20*time.Second, hosting.Faults{LoseAnswers: 60})
@@ -321,10 +328,10 @@
 			q := o.load.Classes[model.Quick]
 			all := float64(q.Ran + q.NotRun + q.Unknown)
 			t.Logf("%d events; quick ran %d not-run %d unknown %d p99 %.0f ms; watches %+v; jobs %+v", total, q.Ran, q.NotRun, q.Unknown, q.P99, o.load.Watches, o.load.Jobs)
-			require.Zero(t, o.jobsLeft, "jobs left behind")
+			require.Zero(t, o.jobsLeft, "unfinished jobs")
 			require.Zero(t, o.load.Watches.Gaps, "events of watches missed or repeated")
 			require.LessOrEqual(t, float64(q.Unknown)/all, c.unknown, "share of unknown outcomes")
-			require.LessOrEqual(t, float64(q.NotRun)/all, c.notRun, "share told not run")
+			require.LessOrEqual(t, float64(q.NotRun)/all, c.notRun, "share of requests reported as not run")
 		})
 	}
 }
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -1,4 +1,4 @@
-// Package harness runs a whole deployment in one process, real nodes over
+// Package harness runs a whole deployment in one process: real nodes with
 // stand-ins for the platform and the workers, on loopback or on a fake network.
 // The demo, the tests and the measurements use it.
 package harness
@@ -31,51 +31,53 @@
 )
 
 const (
-	// startTimeout bounds the time until all VMs have an owner.
+	// startTimeout limits the time until all VMs have an owner.
 	startTimeout = 30 * time.Second
 	pollInterval = 100 * time.Millisecond
-	// drainNotice of the nodes is several probes of the balancer.
+	// drainNotice of the nodes spans several probes of the balancer.
 	drainNotice = time.Second
 	drainLimit  = 20 * time.Second
 )
 
-// Hosts gives each part of a deployment its place on a network.
+// Hosts assigns the parts of a deployment to hosts on a network.
 type Hosts interface {
-	// Host returns the network as the named host sees it, and its IP number.
+	// Host returns the network as the named host sees it, and its IP address.
 	Host(name string) (network netio.Network, ip string)
 }
 
-// Loopback puts all on 127.0.0.1.
+// Loopback runs all parts on 127.0.0.1.
 type Loopback struct{}
 
 // Host implements Hosts.
 func (Loopback) Host(string) (network netio.Network, ip string) { return netio.TCP{}, "127.0.0.1" }
 
-// The names of hosts that are neither nodes nor VMs, which go by their own.
+// Names of the hosts that are neither nodes nor VMs. Nodes and VMs use their own
+// names.
 const (
-	// CallerHost is where callers and the balancer are.
+	// CallerHost is the host of the callers and the balancer.
 	CallerHost = "callers"
-	// platformHost is followed by the availability zone.
+	// platformHost is a prefix, followed by the availability zone.
 	platformHost = "platform-"
 )
 
-// PlatformHost names the host at which a zone's nodes reach the platform.
+// PlatformHost returns the name of the host at which a zone's nodes reach the
+// platform.
 func PlatformHost(zone string) string { return platformHost + zone }
 
-// Options of a Deployment. All fields are needed.
+// Options configures a Deployment. All fields are required.
 type Options struct {
 	Shape deployment.Shape
 	Hosts Hosts
 	Log   *logrus.Logger
 }
 
-// Deployment is a running deployment.
+// Deployment is a running set of nodes with their stand-in platform and workers.
 type Deployment struct {
 	Options
 	Recorder *record.Recorder
 	Platform *hosting.Platform
 	Balancer *load.Balancer
-	// Operator, Team and Batch are the tokens of the demo's identities.
+	// Operator, Team and Batch are the access tokens of the demo's identities.
 	Operator, Team, Batch string
 
 	listeners map[string]*hosting.Listener
@@ -94,8 +96,8 @@
 	done chan struct{}
 }
 
-// Start starts the shape's stand-ins and nodes and returns once every VM has an
-// owner that has read it.
+// Start starts the shape's stand-ins and nodes. It returns once every VM has an
+// owner that has read its state.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	recorder := &record.Recorder{}
 	callers, _ := o.Hosts.Host(CallerHost)
@@ -111,7 +113,7 @@
 	return d, nil
 }
 
-// token returns a new random token.
+// token returns 24 random bytes in hexadecimal.
 func token() string {
 	raw := make([]byte, 24)
 	_, _ = rand.Read(raw)
@@ -147,7 +149,7 @@
 	return d.awaitStart(ctx)
 }
 
-// StartNode starts a node, empty, as when its VM is replaced.
+// StartNode starts a node without state, as when its VM is replaced.
 func (d *Deployment) StartNode(name, zone string) error {
 	network, ip := d.Hosts.Host(name)
 	address := anyPort(ip)
@@ -180,7 +182,8 @@
 
 func anyPort(ip string) string { return net.JoinHostPort(ip, "0") }
 
-// removeNode removes a running node from the deployment; nil if there is none.
+// removeNode removes a running node from the deployment and returns it, or nil if
+// there is none.
 func (d *Deployment) removeNode(name string) *runningNode {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,7 +192,7 @@
 	return r
 }
 
-// KillNode ends a node as a crash does: nothing is handed over or said.
+// KillNode ends a node as a crash does, without a handover or a notice.
 func (d *Deployment) KillNode(name string) {
 	r := d.removeNode(name)
 	if r == nil {
@@ -212,7 +215,7 @@
 	d.Recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
 }
 
-// ReplaceNode stops a node as planned and starts an empty one in its place.
+// ReplaceNode stops a node as planned and starts one without state in its place.
 func (d *Deployment) ReplaceNode(name string) error {
 	d.mu.Lock()
 	zone := d.nodes[name].zone
@@ -228,8 +231,8 @@
 	return d.workers[name]
 }
 
-// RestartWorker starts an empty stand-in VM in the place of a closed one, at
-// ports of its own choice.
+// RestartWorker starts an empty stand-in VM in the place of a closed one, on
+// newly chosen ports.
 func (d *Deployment) RestartWorker(name string) error {
 	for _, vm := range d.Shape.VMs() {
 		if vm.Name != name {
@@ -267,13 +270,13 @@
 	return nodes
 }
 
-// awaitStart waits for readiness, seeds the configuration and waits until every
-// VM is owned and read.
+// awaitStart waits until all nodes are ready, seeds the configuration and waits
+// until every VM has an owner that has read its state.
 func (d *Deployment) awaitStart(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := await(ctx, func() bool { return d.Balancer.Ready() == len(d.Shape.Nodes()) }); err != nil {
-		return errors.Wrap(err, "nodes did not get ready")
+		return errors.Wrap(err, "nodes did not become ready")
 	}
 	if err := d.seed(ctx); err != nil {
 		return err
@@ -285,7 +288,7 @@
 		}
 		return owned == int64(len(d.workers))
 	})
-	return errors.Wrap(err, "VMs were not taken up")
+	return errors.Wrap(err, "not every VM has an owner")
 }
 
 func await(ctx context.Context, done func() bool) error {
@@ -299,7 +302,7 @@
 	return nil
 }
 
-// seed makes the first configuration through the administration API.
+// seed creates the first configuration through the administration API.
 func (d *Deployment) seed(ctx context.Context) error {
 	n, _ := d.Balancer.Pick()
 	doc := d.Shape.Document(d.Operator, d.Team, d.Batch)
--- a/internal/harness/kinds_test.go
+++ b/internal/harness/kinds_test.go
@@ -26,7 +26,7 @@
 	"github.com/rattanwall/rattanwall/internal/standin/worker"
 )
 
-// errorKindTest is a deployment in which errors are brought about.
+// errorKindTest is a deployment in which errors are provoked.
 type errorKindTest struct {
 	*run
 	caller *Caller
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("k%d", k.lastID)
 }
 
-// request sends a caller's request and returns the kind that it was told.
+// request sends a caller's request and returns the error kind of the response.
 func (k *errorKindTest) request(method, path string, header http.Header, body io.Reader) errkind.Kind {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -50,7 +50,7 @@
 	return k.request(http.MethodPost, "crewbook/work?"+query, header, strings.NewReader("{}"))
 }
 
-// admin makes a call of the administration API and returns the kind of its error.
+// admin calls the administration API and returns the kind of its error.
 func (k *errorKindTest) admin(method, path, token, version, body string) errkind.Kind {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+k.Balancer.All()[0].Admin+path, strings.NewReader(body))
 	require.NoError(k.t, err)
@@ -76,7 +76,7 @@
 
 const batchJobs = "/v1/teams/batch/jobs"
 
-// holdRequests keeps requests or watches under way and returns what ends them.
+// holdRequests keeps n requests or watches in progress until release is called.
 func (k *errorKindTest) holdRequests(n int, path string, header http.Header) (release func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -98,10 +98,10 @@
 
 var standingHeader = http.Header{route.HeaderClass: {string(model.Standing)}}
 
-// errorKindCases brings each kind about, as a caller, team, operator or peer meets it.
+// errorKindCases provokes each kind as a caller, team, operator or peer receives it.
 var errorKindCases = []struct {
-	kind errkind.Kind
-	way  func(k *errorKindTest) errkind.Kind
+	kind    errkind.Kind
+	provoke func(k *errorKindTest) errkind.Kind
 }{
 	{errkind.InvalidRequest, func(k *errorKindTest) errkind.Kind {
 		return k.post("", http.Header{route.HeaderTimeoutMS: {"soon"}})
@@ -116,14 +116,14 @@
 	}},
 	{errkind.AlreadyExists, func(k *errorKindTest) errkind.Kind {
 		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 1)))
-		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 1)), "a repeat is recognised")
+		require.Empty(k.t, k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 1)), "a repeated submission is accepted")
 		return k.admin(http.MethodPost, batchJobs, k.Batch, "", jobBody("a", 2))
 	}},
 	{errkind.BodyTooLarge, func(k *errorKindTest) errkind.Kind {
 		return k.request(http.MethodPost, "crewbook/work", nil, strings.NewReader(strings.Repeat("x", 2<<20)))
 	}},
 	{errkind.BodyTooLarge, func(k *errorKindTest) errkind.Kind {
-		// Without a length the limit is found while the body is passed on.
+		// Without a length the limit is detected while the body is forwarded.
 		return k.request(http.MethodPost, "crewbook/work", nil, io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<20))))
 	}},
 	{errkind.VersionConflict, func(k *errorKindTest) errkind.Kind {
@@ -156,14 +156,15 @@
 		return kind
 	}},
 	{errkind.NoCapacity, func(k *errorKindTest) errkind.Kind {
-		// 8 VMs hold at most 48 watches each; those beyond are refused.
+		// 8 VMs accept at most 48 watches each; more are refused.
 		release := k.holdRequests(8*48+100, "crewbook/watch?interval_ms=500", standingHeader)
 		kind := k.request(http.MethodGet, "crewbook/watch", standingHeader, nil)
 		release()
 		return kind
 	}},
 	{errkind.DeadlineNotRun, func(k *errorKindTest) errkind.Kind {
-		// Twice: far nodes' room is known only after their next exchange.
+		// Two rounds: the capacity of remote nodes is known only after their
+		// next exchange.
 		first := k.holdRequests(300, "crewbook/work?ms=9000", nil)
 		second := k.holdRequests(300, "crewbook/work?ms=9000", nil)
 		kind := k.post("", http.Header{route.HeaderTimeoutMS: {"50"}})
@@ -189,7 +190,7 @@
 		return k.admin(http.MethodPatch, "/v1/config", k.Operator, version, `{"weights":{"tail":3}}`)
 	}},
 	{errkind.StoreUnknown, func(k *errorKindTest) errkind.Kind {
-		// The write takes effect, its answer is lost, and then nothing can be read.
+		// The write takes effect, its response is lost, and then no read succeeds.
 		time.Sleep(2 * time.Second)
 		version := fmt.Sprintf("%q", fmt.Sprint(k.Nodes()[0].Keeper().Current().Head.Version))
 		k.storeFaults(hosting.Faults{SlowMS: 900, LoseAnswers: 1000})
@@ -201,7 +202,7 @@
 	{errkind.Draining, func(k *errorKindTest) errkind.Kind { return k.watchWhileStopping() }},
 }
 
-// requestFromNonLeader calls a peer for a job shard that it does not lead.
+// requestFromNonLeader requests a job shard from a node that does not lead it.
 func (k *errorKindTest) requestFromNonLeader() errkind.Kind {
 	for _, n := range k.Nodes() {
 		if _, err := (cluster.Server{Cluster: n.Cluster()}).Job(k.t.Context(), &peer.JobRequest{Shard: "jobs/none"}); err != nil {
@@ -211,8 +212,8 @@
 	return ""
 }
 
-// watchWhileStopping asks a node for a watch after its notice, while a long
-// request still holds it up.
+// watchWhileStopping requests a watch from a stopping node after its drain
+// notice, while a long request still delays the stop.
 func (k *errorKindTest) watchWhileStopping() errkind.Kind {
 	release := k.holdRequests(1, "crewbook/work?ms=6000", nil)
 	stopped := make(chan struct{})
@@ -227,12 +228,12 @@
 	return kind
 }
 
-// unobservableKinds are the kinds that no caller is there to be told of: CallerGone is
-// for a caller that left, Internal for a fault of our own.
+// unobservableKinds are the kinds that no caller receives here: CallerGone is for
+// a caller that has left, Internal for a fault in the program itself.
 var unobservableKinds = []errkind.Kind{errkind.CallerGone, errkind.Internal}
 
-// Symptom: a caller is told a kind that the table does not explain, or the table
-// promises one that never comes. Each row brings its kind about for real.
+// Guards against returning an error kind that the table does not explain, and
+// against a kind in the table that never occurs. Each case provokes its kind.
 func TestEachKindIsReached(t *testing.T) {
 	reached := map[errkind.Kind]bool{}
 	for _, k := range unobservableKinds {
@@ -252,9 +253,9 @@
 			d.Close()
 		}()
 		time.Sleep(3 * time.Second)
-		for _, w := range errorKindCases {
-			got := w.way(k)
-			require.Equal(t, w.kind, got)
+		for _, c := range errorKindCases {
+			got := c.provoke(k)
+			require.Equal(t, c.kind, got)
 			reached[got] = true
 		}
 	})
--- a/internal/harness/single.go
+++ b/internal/harness/single.go
@@ -13,16 +13,16 @@
 	"github.com/rattanwall/rattanwall/internal/standin/record"
 )
 
-// Caller sends single requests and looks closely at what comes back.
+// Caller sends single requests and returns their responses in detail.
 type Caller struct {
 	client *http.Client
 	token  string
 	url    string
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
-	// Err is set when there was no answer, or no end of it.
+	// Err is set when there was no response or it was incomplete.
 	Err     error
 	Status  int
 	Outcome string
@@ -44,11 +44,11 @@
 	return c
 }
 
-// Close drops the caller's connections.
+// Close closes the caller's idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Send sends a request under id; path starts with the service's name. header
-// may be nil.
+// Send sends a request with the request ID id; path starts with the service's
+// name. header may be nil.
 func (c *Caller) Send(ctx context.Context, method, path, id string, body io.Reader, header http.Header) Answer {
 	req, err := http.NewRequestWithContext(ctx, method, c.url+path, body)
 	if err != nil {
@@ -75,7 +75,8 @@
 	return a
 }
 
-// Runs counts how often targets began to execute the caller's request id.
+// Runs returns how many times targets began to execute the request with the
+// caller's request ID id.
 func (d *Deployment) Runs(id string) int {
 	n := 0
 	for _, e := range d.Recorder.Events() {
@@ -86,7 +87,7 @@
 	return n
 }
 
-// Patch changes the configuration as an operator does, and returns once every
+// Patch changes the configuration as an operator does and returns once every
 // node uses the new version.
 func (d *Deployment) Patch(ctx context.Context, patch string) error {
 	keeper := d.Nodes()[0].Keeper()
