--- a/internal/faults/processes_test.go
+++ b/internal/faults/processes_test.go
@@ -36,7 +36,7 @@
 	bootstrapToken = "bootstrap-token-of-the-failure-runs"
 )
 
-// binary is the program under test, built once.
+// binary builds the program under test once and returns its path.
 var binary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "rattanwall-faults")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return path, nil
 })
 
-// process is one process of the deployment, started and ended by its id.
+// process is one process of the deployment; done is closed when it has ended.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -58,7 +58,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// testDeployment is a deployment of processes on loopback.
+// testDeployment is a deployment of real processes on loopback.
 type testDeployment struct {
 	t        *testing.T
 	dir      string
@@ -67,7 +67,8 @@
 	balancer *load.Balancer
 	load     *load.Generator
 	platform string
-	// ports are claimed for the deployment, used of the last of them given out.
+	// ports holds the blocks claimed for the deployment; usedPorts counts the
+	// ports in use of the last one.
 	ports     []*ports.Block
 	usedPorts int
 
@@ -76,116 +77,116 @@
 	nodes map[string]settings.Node
 }
 
-func (w *testDeployment) port() string {
-	if len(w.ports) == 0 || w.usedPorts == ports.MaxPorts {
+func (td *testDeployment) port() string {
+	if len(td.ports) == 0 || td.usedPorts == ports.MaxPorts {
 		b, err := ports.Claim()
-		require.NoError(w.t, err)
-		w.ports, w.usedPorts = append(w.ports, b), 0
+		require.NoError(td.t, err)
+		td.ports, td.usedPorts = append(td.ports, b), 0
 	}
-	w.usedPorts++
-	return w.ports[len(w.ports)-1].Address(w.usedPorts - 1)
+	td.usedPorts++
+	return td.ports[len(td.ports)-1].Address(td.usedPorts - 1)
 }
 
-func (w *testDeployment) start(name string, args ...string) {
+func (td *testDeployment) start(name string, args ...string) {
 	path, err := binary()
-	require.NoError(w.t, err)
+	require.NoError(td.t, err)
 	cmd := exec.Command(path, args...)
-	log, err := os.OpenFile(filepath.Join(w.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	require.NoError(w.t, err)
+	log, err := os.OpenFile(filepath.Join(td.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	require.NoError(td.t, err)
 	cmd.Stdout, cmd.Stderr = log, log
-	require.NoError(w.t, cmd.Start())
+	require.NoError(td.t, cmd.Start())
 	p := &process{cmd: cmd, done: make(chan struct{})}
 	go func() {
 		_ = cmd.Wait()
 		_ = log.Close()
 		close(p.done)
 	}()
-	w.mu.Lock()
-	w.procs[name] = p
-	w.mu.Unlock()
+	td.mu.Lock()
+	td.procs[name] = p
+	td.mu.Unlock()
 }
 
-func (w *testDeployment) proc(name string) *process {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.procs[name]
+func (td *testDeployment) proc(name string) *process {
+	td.mu.Lock()
+	defer td.mu.Unlock()
+	return td.procs[name]
 }
 
-// newTestDeployment starts a platform, a process of workers for each availability zone,
-// and the nodes, and waits until every VM has an owner.
+// newTestDeployment starts a platform, a process of workers for each availability
+// zone, and the nodes, and waits until every VM has an owner.
 func newTestDeployment(t *testing.T, shape deployment.Shape) *testDeployment {
-	w := &testDeployment{
+	td := &testDeployment{
 		t: t, dir: t.TempDir(), shape: shape, recorder: &record.Recorder{}, balancer: load.NewBalancer(netio.TCP{}),
 		procs: map[string]*process{}, nodes: map[string]settings.Node{},
 	}
-	t.Cleanup(w.close)
-	w.platform = w.port()
-	w.start("platform", "standin", "platform", "--listen", w.platform, "--record", w.record("platform"))
-	w.await(10*time.Second, func() bool {
-		resp, err := http.Get("http://" + w.platform + "/v1/vms")
+	t.Cleanup(td.close)
+	td.platform = td.port()
+	td.start("platform", "standin", "platform", "--listen", td.platform, "--record", td.record("platform"))
+	td.await(10*time.Second, func() bool {
+		resp, err := http.Get("http://" + td.platform + "/v1/vms")
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		return err == nil
 	})
 	for _, zone := range shape.ZoneNames() {
-		w.start("workers-"+zone, "standin", "worker", "--deployment", shape.Name, "--zone", zone, "--platform", w.platform, "--record", w.record("workers-"+zone))
+		td.start("workers-"+zone, "standin", "worker", "--deployment", shape.Name, "--zone", zone, "--platform", td.platform, "--record", td.record("workers-"+zone))
 	}
 	for _, n := range shape.Nodes() {
-		w.configureNode(n)
-		w.startNode(n.Name)
+		td.configureNode(n)
+		td.startNode(n.Name)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go w.balancer.Run(ctx)
-	w.await(20*time.Second, func() bool { return w.balancer.Ready() == len(shape.Nodes()) })
-	w.seed()
-	w.await(30*time.Second, func() bool { return w.ownedVMs() == shape.Workers })
-	return w
+	go td.balancer.Run(ctx)
+	td.await(20*time.Second, func() bool { return td.balancer.Ready() == len(shape.Nodes()) })
+	td.seed()
+	td.await(30*time.Second, func() bool { return td.ownedVMs() == shape.Workers })
+	return td
 }
 
-func (w *testDeployment) record(name string) string { return filepath.Join(w.dir, name+".record") }
+func (td *testDeployment) record(name string) string { return filepath.Join(td.dir, name+".record") }
 
-func (w *testDeployment) configureNode(n deployment.Node) {
-	w.nodes[n.Name] = settings.Node{
+func (td *testDeployment) configureNode(n deployment.Node) {
+	td.nodes[n.Name] = settings.Node{
 		Name: n.Name, Zone: n.Zone,
-		Listen:                  settings.Listen{Callers: w.port(), Admin: w.port(), Peers: w.port(), Operations: w.port()},
-		Platform:                settings.Platform{Address: w.platform},
+		Listen:                  settings.Listen{Callers: td.port(), Admin: td.port(), Peers: td.port(), Operations: td.port()},
+		Platform:                settings.Platform{Address: td.platform},
 		Drain:                   settings.Drain{NoticeMS: 1000, LimitMS: 20_000},
 		Leases:                  settings.Leases{SessionMS: 5000, TaskMS: 12_000},
 		BootstrapOperatorSHA256: config.HashToken(bootstrapToken),
 	}
 }
 
-func (w *testDeployment) startNode(name string) {
-	s := w.nodes[name]
+func (td *testDeployment) startNode(name string) {
+	s := td.nodes[name]
 	raw, err := json.Marshal(s)
-	require.NoError(w.t, err)
-	file := filepath.Join(w.dir, name+".json")
-	require.NoError(w.t, os.WriteFile(file, raw, 0o600))
-	w.start(name, "node", "--settings", file)
-	w.balancer.Set(load.NodeAddress{Name: name, Callers: s.Listen.Callers, Admin: s.Listen.Admin})
+	require.NoError(td.t, err)
+	file := filepath.Join(td.dir, name+".json")
+	require.NoError(td.t, os.WriteFile(file, raw, 0o600))
+	td.start(name, "node", "--settings", file)
+	td.balancer.Set(load.NodeAddress{Name: name, Callers: s.Listen.Callers, Admin: s.Listen.Admin})
 }
 
-func (w *testDeployment) seed() {
-	doc, err := json.Marshal(w.shape.Document(operatorToken, teamToken, batchToken))
-	require.NoError(w.t, err)
-	n, _ := w.balancer.Pick()
+func (td *testDeployment) seed() {
+	doc, err := json.Marshal(td.shape.Document(operatorToken, teamToken, batchToken))
+	require.NoError(td.t, err)
+	n, _ := td.balancer.Pick()
 	req, err := http.NewRequest(http.MethodPatch, "http://"+n.Admin+"/v1/config", bytes.NewReader(doc))
-	require.NoError(w.t, err)
+	require.NoError(td.t, err)
 	req.Header.Set("Authorization", "Bearer "+bootstrapToken)
 	req.Header.Set("If-Match", "0")
 	resp, err := http.DefaultClient.Do(req)
-	require.NoError(w.t, err)
-	require.Equal(w.t, http.StatusOK, resp.StatusCode)
+	require.NoError(td.t, err)
+	require.Equal(td.t, http.StatusOK, resp.StatusCode)
 	_ = resp.Body.Close()
 }
 
-// ownedVMs counts the VMs that some node owns and has read.
-func (w *testDeployment) ownedVMs() int {
+// ownedVMs counts the VMs of which a node is the owner and has read the state.
+func (td *testDeployment) ownedVMs() int {
 	client := http.Client{Timeout: 300 * time.Millisecond}
 	total := 0
-	for _, s := range w.nodes {
+	for _, s := range td.nodes {
 		resp, err := client.Get("http://" + s.Listen.Operations + "/dump")
 		if err != nil {
 			continue
@@ -198,79 +199,79 @@
 	return total
 }
 
-func (w *testDeployment) await(limit time.Duration, done func() bool) time.Duration {
+func (td *testDeployment) await(limit time.Duration, done func() bool) time.Duration {
 	started := time.Now()
 	for !done() {
-		require.Less(w.t, time.Since(started), limit, "waited in vain")
+		require.Less(td.t, time.Since(started), limit, "condition not met in time")
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(started)
 }
 
-// kill ends a process as a crash does.
-func (w *testDeployment) kill(name string) {
-	p := w.proc(name)
+// kill ends a process with SIGKILL, as a crash does.
+func (td *testDeployment) kill(name string) {
+	p := td.proc(name)
 	p.signal(syscall.SIGKILL)
 	<-p.done
-	w.recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
+	td.recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
 }
 
-// pause stops a process for a time, as a frozen VM does. Nothing reaches it
-// meanwhile, which the record says for I9.
-func (w *testDeployment) pause(name string, d time.Duration) {
-	p := w.proc(name)
-	w.recorder.Add(record.Event{Kind: record.NodeCutOff, Node: name})
+// pause suspends a process for a duration, as a frozen VM does. The record marks
+// it as unreachable meanwhile, for I9.
+func (td *testDeployment) pause(name string, d time.Duration) {
+	p := td.proc(name)
+	td.recorder.Add(record.Event{Kind: record.NodeCutOff, Node: name})
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	w.recorder.Add(record.Event{Kind: record.NodeReached, Node: name})
+	td.recorder.Add(record.Event{Kind: record.NodeReached, Node: name})
 	p.signal(syscall.SIGCONT)
 }
 
-// stopNode is a planned stop.
-func (w *testDeployment) stopNode(name string) {
-	w.recorder.Add(record.Event{Kind: record.NodeStopping, Node: name})
-	p := w.proc(name)
+// stopNode stops a node as planned and returns when it has ended.
+func (td *testDeployment) stopNode(name string) {
+	td.recorder.Add(record.Event{Kind: record.NodeStopping, Node: name})
+	p := td.proc(name)
 	p.signal(syscall.SIGTERM)
 	<-p.done
-	w.recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
+	td.recorder.Add(record.Event{Kind: record.NodeStopped, Node: name})
 }
 
-func (w *testDeployment) storeFaults(f hosting.Faults) {
+func (td *testDeployment) storeFaults(f hosting.Faults) {
 	raw, _ := json.Marshal(f)
-	req, _ := http.NewRequest(http.MethodPut, "http://"+w.platform+"/faults", bytes.NewReader(raw))
+	req, _ := http.NewRequest(http.MethodPut, "http://"+td.platform+"/faults", bytes.NewReader(raw))
 	resp, err := http.DefaultClient.Do(req)
-	require.NoError(w.t, err)
+	require.NoError(td.t, err)
 	_ = resp.Body.Close()
 }
 
-// events merges the record of the stand-ins with that of the callers. All are
-// of one machine and so of one clock.
-func (w *testDeployment) events() []record.Event {
-	events := w.recorder.Events()
-	files, err := filepath.Glob(filepath.Join(w.dir, "*.record"))
-	require.NoError(w.t, err)
+// events merges the events of the stand-ins with those of the callers. All have
+// timestamps of the same machine's clock.
+func (td *testDeployment) events() []record.Event {
+	events := td.recorder.Events()
+	files, err := filepath.Glob(filepath.Join(td.dir, "*.record"))
+	require.NoError(td.t, err)
 	for _, file := range files {
 		f, err := os.Open(file)
-		require.NoError(w.t, err)
-		more, err := record.Read(f)
-		require.NoError(w.t, err)
+		require.NoError(td.t, err)
+		fileEvents, err := record.Read(f)
+		require.NoError(td.t, err)
 		_ = f.Close()
-		events = append(events, more...)
+		events = append(events, fileEvents...)
 	}
 	return events
 }
 
-func (w *testDeployment) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.procs {
+func (td *testDeployment) close() {
+	td.mu.Lock()
+	defer td.mu.Unlock()
+	for _, p := range td.procs {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 	}
-	for _, p := range w.procs {
+	for _, p := range td.procs {
 		<-p.done
 	}
-	for _, b := range w.ports {
+	for _, b := range td.ports {
 		b.Release()
 	}
 }
