--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -317,7 +317,7 @@
 	}
 }
 
-// AskPromise implements membership.Promiser.
+// AskPromise implements membership.PeerClient.
 func (c *Cluster) AskPromise(ctx context.Context, peer, self ownership.Node, d time.Duration) ownership.PromiseState {
 	resp, err := c.peerClient(peer).Promise(ctx, &pb.PromiseRequest{
 		Node: self.ID, Incarnation: self.Session, DurationMs: d.Milliseconds(),
@@ -337,7 +337,7 @@
 // process listens on the port: the process that did has ended.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// AskOwner implements membership.Promiser.
+// AskOwner implements membership.PeerClient.
 func (c *Cluster) AskOwner(ctx context.Context, owner ownership.Node, shards []string) (acting []string, state ownership.OwnerState) {
 	resp, err := c.peerClient(owner).Acting(ctx, &pb.ActingRequest{Shards: shards})
 	switch {
