--- a/internal/batch/job_test.go
+++ b/internal/batch/job_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against job objectives that ignore dependencies between steps.
 func TestCriticalPathFollowsDependencies(t *testing.T) {
 	j := Job{Steps: []Step{
 		{Tasks: 1, Estimate: 2 * time.Second},
@@ -27,6 +28,7 @@
 	require.ErrorContains(t, j.Validate(), "steps[0]: times go from 0 to")
 }
 
+// Guards against requests that reach a queue of a shorter prefix or of another host.
 func TestLongestPrefixSelectsQueue(t *testing.T) {
 	c := Config{Queues: []Queue{{Name: "all", Host: "h", Prefix: "/"}, {Name: "work", Host: "h", Prefix: "/work/"}}}
 	q, rest := c.Match("h", "/work/x")
--- a/internal/batch/vm.go
+++ b/internal/batch/vm.go
@@ -78,8 +78,8 @@
 	Run  int64
 	// Checkpoint is the newest saved progress; empty for none.
 	Checkpoint string
-	// Progress is the percentage of the run's work that is done; for a lasting run,
-	// the percentage of its startup: at 100 it is available.
+	// Progress is the percentage of the run's work that is done, 0 to 100; for a lasting
+	// run, of its startup: at 100 it is available.
 	Progress int
 	// Usage is approximate and covers the last half second: the tail latency in
 	// milliseconds for a serving task, otherwise the processor use in millicores.
