--- a/internal/batch/job_test.go
+++ b/internal/batch/job_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against job objectives that ignore dependencies between steps.
 func TestCriticalPathFollowsDependencies(t *testing.T) {
 	j := Job{Steps: []Step{
 		{Tasks: 1, Estimate: 2 * time.Second},
@@ -18,8 +19,8 @@
 	require.Equal(t, 5*time.Second, j.CriticalPath())
 }
 
-// Symptom: a job of a longer task is refused as wrong.
-// Cause: its duration was held against the bound on amounts, as nanoseconds.
+// Guards against rejecting jobs with long tasks: their durations, in nanoseconds, were
+// compared with the bound on amounts.
 func TestLongTasksAreAccepted(t *testing.T) {
 	j := Job{Steps: []Step{{Tasks: 1, Estimate: 6 * time.Hour}}}
 	require.NoError(t, j.Validate())
@@ -27,6 +28,7 @@
 	require.ErrorContains(t, j.Validate(), "steps[0]: times go from 0 to")
 }
 
+// Guards against requests that reach a queue of a shorter prefix or of another host.
 func TestLongestPrefixSelectsQueue(t *testing.T) {
 	c := Config{Queues: []Queue{{Name: "all", Host: "h", Prefix: "/"}, {Name: "work", Host: "h", Prefix: "/work/"}}}
 	q, rest := c.Match("h", "/work/x")
