--- a/internal/edge/docs_test.go
+++ b/internal/edge/docs_test.go
@@ -11,7 +11,7 @@
 	"github.com/rattanwall/rattanwall/internal/scheduler"
 )
 
-// The operators' page names every event and every metric.
+// The operations page must document every scheduler event and every metric.
 func TestOperationsPageIsComplete(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -15,7 +15,7 @@
 	"github.com/rattanwall/rattanwall/internal/ports"
 )
 
-// fixedElection is an election that was won by the process at an address.
+// fixedElection simulates an election won by the process at the given address.
 type fixedElection string
 
 func (l fixedElection) Leader() (leader.Record, bool) {
@@ -26,9 +26,9 @@
 	return &leaderClient{self: "self", election: fixedElection(address), client: &http.Client{}}
 }
 
-// Symptom: a job that nobody was given is told to be of unknown outcome.
-// Sequence: the leader dies; a process without the store asks it to store a job.
-// Cause: a connection that was never made was taken for a lost answer.
+// A job submitted through a dead leader is certainly not stored, so the submission must be
+// refused, not of unknown outcome. The leader dies, and a process without access to the store
+// calls it: a connection that was never made must not count as a lost response.
 func TestSubmitToADeadLeaderIsRefused(t *testing.T) {
 	block, err := ports.Claim()
 	require.NoError(t, err)
@@ -38,8 +38,8 @@
 	require.False(t, errors.Is(err, durable.ErrUnknown))
 }
 
-// A leader that takes a call and does not answer may have stored the job; it is not
-// asked again until it has answered something.
+// A leader that accepts a call and does not respond may have stored the job. It counts as
+// unreachable until it responds to another call.
 func TestSubmitToAnUnresponsiveLeaderIsUnknown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
